--- a/benches/data_path/module.rs
+++ b/benches/data_path/module.rs
@@ -2,8 +2,8 @@
 
 use serde_json::{Value, json};
 use std::time::Instant;
-use turnshift::Balancer;
-use turnshift::api::*;
+use load_balancer::Balancer;
+use load_balancer::interface::*;
 
 const ROUNDS: u32 = 200;
 /// Of so many batches the quickest counts: on a shared machine the others were interrupted.
--- a/benches/drift.rs
+++ b/benches/drift.rs
@@ -10,7 +10,7 @@
 use hdrhistogram::Histogram;
 use route_fleet::*;
 use std::time::Instant;
-use turnshift::routes::*;
+use load_balancer::route_table::*;
 
 const PROXIES: usize = 300;
 const FAULTS: usize = 100;
--- a/benches/replay.rs
+++ b/benches/replay.rs
@@ -10,8 +10,8 @@
 
 use replay_rig::{START, World, weights};
 use std::hint::black_box;
-use turnshift::api::Arrival;
-use turnshift::replay::{About, Ending, Job, Recorder, Reply, judge};
+use load_balancer::interface::Arrival;
+use load_balancer::replay::{About, Ending, Job, Recorder, Reply, judge};
 
 const SEEDS: usize = 3;
 const FLEET_RATE: f64 = 600.0; // requests a second of all proxies
--- a/benches/scale/run/agent.rs
+++ b/benches/scale/run/agent.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::sleep;
-use turnshift::client::pauses::{Bounds, Pauses};
-use turnshift::client::registry::{Call, call};
-use turnshift::client::traffic::{Kind, Traffic};
+use load_balancer::client::pauses::{Bounds, Pauses};
+use load_balancer::client::registry::{Call, call};
+use load_balancer::client::traffic::{Kind, Traffic};
 
 /// Pauses after a failed registration.
 const PAUSES: Bounds = [Duration::from_millis(100), Duration::from_secs(5)];
--- a/benches/scale/run/entries.rs
+++ b/benches/scale/run/entries.rs
@@ -2,8 +2,8 @@
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
-use turnshift::api::ListKind;
-use turnshift::client::list::{Health, Host};
+use load_balancer::interface::ListKind;
+use load_balancer::client::list::{Health, Host};
 
 /// The entries by the hashes of their names, and the sum of what each entry says.
 #[derive(Default)]
--- a/benches/scale/run/hollow.rs
+++ b/benches/scale/run/hollow.rs
@@ -1,4 +1,4 @@
-//! A hollow proxy: the control-plane client of `heathroad`, with no data path behind it.
+//! A hollow proxy: the control-plane client of `proxy`, with no data path behind it.
 
 use super::agent::Agent;
 use super::clock::{now_ms, now_us};
@@ -13,12 +13,12 @@
 use tokio::sync::{oneshot, watch};
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::Instant;
-use turnshift::api::ListKind;
-use turnshift::client::discovery::{self, Backoff, Listener, Pace};
-use turnshift::client::list::Host;
-use turnshift::client::routes::{Identity, RoutedProxy, Routes, Settings, Tally, Totals};
-use turnshift::client::traffic::Traffic;
-use turnshift::routes::{LeftOut, Revision, Weights};
+use load_balancer::interface::ListKind;
+use load_balancer::client::discovery::{self, Backoff, Listener, Pace};
+use load_balancer::client::list::Host;
+use load_balancer::client::route_table::{Identity, RoutedProxy, Routes, Settings, Tally, Totals};
+use load_balancer::client::traffic::Traffic;
+use load_balancer::route_table::{LeftOut, Revision, Weights};
 
 /// Requests a second that its reports tell of: a rollout waits for some on either side.
 const REQUESTS_A_SECOND: f64 = 54.0;
--- a/benches/scale/run/real.rs
+++ b/benches/scale/run/real.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::process::Command;
 
-/// A started `heathroad`.
+/// A started `proxy`.
 pub struct Real {
     /// Its number in the fleet.
     pub number: usize,
--- a/benches/scale/run/standing.rs
+++ b/benches/scale/run/standing.rs
@@ -3,12 +3,12 @@
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
-use turnshift::api::{BackendId, Entry, Event, ListKind, Phase, Standing};
-use turnshift::client::list::{Health, Host};
-use turnshift::client::routes::Tally;
-use turnshift::routes::{LeftOut, MAX_REPORTED};
-use turnshift::settings::Facts;
-use turnshift::{Balancer, backend_id};
+use load_balancer::interface::{BackendId, Entry, Event, ListKind, Phase, Standing};
+use load_balancer::client::list::{Health, Host};
+use load_balancer::client::route_table::Tally;
+use load_balancer::route_table::{LeftOut, MAX_REPORTED};
+use load_balancer::platform_settings::Facts;
+use load_balancer::{Balancer, backend_id};
 
 /// What a report says of backends.
 #[derive(Default)]
--- a/benches/scale/run/traffic.rs
+++ b/benches/scale/run/traffic.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::ops::Sub;
-use turnshift::client::traffic as client;
+use load_balancer::client::traffic as client;
 
 /// Milliseconds of a bucket in which calls are counted for their rate.
 pub const BUCKET_MS: u64 = 200;
--- a/benches/scale/run/truth.rs
+++ b/benches/scale/run/truth.rs
@@ -5,8 +5,8 @@
 use super::plan::{Plan, entry};
 use serde_json::Value;
 use std::collections::BTreeMap;
-use turnshift::api::ListKind;
-use turnshift::client::list::Host;
+use load_balancer::interface::ListKind;
+use load_balancer::client::list::Host;
 
 /// The entries that should be listed, by service and name.
 pub struct Account {
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -1,8 +1,8 @@
 //! Whether a request is sent, held or refused: slices by worth, lines by key, quotas of tenants.
 
 use super::Balancer;
-use crate::api::*;
-use crate::state::Request;
+use crate::interface::*;
+use super::state::Request;
 
 const RETRY_SHARE: f64 = 0.1; // repeats of what may have run, as a share of requests: no storm
 pub(super) const RETRY_DEPTH: f64 = 10.0;
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -1,8 +1,8 @@
 //! A request's life: its attempts, their outcomes, and its end.
 
 use super::Balancer;
-use crate::api::*;
-use crate::state::{Attempt, Request};
+use crate::interface::*;
+use super::state::{Attempt, Request};
 
 /// Share of the aim that a request is held: first tier, behind it.
 pub(super) const HOLD: [f64; 2] = [0.125, 0.5];
--- a/src/backends.rs
+++ b/src/balancer/backends.rs
@@ -1,7 +1,7 @@
 //! The backends by their ids. Tests can count how many of their records an event looks at.
 
-use crate::api::BackendId;
-use crate::state::Backend;
+use crate::interface::BackendId;
+use super::state::Backend;
 use std::collections::BTreeMap;
 use std::ops::Index;
 
--- a/src/balancer/fleet.rs
+++ b/src/balancer/fleet.rs
@@ -1,7 +1,7 @@
 //! What a copy knows of the other copies, and what operators want of all: its part, its place, its weights.
 
 use super::Balancer;
-use crate::api::*;
+use crate::interface::*;
 
 const GOLDEN: f64 = 0.618_033_988_75; // its multiples lie evenly, however many there are
 
--- a/src/balancer/health.rs
+++ b/src/balancer/health.rs
@@ -2,8 +2,8 @@
 
 use super::Balancer;
 use super::limiter::{CLIP, WINDOW};
-use crate::api::*;
-use crate::state::Backend;
+use crate::interface::*;
+use super::state::Backend;
 
 const ERROR_STEP: f64 = 0.125; // weight of one outcome in an error rate
 const ERROR_EJECT: f64 = 0.35; // error rate at which a backend is left ...
--- a/src/balancer/housekeep.rs
+++ b/src/balancer/housekeep.rs
@@ -2,7 +2,7 @@
 
 use super::Balancer;
 use super::limiter::LEARN_MS;
-use crate::api::*;
+use crate::interface::*;
 
 pub(super) const HOUSEKEEPING: u64 = 0; // timer tokens
 const HANG_MISSED: f64 = 8.0; // answers missed, by Little's law, before silence is a hang and not a pause
--- a/src/balancer/limiter.rs
+++ b/src/balancer/limiter.rs
@@ -1,6 +1,6 @@
 //! The concurrency limit, learned in windows of answers from what they waited and what was in flight.
 
-use crate::state::{Latency, Limiter};
+use super::state::{Latency, Limiter};
 
 const AIM_SHARE: f64 = 0.4; // mean latency over the aim at which the limit is full: half may be slower
 const TOLERANCE: f64 = 1.3; // but under this multiple of its class's baseline chance alone would cut
--- a/src/balancer/list.rs
+++ b/src/balancer/list.rs
@@ -1,8 +1,8 @@
 //! The list of backends: what it tells, when it is doubted, and what follows for those who take work.
 
 use super::Balancer;
-use crate::api::*;
-use crate::state::Backend;
+use crate::interface::*;
+use super::state::Backend;
 
 pub(super) const ASK: u64 = 1;
 pub(super) const RELIST: u64 = 2;
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,15 +1,20 @@
 //! Every decision of a balancer copy: one learned concurrency limit, split into slices by worth, over a
-//! load-sized subset of the tier. The interface (settings, events, actions) is in `src/api/`.
+//! load-sized subset of the tier. The interface (settings, events, actions) is in `src/balancer/interface/`.
 
 mod admission;
 mod attempts;
+mod backends;
 mod fleet;
 mod health;
 mod housekeep;
+pub mod interface;
 mod limiter;
 mod list;
+mod ordered_sum;
 mod pick;
+pub mod platform_settings;
 mod roster;
+mod state;
 mod subset;
 mod view;
 
@@ -18,9 +23,9 @@
 use self::housekeep::HOUSEKEEPING;
 use self::list::{ASK, ASK_FIRST, RELIST};
 use self::subset::CROSS_CHEAP;
-use crate::api::*;
-use crate::backends::Backends;
-use crate::state::{Latency, Limiter, Line, Request, Roster, Segment, Slice};
+use crate::interface::*;
+use self::backends::Backends;
+use self::state::{Latency, Limiter, Line, Request, Roster, Segment, Slice};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 const HOUSE_TICKS: f64 = 10.0; // ticks between housekeepings: often enough for holds, rare enough to be cheap
--- a/src/ordered.rs
+++ b/src/balancer/ordered_sum.rs
@@ -1,6 +1,6 @@
 //! Arithmetic over long ordered rows in few steps.
 
-use crate::api::BackendId;
+use crate::interface::BackendId;
 
 /// Where an id is, or would be, among sorted ones, not before `from`; quick if it is near.
 pub fn place_from(ids: &[BackendId], mut from: usize, id: BackendId) -> usize {
@@ -52,5 +52,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/ordered.rs"]
+#[path = "../../tests/unit/balancer/ordered_sum.rs"]
 mod tests;
--- a/src/balancer/pick.rs
+++ b/src/balancer/pick.rs
@@ -1,8 +1,8 @@
 //! Which backend gets the next attempt.
 
 use super::Balancer;
-use crate::api::*;
-use crate::state::Request;
+use crate::interface::*;
+use super::state::Request;
 
 const DRAWS: [usize; 2] = [96, 12]; // draws by weight for one pick, and those that count
 const BEHIND: f64 = 8.0; // turns that a backend can make up for
--- a/src/settings.rs
+++ b/src/balancer/platform_settings.rs
@@ -1,7 +1,7 @@
 //! Reads an instance's settings from the JSON object that comes with its start: on the simulator's wire as
 //! text, at a real proxy as a part of its configuration.
 
-use crate::api;
+use crate::interface as api;
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer};
 
--- a/src/balancer/roster.rs
+++ b/src/balancer/roster.rs
@@ -1,9 +1,9 @@
 //! The backends that take work, in order, and sums over them, kept up to date as news comes: the passing of
 //! time costs what is cold or out of service, and not what is listed.
 
-use crate::api::*;
-use crate::ordered::{OrderedSum, place_from};
-use crate::state::{Backend, Capacity, Exception, Roster};
+use crate::interface::*;
+use super::ordered_sum::{OrderedSum, place_from};
+use super::state::{Backend, Capacity, Exception, Roster};
 
 impl Roster {
     /// Nobody yet. `home` is this copy's zone, where leaving it has a price.
--- a/src/state.rs
+++ b/src/balancer/state.rs
@@ -1,6 +1,6 @@
 //! The decision module's records: plain fields, no logic. What they mean is decided in `balancer/`.
 
-use crate::api::{BackendId, Entry, RequestId};
+use crate::interface::{BackendId, Entry, RequestId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// A backend, as the list and its answers tell of it.
--- a/src/balancer/view.rs
+++ b/src/balancer/view.rs
@@ -1,8 +1,8 @@
 //! What operators are told of a copy's backends.
 
 use super::Balancer;
-use crate::api::*;
-use crate::state::Backend;
+use crate::interface::*;
+use super::state::Backend;
 
 const SEEN_ERROR: f64 = 0.01; // error rate at which a backend gets clearly less
 
--- a/src/bin/heathroad/body/rest.rs
+++ b/src/bin/proxy/body/rest.rs
@@ -1,7 +1,7 @@
 //! What of a request's body was not held.
 
 use super::{LARGEST, Paced};
-use crate::stream::Client;
+use crate::io::Client;
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
 use std::io;
--- a/src/bin/heathroad/body/room.rs
+++ b/src/bin/proxy/body/room.rs
@@ -44,5 +44,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../../tests/unit/heathroad/body/room.rs"]
+#[path = "../../../../tests/unit/proxy/body/room.rs"]
 mod tests;
--- a/src/bin/heathroad/config/check.rs
+++ b/src/bin/proxy/config/check.rs
@@ -1,7 +1,7 @@
 //! What is wrong with settings that can be read: each key by its name in the file, and what it may be.
 
 use std::collections::HashSet;
-use turnshift::settings::Facts;
+use load_balancer::platform_settings::Facts;
 
 /// Fewer descriptors than this leave no room for work.
 const MIN_SOCKETS: usize = 64;
--- a/src/bin/heathroad/config/discovery.rs
+++ b/src/bin/proxy/config/discovery.rs
@@ -2,8 +2,8 @@
 
 use super::Config;
 use crate::engine::millis;
-use turnshift::client::discovery::{Pace, Settings};
-use turnshift::client::traffic::Traffic;
+use load_balancer::client::discovery::{Pace, Settings};
+use load_balancer::client::traffic::Traffic;
 
 impl Config {
     /// How discovery is asked; what is said and heard is counted in `traffic`.
--- a/src/bin/heathroad/config/error.rs
+++ b/src/bin/proxy/config/error.rs
@@ -2,8 +2,8 @@
 
 use std::io;
 use std::path::PathBuf;
-use turnshift::catalog::ServiceNameError;
-use turnshift::settings;
+use load_balancer::catalog::ServiceNameError;
+use load_balancer::platform_settings;
 
 /// Why a configuration cannot be used. Each is one line.
 #[derive(Debug, thiserror::Error)]
@@ -31,7 +31,7 @@
     },
     /// The settings in it cannot be read.
     #[error("config: {0}; mend this key in the file")]
-    Settings(#[from] settings::Error),
+    Settings(#[from] platform_settings::Error),
     /// A key has a value that cannot be used.
     #[error("config: {0}; mend this key in the file")]
     Value(String),
--- a/src/bin/heathroad/config/file.rs
+++ b/src/bin/proxy/config/file.rs
@@ -2,9 +2,9 @@
 
 use crate::recorder;
 use serde::Deserialize;
-use turnshift::client::discovery::Backoff;
-use turnshift::client::list::Page;
-use turnshift::client::{membership, routes};
+use load_balancer::client::discovery::Backoff;
+use load_balancer::client::list::Page;
+use load_balancer::client::{membership, route_table};
 
 /// The platform's file has keys that nothing here needs; they are passed over.
 #[derive(Deserialize)]
@@ -20,7 +20,7 @@
     pub(super) list_guard: Option<Guard>,
     pub(super) discovery_backoff: Option<Backoff>,
     pub(super) membership: Option<membership::Settings>,
-    pub(super) routes: Option<routes::Settings>,
+    pub(super) routes: Option<route_table::Settings>,
     pub(super) record: Option<recorder::Settings>,
 }
 
@@ -40,7 +40,7 @@
     #[serde(default)]
     pub(super) discovery_backoff: Backoff,
     pub(super) membership: Option<membership::Settings>,
-    pub(super) routes: Option<routes::Settings>,
+    pub(super) routes: Option<route_table::Settings>,
     pub(super) record: Option<recorder::Settings>,
 }
 
--- a/src/bin/heathroad/config/mod.rs
+++ b/src/bin/proxy/config/mod.rs
@@ -15,13 +15,13 @@
 use std::env;
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use turnshift::api::ListGuard;
-use turnshift::catalog::ServiceName;
-use turnshift::client::discovery::Backoff;
-use turnshift::client::list::Page;
-use turnshift::client::registry::MAX_REGISTRIES;
-use turnshift::client::{membership, routes};
-use turnshift::settings::{self, Facts};
+use load_balancer::interface::ListGuard;
+use load_balancer::catalog::ServiceName;
+use load_balancer::client::discovery::Backoff;
+use load_balancer::client::list::Page;
+use load_balancer::client::registry::MAX_REGISTRIES;
+use load_balancer::client::{membership, route_table};
+use load_balancer::platform_settings::{self, Facts};
 
 /// All that a start needs.
 pub struct Config {
@@ -48,7 +48,7 @@
     /// How it takes part among the proxies of its tier, if it does.
     pub membership: Option<membership::Settings>,
     /// How it has its picks weighed by the route table, if it does.
-    pub routes: Option<routes::Settings>,
+    pub routes: Option<route_table::Settings>,
     /// What it records, if anything.
     pub record: Option<recorder::Settings>,
     /// The name that it goes by in either.
@@ -61,7 +61,7 @@
 
 /// The command line. What it names goes before the environment, and that before the file.
 #[derive(Parser)]
-#[command(name = "heathroad", version, about = "A load-balancing proxy for one tier of services")]
+#[command(name = "proxy", version, about = "A load-balancing proxy for one tier of services")]
 pub struct Args {
     /// A TOML file with the same keys as the JSON that RELAY_CONFIG names, which is read without it.
     #[arg(long, conflicts_with = "local")]
@@ -107,7 +107,7 @@
     ops: Option<String>,
 ) -> Result<Config, Error> {
     let text = file.record.as_ref().map_or_else(String::new, |_| file.settings.to_string());
-    let mut facts = settings::read(file.settings)?;
+    let mut facts = platform_settings::read(file.settings)?;
     // Under the platform's protocol a change that was told binds at once: there the guard is off unless asked for.
     facts.settings.list_guard = file
         .list_guard
@@ -121,7 +121,7 @@
     if let Some(why) = file.membership.as_ref().and_then(membership::Settings::invalid) {
         return Err(Error::Value(format!("membership.{why}")));
     }
-    if let Some(why) = file.routes.as_ref().and_then(routes::Settings::invalid) {
+    if let Some(why) = file.routes.as_ref().and_then(route_table::Settings::invalid) {
         return Err(Error::Value(format!("routes.{why}")));
     }
     if let Some(why) = file.record.as_ref().and_then(recorder::Settings::invalid) {
@@ -132,7 +132,7 @@
         true => {
             let own = file.routes.as_ref().and_then(|r| r.name.as_deref());
             let member = file.membership.as_ref().and_then(|m| m.name.as_deref());
-            routes::named(own, member, listen).map_err(|why| Error::Value(format!("routes.{why}")))?
+            route_table::named(own, member, listen).map_err(|why| Error::Value(format!("routes.{why}")))?
         }
         false => String::new(),
     };
--- a/src/bin/heathroad/counters.rs
+++ b/src/bin/proxy/counters.rs
@@ -3,8 +3,8 @@
 use serde_json::{Map, Value, json};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
-use turnshift::api::Census;
-use turnshift::client::routes::Totals;
+use load_balancer::interface::Census;
+use load_balancer::client::route_table::Totals;
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -101,5 +101,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../tests/unit/heathroad/counters.rs"]
+#[path = "../../../tests/unit/proxy/counters.rs"]
 mod tests;
--- a/src/bin/heathroad/front/mod.rs
+++ b/src/bin/proxy/downstream/mod.rs
@@ -9,7 +9,7 @@
 use crate::counters::Counters;
 use crate::engine::Engine;
 use crate::lifecycle::{LINGER, Lifecycle};
-use crate::stream::{ClientStream, Watched};
+use crate::io::{ClientStream, Watched};
 use hyper::StatusCode;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
@@ -26,7 +26,7 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
-use turnshift::settings::Facts;
+use load_balancer::platform_settings::Facts;
 
 /// A caller may take so long to send a request's head, and may be idle for so long before it.
 const HEAD: Duration = Duration::from_secs(60);
@@ -224,5 +224,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../../tests/unit/heathroad/front.rs"]
+#[path = "../../../../tests/unit/proxy/downstream.rs"]
 mod tests;
--- a/src/bin/heathroad/front/reply.rs
+++ b/src/bin/proxy/downstream/reply.rs
@@ -1,6 +1,6 @@
 //! What a caller is answered, and the answer's body.
 
-use crate::backend::Served;
+use crate::upstream::Served;
 use crate::body::{Held, Paced};
 use crate::counters::{Ending, Record};
 use crate::engine::Answer;
--- a/src/bin/heathroad/front/request.rs
+++ b/src/bin/proxy/downstream/request.rs
@@ -2,11 +2,11 @@
 
 use super::Front;
 use super::reply::{Reply, plain};
-use crate::backend::Call;
+use crate::upstream::Call;
 use crate::body::{self, Paced, Rest};
 use crate::counters::Record;
 use crate::engine::{Incoming, millis};
-use crate::stream::{Client, Progress};
+use crate::io::{Client, Progress};
 use bytes::BytesMut;
 use hyper::body::{Body, Incoming as Inflow};
 use hyper::header::{ALLOW, EXPECT, HOST, HeaderMap, HeaderValue};
@@ -17,7 +17,7 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 use tokio::time::Instant;
-use turnshift::api::Effect;
+use load_balancer::interface::Effect;
 
 /// Longest time that a caller may say it waits, unless a class of the settings has a longer one.
 const MAX_PATIENCE: Duration = Duration::from_secs(600);
--- a/src/bin/heathroad/engine/act.rs
+++ b/src/bin/proxy/engine/act.rs
@@ -6,7 +6,7 @@
 use super::state::State;
 use std::rc::Rc;
 use tokio::time::{Instant, sleep};
-use turnshift::api::{Action, Event};
+use load_balancer::interface::{Action, Event};
 
 impl Engine {
     /// Tells the module of an event and carries out what it decides, and so on until all is quiet.
--- a/src/bin/heathroad/engine/attempts.rs
+++ b/src/bin/proxy/engine/attempts.rs
@@ -3,12 +3,12 @@
 use super::Engine;
 use super::request::{Answer, Life, Open, Out};
 use super::state::State;
-use crate::backend::{Attempt, End};
+use crate::upstream::{Attempt, End};
 use crate::body::Flow;
 use std::rc::Rc;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
-use turnshift::api::{BackendId, Event, Outcome, RequestId, Resolved};
+use load_balancer::interface::{BackendId, Event, Outcome, RequestId, Resolved};
 
 impl Engine {
     pub(super) fn send(
--- a/src/bin/heathroad/engine/decide.rs
+++ b/src/bin/proxy/engine/decide.rs
@@ -4,14 +4,14 @@
 use super::clock::millis;
 use super::request::{Answer, Here, Incoming, Life, Open, backstop};
 use super::state::hash;
-use crate::backend::{MARGIN, margin};
+use crate::upstream::{MARGIN, margin};
 use crate::body::Flow;
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep_until};
-use turnshift::api::{Arrival, Effect, Event};
-use turnshift::replay::Ending;
+use load_balancer::interface::{Arrival, Effect, Event};
+use load_balancer::replay::Ending;
 
 impl Engine {
     /// Takes a request and waits for its one answer. Dropped before that, the caller has hung up.
--- a/src/bin/heathroad/engine/list.rs
+++ b/src/bin/proxy/engine/list.rs
@@ -2,13 +2,13 @@
 
 use super::Engine;
 use super::state::State;
-use crate::backend::Target;
+use crate::upstream::Target;
 use std::cell::Cell;
 use std::rc::Rc;
 use tracing::{info, warn};
-use turnshift::api::{Census, Entry, Event, ListKind, Phase};
-use turnshift::client::discovery::Listener;
-use turnshift::client::list::{Health, Host};
+use load_balancer::interface::{Census, Entry, Event, ListKind, Phase};
+use load_balancer::client::discovery::Listener;
+use load_balancer::client::list::{Health, Host};
 
 /// The engine as discovery's client knows it.
 pub struct ListedEngine(pub Rc<Engine>);
--- a/src/bin/heathroad/engine/mod.rs
+++ b/src/bin/proxy/engine/mod.rs
@@ -14,7 +14,7 @@
 pub use list::ListedEngine;
 pub use request::{Answer, Incoming};
 
-use crate::backend::Pool;
+use crate::upstream::Pool;
 use crate::observer::Observer;
 use clock::Clock;
 use request::Life;
@@ -24,9 +24,9 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until};
-use turnshift::Balancer;
-use turnshift::api::{Census, Event, RequestId, SettingsError};
-use turnshift::settings::Facts;
+use load_balancer::Balancer;
+use load_balancer::interface::{Census, Event, RequestId, SettingsError};
+use load_balancer::platform_settings::Facts;
 
 /// The proxy's middle. Everything runs on one thread, so that events have one order.
 pub struct Engine {
--- a/src/bin/heathroad/engine/observe.rs
+++ b/src/bin/proxy/engine/observe.rs
@@ -5,9 +5,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
-use turnshift::api::{Arrival, BackendId, Event, Outcome, RequestId, Standing};
-use turnshift::replay::Ending;
-use turnshift::routes::{LeftOut, Revision, Weights};
+use load_balancer::interface::{Arrival, BackendId, Event, Outcome, RequestId, Standing};
+use load_balancer::replay::Ending;
+use load_balancer::route_table::{LeftOut, Revision, Weights};
 
 impl Engine {
     /// Another table: each backend that is listed is weighed by it, now and after each change of the list.
--- a/src/bin/heathroad/engine/request.rs
+++ b/src/bin/proxy/engine/request.rs
@@ -1,14 +1,14 @@
 //! A request's life: taken, owed one answer, answered.
 
 use super::Engine;
-use crate::backend::{Call, Served};
+use crate::upstream::{Call, Served};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
-use turnshift::api::{BackendId, Event, RequestId};
-use turnshift::replay::Ending;
+use load_balancer::interface::{BackendId, Event, RequestId};
+use load_balancer::replay::Ending;
 
 /// A request still without an answer so long before the caller's deadline is failed whatever the module says.
 const BACKSTOP: Duration = Duration::from_millis(10);
--- a/src/bin/heathroad/engine/state.rs
+++ b/src/bin/proxy/engine/state.rs
@@ -1,13 +1,13 @@
 //! What the engine holds: the module, the backends by number, and the open requests.
 
 use super::request::{Answer, Open};
-use crate::backend::{Pool, Target};
+use crate::upstream::{Pool, Target};
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::rc::Rc;
 use tokio::time::Instant;
-use turnshift::api::{Action, BackendId, Event, ListKind, RequestId};
-use turnshift::{Balancer, backend_id};
+use load_balancer::interface::{Action, BackendId, Event, ListKind, RequestId};
+use load_balancer::{Balancer, backend_id};
 
 pub(super) struct State {
     pub(super) balancer: Balancer,
@@ -95,5 +95,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../../tests/unit/heathroad/engine/state.rs"]
+#[path = "../../../../tests/unit/proxy/engine/state.rs"]
 mod tests;
--- a/src/bin/heathroad/error.rs
+++ b/src/bin/proxy/error.rs
@@ -3,8 +3,8 @@
 use crate::config;
 use std::io;
 use std::net::SocketAddr;
-use turnshift::api::SettingsError;
-use turnshift::client::membership;
+use load_balancer::interface::SettingsError;
+use load_balancer::client::membership;
 
 /// Why the program ends. Each is one line.
 #[derive(Debug, thiserror::Error)]
--- a/src/bin/heathroad/handover.rs
+++ b/src/bin/proxy/handover.rs
@@ -79,5 +79,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../tests/unit/heathroad/handover.rs"]
+#[path = "../../../tests/unit/proxy/handover.rs"]
 mod tests;
--- a/src/bin/heathroad/stream/mod.rs
+++ b/src/bin/proxy/io/mod.rs
@@ -167,5 +167,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../../tests/unit/heathroad/stream.rs"]
+#[path = "../../../../tests/unit/proxy/io.rs"]
 mod tests;
--- a/src/bin/heathroad/lifecycle.rs
+++ b/src/bin/proxy/lifecycle.rs
@@ -126,5 +126,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../tests/unit/heathroad/lifecycle.rs"]
+#[path = "../../../tests/unit/proxy/lifecycle.rs"]
 mod tests;
--- a/src/bin/heathroad/log.rs
+++ b/src/bin/proxy/log.rs
@@ -7,7 +7,7 @@
 use tracing_subscriber::fmt::format::{FormatEvent, FormatFields, Writer};
 use tracing_subscriber::registry::LookupSpan;
 
-/// `heathroad: what happened`. The platform and the supervisor put the time before it.
+/// `proxy: what happened`. The platform and the supervisor put the time before it.
 struct Line;
 
 impl<S, N> FormatEvent<S, N> for Line
@@ -16,7 +16,7 @@
     N: for<'a> FormatFields<'a> + 'static,
 {
     fn format_event(&self, ctx: &FmtContext<'_, S, N>, mut to: Writer<'_>, event: &Event<'_>) -> fmt::Result {
-        to.write_str("heathroad: ")?;
+        to.write_str("proxy: ")?;
         ctx.field_format().format_fields(to.by_ref(), event)?;
         writeln!(to)
     }
--- a/src/bin/heathroad/main.rs
+++ b/src/bin/proxy/main.rs
@@ -1,32 +1,32 @@
-//! heathroad: the balancer's decisions as a real proxy on sockets. Start, signals and wiring.
+//! The proxy program: the balancer's decisions as a real proxy on sockets. Start, signals and wiring.
 
 #![forbid(unsafe_code)]
 
-mod backend;
+mod upstream;
 mod body;
 mod config;
 mod counters;
 mod descriptors;
 mod engine;
 mod error;
-mod front;
+mod downstream;
 mod handover;
 mod lifecycle;
 mod log;
 mod observer;
 mod ops;
 mod recorder;
-mod routes;
-mod stream;
+mod route_table;
+mod io;
 
-use backend::Pool;
+use upstream::Pool;
 use body::Room;
 use config::Config;
 use counters::Counters;
 use descriptors::Descriptors;
 use engine::{Engine, ListedEngine, millis};
 use error::Error;
-use front::Front;
+use downstream::Front;
 use handover::Siblings;
 use lifecycle::{FLOWS, LINGER, Lifecycle};
 use observer::Observer;
@@ -42,10 +42,10 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, timeout};
 use tracing::{error, info, warn};
-use turnshift::api::ListKind;
-use turnshift::client::discovery;
-use turnshift::client::membership::Membership;
-use turnshift::client::traffic::Traffic;
+use load_balancer::interface::ListKind;
+use load_balancer::client::discovery;
+use load_balancer::client::membership::Membership;
+use load_balancer::client::traffic::Traffic;
 
 /// A start waits so long for discovery's first list before it takes clients.
 const FIRST_LIST: Duration = Duration::from_millis(1500);
@@ -79,13 +79,13 @@
         |kind, signal: &'static str| self::signal(kind).map_err(|source| Error::Signal { signal, source });
     let mut terminated = awaited(SignalKind::terminate(), "SIGTERM")?;
     let mut reloaded = awaited(SignalKind::hangup(), "SIGHUP")?;
-    let kept = if config.routes.is_some() || config.record.is_some() { routes::DESCRIPTORS } else { 0 };
+    let kept = if config.routes.is_some() || config.record.is_some() { route_table::DESCRIPTORS } else { 0 };
     let Descriptors { spare, usable } =
         Descriptors::share_out(config.sockets, kept + config.ops.map_or(0, |_| ops::DESCRIPTORS))?;
     let site = &config.facts.site;
     let counters = Counters::new(site.classes.clone());
     let processes = watch::Sender::new(1);
-    let limits = backend::Limits {
+    let limits = upstream::Limits {
         connections: usable / 2,
         processes: processes.subscribe(),
         connect: millis(site.connect_timeout),
@@ -120,7 +120,7 @@
         }
     };
     let (moved, discovery) = watch::channel(std::mem::take(&mut config.discovery));
-    let parts = routes::Parts {
+    let parts = route_table::Parts {
         engine: &engine,
         counters: &counters,
         membership: &membership,
@@ -128,7 +128,7 @@
         traffic: &traffic,
     };
     let (routes, recording) =
-        observer.map_or((None, None), |observer| routes::start(&config, &observer, parts));
+        observer.map_or((None, None), |observer| route_table::start(&config, &observer, parts));
     if let Some(address) = config.ops {
         let listener = bind("ops", address, false)?;
         let (counters, membership) = (counters.clone(), membership.clone());
@@ -246,5 +246,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../tests/unit/heathroad/paused/mod.rs"]
+#[path = "../../../tests/unit/proxy/paused/mod.rs"]
 mod paused;
--- a/src/bin/heathroad/observer.rs
+++ b/src/bin/proxy/observer.rs
@@ -6,11 +6,11 @@
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 use std::time::Duration;
-use turnshift::api::{Arrival, AttemptNo, BackendId, Outcome, RequestId};
-use turnshift::client::list::Host;
-use turnshift::client::routes::Tally;
-use turnshift::replay::{Ending, Listed};
-use turnshift::routes::{Revision, Weights};
+use load_balancer::interface::{Arrival, AttemptNo, BackendId, Outcome, RequestId};
+use load_balancer::client::list::Host;
+use load_balancer::client::route_table::Tally;
+use load_balancer::replay::{Ending, Listed};
+use load_balancer::route_table::{Revision, Weights};
 
 /// A backend as the list names it, and what went to it.
 struct Place {
--- a/src/bin/heathroad/ops.rs
+++ b/src/bin/proxy/ops.rs
@@ -12,8 +12,8 @@
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
-use turnshift::client::membership::Membership;
-use turnshift::client::routes::Routes;
+use load_balancer::client::membership::Membership;
+use load_balancer::client::route_table::Routes;
 
 /// Most callers at once. One more takes the place of the one that has been here longest without a whole call:
 /// those who say nothing keep nobody out.
--- a/src/bin/heathroad/recorder.rs
+++ b/src/bin/proxy/recorder.rs
@@ -13,11 +13,11 @@
 use tokio::task::spawn_blocking;
 use tokio::time::sleep;
 use tracing::{info, warn};
-use turnshift::api::{Arrival, AttemptNo, BackendId, Outcome, RequestId};
-use turnshift::client::registry::{Call, Fault, PAUSES, Rotation, call};
-use turnshift::client::routes::Identity;
-use turnshift::client::traffic::{Kind, Traffic};
-use turnshift::replay::{
+use load_balancer::interface::{Arrival, AttemptNo, BackendId, Outcome, RequestId};
+use load_balancer::client::registry::{Call, Fault, PAUSES, Rotation, call};
+use load_balancer::client::route_table::Identity;
+use load_balancer::client::traffic::{Kind, Traffic};
+use load_balancer::replay::{
     About, Ending, Listed, MAX_BACKENDS, MAX_TRACES, Recorder, Reply, SAMPLED_OF, Segment,
 };
 
--- a/src/bin/heathroad/routes/proxy.rs
+++ b/src/bin/proxy/route_table/proxy.rs
@@ -5,8 +5,8 @@
 use crate::observer::Observer;
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use turnshift::client::routes::{RoutedProxy, Tally, Totals};
-use turnshift::routes::{LeftOut, Revision, Weights};
+use load_balancer::client::route_table::{RoutedProxy, Tally, Totals};
+use load_balancer::route_table::{LeftOut, Revision, Weights};
 
 /// The engine, and what is counted about it.
 pub(super) struct ObservedEngine {
--- a/src/bin/heathroad/routes/start.rs
+++ b/src/bin/proxy/route_table/start.rs
@@ -10,9 +10,9 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 use tokio::task::spawn_local;
-use turnshift::client::membership::Membership;
-use turnshift::client::routes::{Identity, Routes};
-use turnshift::client::traffic::Traffic;
+use load_balancer::client::membership::Membership;
+use load_balancer::client::route_table::{Identity, Routes};
+use load_balancer::client::traffic::Traffic;
 
 /// Connections that these may hold: a watch, a report and a segment, and the next of each.
 pub const DESCRIPTORS: usize = 6;
--- a/src/bin/heathroad/backend/attempt.rs
+++ b/src/bin/proxy/upstream/attempt.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout, timeout_at};
-use turnshift::api::Outcome;
+use load_balancer::interface::Outcome;
 
 /// An answer that does not tell its length and is not whole so long after its first bytes is passed on as it comes. Where
 /// less time is left than this, its attempt is given up before.
--- a/src/bin/heathroad/backend/call.rs
+++ b/src/bin/proxy/upstream/call.rs
@@ -1,7 +1,7 @@
 //! A request as it goes out.
 
 use crate::body::{Flow, Held, Rest};
-use crate::stream::{Client, Outgoing, Progress};
+use crate::io::{Client, Outgoing, Progress};
 use bytes::Bytes;
 use hyper::header;
 use hyper::header::{HOST, HeaderValue};
--- a/src/bin/heathroad/backend/mod.rs
+++ b/src/bin/proxy/upstream/mod.rs
@@ -13,7 +13,7 @@
 use std::cell::Cell;
 use std::net::SocketAddr;
 use tokio::time::Instant;
-use turnshift::api::Outcome;
+use load_balancer::interface::Outcome;
 
 /// A backend's answer to pass on.
 pub struct Served {
--- a/src/bin/heathroad/backend/pool.rs
+++ b/src/bin/proxy/upstream/pool.rs
@@ -2,7 +2,7 @@
 
 use super::Target;
 use crate::body::{self, Room};
-use crate::stream::{Outgoing, Progress, Watched};
+use crate::io::{Outgoing, Progress, Watched};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
 use socket2::SockRef;
@@ -16,7 +16,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout};
-use turnshift::api::Outcome;
+use load_balancer::interface::Outcome;
 
 /// Kept connections are given up at this share of the time after which backends close them (`caps.connIdle`).
 const RETIRE: f64 = 0.5;
@@ -186,5 +186,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../../tests/unit/heathroad/backend/pool.rs"]
+#[path = "../../../../tests/unit/proxy/upstream/pool.rs"]
 mod tests;
--- a/src/bin/registry/config.rs
+++ b/src/bin/registry/config.rs
@@ -2,7 +2,7 @@
 
 use crate::error::StartError;
 use crate::http::Limits;
-use crate::routes::RoutesConfig;
+use crate::route_table::RoutesConfig;
 use crate::store::Sync;
 use clap::Parser;
 use serde::Deserialize;
@@ -19,7 +19,7 @@
 
 /// The command line; each flag goes before the same key of the configuration file.
 #[derive(Parser)]
-#[command(name = "registry", version, about = "The list service that heathroad's discovery reads")]
+#[command(name = "registry", version, about = "The list service that the proxy's discovery reads")]
 pub struct Args {
     /// A TOML file with the keys below.
     #[arg(long)]
--- a/src/bin/registry/http/lists.rs
+++ b/src/bin/registry/http/lists.rs
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 use std::time::Duration;
 use tokio::time::timeout;
-use turnshift::catalog::{Entry, ServiceName};
+use load_balancer::catalog::{Entry, ServiceName};
 
 /// Shortest and longest TTL of a registration.
 pub const TTL_MS: (u64, u64) = (100, 86_400_000);
--- a/src/bin/registry/http/mod.rs
+++ b/src/bin/registry/http/mod.rs
@@ -5,7 +5,7 @@
 mod leases;
 mod lists;
 mod query;
-mod routes;
+mod route_table;
 mod written;
 
 pub use context::Limits;
@@ -79,8 +79,8 @@
         ("/registry/leases", m) if m == get => leases::leases(&context.shared),
         ("/registry/leases", m) if m == put || m == delete => leases::lease(request, &context).await,
         ("/registry/leases", _) => not_so("GET reads the leases, PUT acquires or renews, DELETE releases"),
-        (path, _) => match (&context.shared.routes, routes::Path::of(path)) {
-            (Some(host), Some(path)) => routes::answer(path, request, host, &context).await,
+        (path, _) => match (&context.shared.routes, route_table::Path::of(path)) {
+            (Some(host), Some(path)) => route_table::answer(path, request, host, &context).await,
             _ => refuse(StatusCode::NOT_FOUND, NO_PATH),
         },
     })
--- a/src/bin/registry/http/query.rs
+++ b/src/bin/registry/http/query.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 use thiserror::Error;
-use turnshift::catalog::{ServiceName, ServiceNameError};
+use load_balancer::catalog::{ServiceName, ServiceNameError};
 
 /// The longest a watch waits (PROTOCOL, "Discovery").
 pub const MAX_WAIT_MS: u64 = 60_000;
--- a/src/bin/registry/http/routes.rs
+++ b/src/bin/registry/http/route_table.rs
@@ -4,7 +4,7 @@
 use super::context::Context;
 use super::query::{Watch, watch};
 use super::written::ordered;
-use crate::routes::{Host, RingError};
+use crate::route_table::{Host, RingError};
 use crate::writer::{Fence, Want};
 use bytes::Bytes;
 use hyper::body::Incoming;
@@ -12,8 +12,8 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use tokio::time::{Instant, timeout_at};
-use turnshift::replay::{BadSegment, MAX_ENCODED};
-use turnshift::routes::{DriftPage, Proposal, Report, Revision, StatePage, Weights};
+use load_balancer::replay::{BadSegment, MAX_ENCODED};
+use load_balancer::route_table::{DriftPage, Proposal, Report, Revision, StatePage, Weights};
 
 /// Longest report, in bytes.
 const MAX_REPORT: usize = 1 << 20;
--- a/src/bin/registry/http/written.rs
+++ b/src/bin/registry/http/written.rs
@@ -7,7 +7,7 @@
 use hyper::StatusCode;
 use serde_json::{Value, json};
 use tokio::sync::oneshot;
-use turnshift::routes::RouteRecord;
+use load_balancer::route_table::RouteRecord;
 
 /// Hands a want to the writer and waits until it is on disk.
 pub async fn ordered(want: Want, orders: &Orders) -> Answer {
--- a/src/bin/registry/main.rs
+++ b/src/bin/registry/main.rs
@@ -7,14 +7,14 @@
 mod error;
 mod http;
 mod lease;
-mod routes;
+mod route_table;
 mod store;
 mod writer;
 
 use clap::Parser;
 use config::{Args, Config};
 use error::StartError;
-use routes::Host;
+use route_table::Host;
 use std::process::ExitCode;
 use std::sync::{Arc, mpsc};
 use std::time::Instant;
--- a/src/bin/registry/routes/config.rs
+++ b/src/bin/registry/route_table/config.rs
@@ -2,8 +2,8 @@
 
 use serde::Deserialize;
 use thiserror::Error;
-use turnshift::replay::Bounds;
-use turnshift::routes::{Config as Control, ConfigError};
+use load_balancer::replay::Bounds;
+use load_balancer::route_table::{Config as Control, ConfigError};
 
 /// What the host goes by. Off unless `enabled`.
 #[derive(Deserialize, Clone, Debug, Default)]
@@ -112,5 +112,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../../tests/unit/registry/routes/config.rs"]
+#[path = "../../../../tests/unit/registry/route_table/config.rs"]
 mod tests;
--- a/src/bin/registry/routes/held.rs
+++ b/src/bin/registry/route_table/held.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 use std::collections::{BTreeMap, HashSet, VecDeque};
-use turnshift::replay::Segment;
+use load_balancer::replay::Segment;
 
 /// What was left out or went since the start.
 #[derive(Serialize, Clone, Copy, Debug, Default)]
--- a/src/bin/registry/routes/host.rs
+++ b/src/bin/registry/route_table/host.rs
@@ -14,9 +14,9 @@
 use thiserror::Error;
 use tokio::sync::watch;
 use tracing::{debug, info, warn};
-use turnshift::catalog::{Entry, ServiceName};
-use turnshift::replay::{Job, Listed};
-use turnshift::routes::{
+use load_balancer::catalog::{Entry, ServiceName};
+use load_balancer::replay::{Job, Listed};
+use load_balancer::route_table::{
     Backend, BadReport, Control, DriftPage, Effect, Finding, Outcome, Proposal, Refused, Report, Revision,
     RouteRecord, StatePage, Table,
 };
--- a/src/bin/registry/routes/judging.rs
+++ b/src/bin/registry/route_table/judging.rs
@@ -10,8 +10,8 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Instant;
 use tracing::{error, info, warn};
-use turnshift::replay::{Job, Verdict, judge};
-use turnshift::routes::Revision;
+use load_balancer::replay::{Job, Verdict, judge};
+use load_balancer::route_table::Revision;
 
 /// One judging.
 #[derive(Clone)]
--- a/src/bin/registry/routes/mod.rs
+++ b/src/bin/registry/route_table/mod.rs
@@ -1,4 +1,4 @@
-//! Hosts the decisions of `turnshift::routes`: gives them the clock, the list and the log, serves what they say. The
+//! Hosts the decisions of `load_balancer::route_table`: gives them the clock, the list and the log, serves what they say. The
 //! writer drives them, so that a decision and its record cannot cross; reports come in beside it.
 
 mod clock;
--- a/src/bin/registry/routes/pages.rs
+++ b/src/bin/registry/route_table/pages.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use serde::Serialize;
-use turnshift::routes::{Revision, Table, Weights};
+use load_balancer::route_table::{Revision, Table, Weights};
 
 /// Tables that are kept made into bytes: the one in force and the one that goes out, with one more each on a change.
 const MAX_PAGES: usize = 4;
--- a/src/bin/registry/routes/ring.rs
+++ b/src/bin/registry/route_table/ring.rs
@@ -9,7 +9,7 @@
 use std::sync::{Condvar, Mutex, MutexGuard};
 use thiserror::Error;
 use tracing::{info, warn};
-use turnshift::replay::{BadSegment, Segment};
+use load_balancer::replay::{BadSegment, Segment};
 
 /// Segments that are held at the most, however small.
 const MAX_SEGMENTS: usize = 1 << 16;
--- a/src/bin/registry/store/record.rs
+++ b/src/bin/registry/store/record.rs
@@ -4,8 +4,8 @@
 
 use crate::lease::Lease;
 use serde::{Deserialize, Serialize};
-use turnshift::catalog::{Change, ServiceName, Update};
-use turnshift::routes::RouteRecord;
+use load_balancer::catalog::{Change, ServiceName, Update};
+use load_balancer::route_table::RouteRecord;
 
 /// What the log holds.
 pub enum Record {
--- a/src/bin/registry/store/snapshot.rs
+++ b/src/bin/registry/store/snapshot.rs
@@ -6,8 +6,8 @@
 use crate::lease::Lease;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
-use turnshift::catalog::{Catalog, Change, Saved, SavedService, ServiceName};
-use turnshift::routes::RouteRecord;
+use load_balancer::catalog::{Catalog, Change, Saved, SavedService, ServiceName};
+use load_balancer::route_table::RouteRecord;
 
 /// The whole state at one version: the snapshot's record.
 #[derive(Serialize, Deserialize)]
--- a/src/bin/registry/store/state.rs
+++ b/src/bin/registry/store/state.rs
@@ -3,8 +3,8 @@
 use super::Record;
 use crate::lease::Lease;
 use std::collections::BTreeMap;
-use turnshift::catalog::Catalog;
-use turnshift::routes::RouteRecord;
+use load_balancer::catalog::Catalog;
+use load_balancer::route_table::RouteRecord;
 
 /// The state as the log and the snapshot give it.
 pub struct State {
--- a/src/bin/registry/writer/deadlines.rs
+++ b/src/bin/registry/writer/deadlines.rs
@@ -4,7 +4,7 @@
 use crate::store::State;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
-use turnshift::catalog::Health;
+use load_balancer::catalog::Health;
 
 /// The deadline of every entry of every service.
 pub struct Deadlines {
--- a/src/bin/registry/writer/mod.rs
+++ b/src/bin/registry/writer/mod.rs
@@ -3,7 +3,7 @@
 mod deadlines;
 mod order;
 mod records;
-mod routes;
+mod route_table;
 mod shared;
 mod wake;
 
@@ -14,13 +14,13 @@
 use crate::store::{Log, Record, State};
 use deadlines::Deadlines;
 use records::{Registration, records};
-use routes::Batch;
+use route_table::Batch;
 use std::collections::HashSet;
 use std::sync::Arc;
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender};
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
-use turnshift::catalog::{ServiceName, Update};
+use load_balancer::catalog::{ServiceName, Update};
 
 /// How often lapsed TTLs are looked for.
 const TICK: Duration = Duration::from_millis(50);
--- a/src/bin/registry/writer/order.rs
+++ b/src/bin/registry/writer/order.rs
@@ -1,12 +1,12 @@
 //! What callers want of the writer, and what they are told.
 
 use crate::lease::{Ask, Lease, Refused};
-use crate::routes::TooLong;
+use crate::route_table::TooLong;
 use serde::Deserialize;
 use std::time::Duration;
 use tokio::sync::oneshot;
-use turnshift::catalog::{Entry, ServiceName};
-use turnshift::routes::{Proposal, Refused as NoProposal, RouteRecord};
+use load_balancer::catalog::{Entry, ServiceName};
+use load_balancer::route_table::{Proposal, Refused as NoProposal, RouteRecord};
 
 /// What was done, once it is on disk.
 #[derive(Clone, Debug)]
--- a/src/bin/registry/writer/records.rs
+++ b/src/bin/registry/writer/records.rs
@@ -3,7 +3,7 @@
 use crate::store::{Record, State};
 use std::collections::HashMap;
 use std::time::Duration;
-use turnshift::catalog::{Change, Entry, Health, ServiceName, Update};
+use load_balancer::catalog::{Change, Entry, Health, ServiceName, Update};
 
 /// An entry among those of all services.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/src/bin/registry/writer/routes.rs
+++ b/src/bin/registry/writer/route_table.rs
@@ -2,11 +2,11 @@
 
 use super::order::{Failed, Fence, Order, Want};
 use crate::lease::Table;
-use crate::routes::Host;
+use crate::route_table::Host;
 use crate::store::State;
 use std::time::Instant;
 use tracing::error;
-use turnshift::routes::{Proposal, RouteRecord};
+use load_balancer::route_table::{Proposal, RouteRecord};
 
 /// What a batch decides of the route table.
 #[derive(Default)]
--- a/src/bin/registry/writer/shared.rs
+++ b/src/bin/registry/writer/shared.rs
@@ -1,11 +1,11 @@
 //! What the serving side reads of the state.
 
 use super::wake::Wakers;
-use crate::routes::Host;
+use crate::route_table::Host;
 use crate::store::State;
 use bytes::Bytes;
 use std::sync::{Arc, Mutex, MutexGuard, RwLock, RwLockReadGuard};
-use turnshift::catalog::{PageCache, ServiceName};
+use load_balancer::catalog::{PageCache, ServiceName};
 
 /// Bytes of lists that are kept made, over all services.
 const MAX_PAGES: usize = 32 << 20;
--- a/src/bin/registry/writer/wake.rs
+++ b/src/bin/registry/writer/wake.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::sync::watch;
-use turnshift::catalog::ServiceName;
+use load_balancer::catalog::ServiceName;
 
 /// The services that somebody waits for. One is in it only as long as that, whether it exists or not.
 #[derive(Default)]
--- a/src/bin/turnshift-drill/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -9,14 +9,14 @@
 use std::io::{self, BufReader, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::process::ExitCode;
-use turnshift::api::Action;
-use turnshift::{Balancer, settings};
+use load_balancer::interface::Action;
+use load_balancer::{Balancer, platform_settings};
 
 fn main() -> ExitCode {
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("turnshift-drill: {e}");
+            eprintln!("simulator-adapter: {e}");
             ExitCode::FAILURE
         }
     }
@@ -36,7 +36,7 @@
                 wire::Record::Unused { instance } if instances.contains_key(&instance) => {}
                 wire::Record::Unused { instance } => return Err(format!("instance {instance} is unknown")),
                 wire::Record::Launch { instance, seed, facts } => {
-                    let settings = settings::parse(&facts).map_err(|e| e.to_string())?.settings;
+                    let settings = platform_settings::parse(&facts).map_err(|e| e.to_string())?.settings;
                     instances.insert(instance, Balancer::new(settings, seed).map_err(|e| e.to_string())?);
                 }
                 wire::Record::Shutdown { instance } => {
--- a/src/bin/turnshift-drill/wire/decoder.rs
+++ b/src/bin/simulator-adapter/wire/decoder.rs
@@ -2,7 +2,7 @@
 
 use super::frame::{Frame, HEADER};
 use super::reader::Reader;
-use turnshift::api::{Arrival, Entry, Event, ListKind, Resolved};
+use load_balancer::interface::{Arrival, Entry, Event, ListKind, Resolved};
 
 const PAGES: usize = 16;
 
--- a/src/bin/turnshift-drill/wire/reader.rs
+++ b/src/bin/simulator-adapter/wire/reader.rs
@@ -1,6 +1,6 @@
 //! Fields of frames and records.
 
-use turnshift::api::{Entry, Outcome, Phase};
+use load_balancer::interface::{Entry, Outcome, Phase};
 
 /// Reads fields, and names the byte at which one cannot be read.
 pub(super) struct Reader<'a> {
--- a/src/bin/turnshift-drill/wire/reply.rs
+++ b/src/bin/simulator-adapter/wire/reply.rs
@@ -1,6 +1,6 @@
 //! Replies.
 
-use turnshift::api::Action;
+use load_balancer::interface::Action;
 
 /// A reply under construction; its length goes in front when it is finished.
 pub struct Reply {
--- a/src/client/discovery/listener.rs
+++ b/src/client/discovery/listener.rs
@@ -1,6 +1,6 @@
 //! Who the followed list is for.
 
-use crate::api::ListKind;
+use crate::interface::ListKind;
 use crate::client::list::Host;
 
 /// Takes the list of backends as it changes. The proxy's engine is one.
--- a/src/client/discovery/mod.rs
+++ b/src/client/discovery/mod.rs
@@ -9,7 +9,7 @@
 pub use listener::Listener;
 pub use pace::{Backoff, Pace};
 
-use crate::api::ListKind;
+use crate::interface::ListKind;
 use crate::catalog::ServiceName;
 use crate::client::traffic::Traffic;
 use absent::AbsentService;
--- a/src/client/membership/witness.rs
+++ b/src/client/membership/witness.rs
@@ -2,7 +2,7 @@
 
 use super::Membership;
 use super::swim::Standing;
-use crate::routes::Witness;
+use crate::route_table::Witness;
 
 impl Membership {
     /// This process's generation: its start, or later if it was held for dead meanwhile.
--- a/src/client/registry/fault.rs
+++ b/src/client/registry/fault.rs
@@ -1,6 +1,6 @@
 //! Why a call to a registry fails.
 
-use crate::client::routes::Spoilt;
+use crate::client::route_table::Spoilt;
 use hyper::StatusCode;
 use std::io;
 
--- a/src/client/routes/mod.rs
+++ b/src/client/route_table/mod.rs
@@ -57,7 +57,7 @@
     }
 
     /// Revision of the table in force; 0 before the first.
-    pub fn revision(&self) -> crate::routes::Revision {
+    pub fn revision(&self) -> crate::route_table::Revision {
         self.held.borrow().revision
     }
 
--- a/src/client/routes/proxy.rs
+++ b/src/client/route_table/proxy.rs
@@ -1,6 +1,6 @@
 //! The proxy that a route table acts on and that reports tell of.
 
-use crate::routes::{LeftOut, Revision, Weights};
+use crate::route_table::{LeftOut, Revision, Weights};
 use std::collections::BTreeMap;
 
 /// Requests that have ended since the start.
--- a/src/client/routes/report.rs
+++ b/src/client/route_table/report.rs
@@ -3,7 +3,7 @@
 use super::{Routes, Totals};
 use crate::client::registry::{Call, call};
 use crate::client::traffic::Kind;
-use crate::routes::{LeftOut, MAX_REPORTED, MAX_WITNESSED, Report};
+use crate::route_table::{LeftOut, MAX_REPORTED, MAX_WITNESSED, Report};
 use hyper::Method;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
--- a/src/client/routes/table.rs
+++ b/src/client/route_table/table.rs
@@ -1,6 +1,6 @@
 //! The table as it comes from a registry, and what is wrong with one that is not taken.
 
-use crate::routes::{MAX_WEIGHTS, Revision, Weights};
+use crate::route_table::{MAX_WEIGHTS, Revision, Weights};
 use serde::Deserialize;
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -98,5 +98,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../tests/unit/client/routes/table.rs"]
+#[path = "../../../tests/unit/client/route_table/table.rs"]
 mod tests;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,15 +2,15 @@
 //!
 //! Each [`Balancer`] is one copy in front of one tier. It learns one concurrency limit for its own calls,
 //! splits it into slices by worth, refuses low-worth requests first once past it, and picks servers inside a
-//! subset of the tier that is as large as its load. It is told what happens ([`api::Event`]) at a clock time
-//! and answers with what to do ([`api::Action`]). It owns no clock, thread or socket: the same settings,
+//! subset of the tier that is as large as its load. It is told what happens ([`interface::Event`]) at a clock time
+//! and answers with what to do ([`interface::Action`]). It owns no clock, thread or socket: the same settings,
 //! seed and events give the same actions.
 //!
 //! A proxy embeds it like this:
 //!
 //! ```
-//! use turnshift::Balancer;
-//! use turnshift::api::*;
+//! use load_balancer::Balancer;
+//! use load_balancer::interface::*;
 //!
 //! // Start: what the copy is told once.
 //! let settings = Settings {
@@ -62,10 +62,10 @@
 //!
 //! # What the proxy owes the copy
 //!
-//! - Every event, in order, with a clock that only goes forward; a [`api::Event::Wake`] for every timer asked for.
-//! - One [`api::Event::Resolved`] for every [`api::Action::Send`], also after the request's end, and no later
+//! - Every event, in order, with a clock that only goes forward; a [`interface::Event::Wake`] for every timer asked for.
+//! - One [`interface::Event::Resolved`] for every [`interface::Action::Send`], also after the request's end, and no later
 //!   than its `not_past`.
-//! - One [`api::Event::Whole`] for a request that came with `coming` set, unless it ends before its last byte.
+//! - One [`interface::Event::Whole`] for a request that came with `coming` set, unless it ends before its last byte.
 //! - `closed` set once the request is over: the first served answer goes to the client by itself and ends it.
 //!
 //! The one part with I/O is [`client`], the control plane's client that a proxy may run beside its copy; no decision
@@ -75,20 +75,15 @@
 
 #![forbid(unsafe_code)]
 
-pub mod api;
-mod backends;
 mod balancer;
 pub mod catalog;
 pub mod client;
-mod ordered;
 pub mod replay;
-pub mod routes;
-pub mod settings;
-mod state;
+pub mod route_table;
 
-pub use balancer::Balancer;
+pub use balancer::{Balancer, interface, platform_settings};
 
-use api::{BackendId, Settings, SettingsError, Tenant};
+use interface::{BackendId, Settings, SettingsError, Tenant};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// The number that a proxy gives to the backend of that name, or the next one that is free. It is made from the name,
--- a/src/replay/job.rs
+++ b/src/replay/job.rs
@@ -1,7 +1,7 @@
 //! What is asked of a verdict.
 
 use super::Segment;
-use crate::routes::{Revision, Weights};
+use crate::route_table::{Revision, Weights};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/replay/judge.rs
+++ b/src/replay/judge.rs
@@ -7,7 +7,7 @@
 use super::runs::Runs;
 use super::tally::Tally;
 use super::{Breach, Decision, Job, Prediction, Segment, Unsure, Verdict};
-use crate::routes::Weights;
+use crate::route_table::Weights;
 
 const WARM: [f64; 2] = [0.25, 15_000.0]; // of the records, the part left out of the figures, and the most, ms
 const LEAST: usize = 200; // recorded requests without which nothing is said
--- a/src/replay/play.rs
+++ b/src/replay/play.rs
@@ -5,8 +5,8 @@
 use super::quantiles::Luck;
 use super::records::Records;
 use super::tally::Tally;
-use crate::api::{Action, BackendId, Entry, Event, Outcome, Phase};
-use crate::{Balancer, api::ListKind, backend_id};
+use crate::interface::{Action, BackendId, Entry, Event, Outcome, Phase};
+use crate::{Balancer, backend_id, interface::ListKind};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
--- a/src/replay/recorder.rs
+++ b/src/replay/recorder.rs
@@ -3,7 +3,7 @@
 
 use super::segment::{MAX_BACKENDS, MAX_TRACES, SAMPLED_OF};
 use super::{Ending, Listed, Peers, Reply, Segment, Trace, Try};
-use crate::api::{Arrival, AttemptNo, BackendId, RequestId};
+use crate::interface::{Arrival, AttemptNo, BackendId, RequestId};
 use std::collections::{BTreeMap, HashMap};
 
 const MOST_TRIES: usize = 16; // of one request; more are not kept
--- a/src/replay/records.rs
+++ b/src/replay/records.rs
@@ -2,8 +2,8 @@
 
 use super::quantiles::median;
 use super::{Ending, Job, Listed, Peers, Reply, SAMPLED_OF, Segment, clocks, job, segment};
-use crate::api::Settings;
-use crate::settings;
+use crate::interface::Settings;
+use crate::platform_settings;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 const MOST: f64 = 3e6; // requests of a replay, those that recorded ones stand for included
@@ -77,7 +77,7 @@
         for s in segments {
             // What started with settings that cannot be read cannot be started again: it is not covered.
             if let (false, Ok(facts)) =
-                (tiers.contains_key(s.name.as_str()), settings::parse(s.settings.as_bytes()))
+                (tiers.contains_key(s.name.as_str()), platform_settings::parse(s.settings.as_bytes()))
             {
                 tiers.insert(&s.name, facts.settings.tier);
             }
@@ -133,7 +133,7 @@
         let (mut copies, mut covered) = (0, 0.0);
         let mut classes: Vec<u16> = Vec::new();
         for s in kept {
-            let Ok(facts) = settings::parse(s.settings.as_bytes()) else { continue };
+            let Ok(facts) = platform_settings::parse(s.settings.as_bytes()) else { continue };
             if crate::check(&facts.settings).is_err() {
                 continue;
             }
--- a/src/replay/runs.rs
+++ b/src/replay/runs.rs
@@ -5,7 +5,7 @@
 use super::play::Play;
 use super::records::Records;
 use super::tally::Tally;
-use crate::routes::Weights;
+use crate::route_table::Weights;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::Relaxed};
 
--- a/src/replay/step.rs
+++ b/src/replay/step.rs
@@ -4,7 +4,7 @@
 use super::play::{Coming, Copy, Due, Out, Play, What};
 use super::quantiles::Luck;
 use super::{Ending, Peers, Reply};
-use crate::api::{Action, Arrival, Event, Outcome, RequestId, Resolved};
+use crate::interface::{Action, Arrival, Event, Outcome, RequestId, Resolved};
 use std::cmp::Reverse;
 
 // A copy's timers do the housekeeping: they free and refuse what is held, and learn from what was answered. With
--- a/src/replay/trace.rs
+++ b/src/replay/trace.rs
@@ -78,7 +78,7 @@
     pub in_flight: u32,
 }
 
-/// What membership tells a module, as in [`Event::Peers`](crate::api::Event::Peers).
+/// What membership tells a module, as in [`Event::Peers`](crate::interface::Event::Peers).
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Peers {
     /// Alive, this copy included.
--- a/src/replay/verdict.rs
+++ b/src/replay/verdict.rs
@@ -1,6 +1,6 @@
 //! What a replay says of a proposal.
 
-use crate::routes::Revision;
+use crate::route_table::Revision;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/tests/catalog/bounds.rs
+++ b/tests/catalog/bounds.rs
@@ -1,7 +1,7 @@
 //! What a service costs, and what is left when it goes.
 
 use super::{change, hosts, name};
-use turnshift::catalog::{Catalog, Health, PageCache, ServiceName};
+use load_balancer::catalog::{Catalog, Health, PageCache, ServiceName};
 
 #[test]
 fn a_host_that_moves_is_deleted_there_and_new_here() {
--- a/tests/catalog/main.rs
+++ b/tests/catalog/main.rs
@@ -3,7 +3,7 @@
 mod bounds;
 mod model;
 
-use turnshift::catalog::{Catalog, Change, Entry, Health, Page, ServiceName, Update};
+use load_balancer::catalog::{Catalog, Change, Entry, Health, Page, ServiceName, Update};
 
 fn name(text: &str) -> ServiceName {
     if text.is_empty() { ServiceName::default() } else { ServiceName::new(text).expect("a name") }
--- a/tests/catalog/model.rs
+++ b/tests/catalog/model.rs
@@ -3,7 +3,7 @@
 use super::{change, name};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
-use turnshift::catalog::{Catalog, Health, Page, ServiceName};
+use load_balancer::catalog::{Catalog, Health, Page, ServiceName};
 
 const SERVICES: [&str; 4] = ["", "a", "b", "c"];
 const HOSTS: [&str; 4] = ["h0", "h1", "h2", "h3"];
--- a/tests/client_rig/mod.rs
+++ b/tests/client_rig/mod.rs
@@ -1,4 +1,4 @@
-//! Clients of the control plane without a data path: the very code by which `heathroad` follows the list of backends,
+//! Clients of the control plane without a data path: the very code by which `proxy` follows the list of backends,
 //! many of them in the test's own process.
 #![allow(dead_code)]
 
@@ -8,10 +8,10 @@
 use std::rc::Rc;
 use tokio::sync::{Notify, oneshot, watch};
 use tokio::task::{JoinHandle, spawn_local};
-use turnshift::api::ListKind;
-use turnshift::client::discovery::{Listener, Settings, follow};
-use turnshift::client::list::{Health, Host};
-use turnshift::client::traffic::{Kind, Traffic};
+use load_balancer::interface::ListKind;
+use load_balancer::client::discovery::{Listener, Settings, follow};
+use load_balancer::client::list::{Health, Host};
+use load_balancer::client::traffic::{Kind, Traffic};
 
 /// The list as a client holds it.
 #[derive(Default)]
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -7,7 +7,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rstest::rstest;
-use turnshift::api::Rules;
+use load_balancer::interface::Rules;
 
 /// A day, and the time in which a cold backend that gets too much falls.
 fn day(seed: u64, copies: usize) -> (Day, f64) {
--- a/tests/cold_rig/fleet.rs
+++ b/tests/cold_rig/fleet.rs
@@ -6,8 +6,8 @@
 use rand_distr::{Distribution, Exp};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
-use turnshift::Balancer;
-use turnshift::api::*;
+use load_balancer::Balancer;
+use load_balancer::interface::*;
 
 const BEGIN: f64 = START - 4000.0;
 /// Nobody is told later than this.
--- a/tests/cold_rig/mod.rs
+++ b/tests/cold_rig/mod.rs
@@ -6,7 +6,7 @@
 use fleet::Fleet;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use turnshift::api::Rules;
+use load_balancer::interface::Rules;
 
 /// When the cold backends come back; the fleet has served for so long before.
 pub const START: f64 = 10_000.0;
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -5,7 +5,7 @@
 
 use cold_rig::{Day, Sent, play};
 use rstest::rstest;
-use turnshift::api::Rules;
+use load_balancer::interface::Rules;
 
 const BACKENDS: usize = 12;
 /// Time in which a cold backend that gets too much falls over, in milliseconds.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -6,8 +6,8 @@
 mod rules;
 
 use std::collections::{BTreeMap, HashMap};
-use turnshift::Balancer;
-use turnshift::api::*;
+use load_balancer::Balancer;
+use load_balancer::interface::*;
 
 pub const GRACE: f64 = 20.0;
 
--- a/tests/decisions/admission.rs
+++ b/tests/decisions/admission.rs
@@ -2,7 +2,7 @@
 
 use super::{fill, plain};
 use crate::common::*;
-use turnshift::api::*;
+use load_balancer::interface::*;
 
 #[test]
 fn low_worth_is_refused_first_and_its_slice_keeps_its_share() {
--- a/tests/decisions/bodies.rs
+++ b/tests/decisions/bodies.rs
@@ -2,7 +2,7 @@
 
 use super::{plain, run, well};
 use crate::common::*;
-use turnshift::api::*;
+use load_balancer::interface::*;
 
 /// Bodies that come slowly hold no slot and are no backend's silence; once they are whole they are calls like others.
 #[test]
--- a/tests/decisions/ejection.rs
+++ b/tests/decisions/ejection.rs
@@ -2,7 +2,7 @@
 
 use super::{plain, run, well};
 use crate::common::*;
-use turnshift::api::*;
+use load_balancer::interface::*;
 
 /// Objection: a hanging server pins slots until time-out. It is left, its calls go elsewhere, it comes back.
 #[test]
--- a/tests/decisions/limit.rs
+++ b/tests/decisions/limit.rs
@@ -2,7 +2,7 @@
 
 use super::{fill, plain, run, well};
 use crate::common::*;
-use turnshift::api::*;
+use load_balancer::interface::*;
 
 #[test]
 fn limit_grows_while_it_is_used_and_answers_are_quick() {
--- a/tests/decisions/lists.rs
+++ b/tests/decisions/lists.rs
@@ -3,8 +3,8 @@
 use super::{fill, plain};
 use crate::common::*;
 use std::collections::BTreeSet;
-use turnshift::Balancer;
-use turnshift::api::*;
+use load_balancer::Balancer;
+use load_balancer::interface::*;
 
 /// Calls for the list fail: asked again, later and later, and not by all copies at the same moment.
 #[test]
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -14,7 +14,7 @@
 
 use crate::common::*;
 use std::collections::BTreeMap;
-use turnshift::api::*;
+use load_balancer::interface::*;
 
 fn plain(copies: u32) -> Settings {
     settings(copies, vec![class(1000.0, 1.0, Effect::Retryable)])
--- a/tests/decisions/peers.rs
+++ b/tests/decisions/peers.rs
@@ -3,7 +3,7 @@
 use super::plain;
 use crate::common::*;
 use std::collections::BTreeSet;
-use turnshift::api::*;
+use load_balancer::interface::*;
 
 /// Ten copies that tell each other by the `sides` of a split: the sum of the parts that all of them take, second by
 /// second, over two minutes of the split and one after it.
--- a/tests/decisions/settings.rs
+++ b/tests/decisions/settings.rs
@@ -1,8 +1,8 @@
 //! Settings that are not sound.
 
 use super::plain;
-use turnshift::Balancer;
-use turnshift::api::*;
+use load_balancer::Balancer;
+use load_balancer::interface::*;
 
 #[test]
 fn unsound_settings_name_the_field() {
--- a/tests/decisions/subsets.rs
+++ b/tests/decisions/subsets.rs
@@ -3,7 +3,7 @@
 use super::{plain, sends_by_backend};
 use crate::common::*;
 use std::collections::{BTreeMap, BTreeSet};
-use turnshift::api::*;
+use load_balancer::interface::*;
 
 /// Copies tile the tier: every backend is in somebody's subset, and no copy meets the whole tier at low load.
 #[test]
--- a/tests/decisions/zones.rs
+++ b/tests/decisions/zones.rs
@@ -3,7 +3,7 @@
 use super::{plain, run, well};
 use crate::common::*;
 use std::collections::BTreeMap;
-use turnshift::api::*;
+use load_balancer::interface::*;
 
 /// The share of a copy's last calls that left its zone, where answers take `near` ms and 50 ms beyond.
 fn left_the_zone(price: f64, near: f64) -> f64 {
--- a/tests/digest/conditions.rs
+++ b/tests/digest/conditions.rs
@@ -1,6 +1,6 @@
 //! What random lives are drawn from: the settings of a copy and how much happens around it.
 
-use turnshift::api::*;
+use load_balancer::interface::*;
 
 /// What a life is drawn from. Rates are out of a thousand steps.
 pub struct Conditions {
--- a/tests/digest/life.rs
+++ b/tests/digest/life.rs
@@ -6,8 +6,8 @@
 use crate::conditions::Conditions;
 use std::collections::BTreeMap;
 use std::fmt::Write;
-use turnshift::Balancer;
-use turnshift::api::*;
+use load_balancer::Balancer;
+use load_balancer::interface::*;
 
 /// Steps of a life, and how long each is.
 const STEPS: usize = 1500;
--- a/tests/digest/news.rs
+++ b/tests/digest/news.rs
@@ -1,7 +1,7 @@
 //! What changes around a copy: its list, the backends' starts, and the route table.
 
 use super::Life;
-use turnshift::api::*;
+use load_balancer::interface::*;
 
 impl Life {
     pub(super) fn any_listed(&mut self) -> Option<BackendId> {
--- a/tests/drift.rs
+++ b/tests/drift.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use route_fleet::*;
 use rstest::rstest;
-use turnshift::routes::*;
+use load_balancer::route_table::*;
 
 /// Forty proxies of which all have a table.
 fn settled(seed: u64) -> Fleet {
--- a/tests/even.rs
+++ b/tests/even.rs
@@ -7,8 +7,8 @@
 use rstest::rstest;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
-use turnshift::Balancer;
-use turnshift::api::*;
+use load_balancer::Balancer;
+use load_balancer::interface::*;
 
 const BACKENDS: u32 = 60;
 const WORK_MS: f64 = 50.0;
--- a/tests/fleet/processes.rs
+++ b/tests/fleet/processes.rs
@@ -27,7 +27,7 @@
     child: Child,
 }
 
-/// The configuration of proxy `n` of `of`: that of `heathroad --local`, at a place of its own.
+/// The configuration of proxy `n` of `of`: that of `proxy --local`, at a place of its own.
 pub fn config(n: usize, of: usize, discovery: SocketAddr, seed: u64) -> Value {
     let local: toml::Table = include_str!("../../deploy/local.toml").parse().expect("it is tried elsewhere");
     let mut config = serde_json::to_value(local).expect("it has no dates");
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use turnshift::api::Arrival;
-use turnshift::client::membership::swim::{Dropped, Id, MAX_MEMBERS, Swim, Timing};
-use turnshift::replay::*;
-use turnshift::routes::*;
+use load_balancer::interface::Arrival;
+use load_balancer::client::membership::swim::{Dropped, Id, MAX_MEMBERS, Swim, Timing};
+use load_balancer::replay::*;
+use load_balancer::route_table::*;
 
 /// The fleet that has to fit below each limit.
 const FLEET: usize = 10_000;
--- a/tests/registry_return/main.rs
+++ b/tests/registry_return/main.rs
@@ -18,8 +18,8 @@
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::time::Duration;
-use turnshift::client::discovery::{Backoff, Pace, Settings};
-use turnshift::client::traffic::Traffic;
+use load_balancer::client::discovery::{Backoff, Pace, Settings};
+use load_balancer::client::traffic::Traffic;
 
 const TTL: u64 = 600_000;
 /// The longest pause of the clients and proxies here, before chance adds up to as much again.
--- a/tests/replay_rig/fleet.rs
+++ b/tests/replay_rig/fleet.rs
@@ -3,9 +3,9 @@
 use super::{START, World};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
-use turnshift::api::*;
-use turnshift::replay::{Ending, Recorder, Reply, Segment};
-use turnshift::{Balancer, backend_id};
+use load_balancer::interface::*;
+use load_balancer::replay::{Ending, Recorder, Reply, Segment};
+use load_balancer::{Balancer, backend_id};
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub enum What {
--- a/tests/replay_segments.rs
+++ b/tests/replay_segments.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use replay_rig::{START, World};
 use rstest::rstest;
-use turnshift::replay::{BadSegment, Segment};
+use load_balancer::replay::{BadSegment, Segment};
 
 #[test]
 fn segments_come_back_as_they_were_sent() {
--- a/tests/route_fleet/mod.rs
+++ b/tests/route_fleet/mod.rs
@@ -8,8 +8,8 @@
 pub use faults::*;
 
 use std::collections::BTreeMap;
-use turnshift::replay::{Decision, Verdict};
-use turnshift::routes::*;
+use load_balancer::replay::{Decision, Verdict};
+use load_balancer::route_table::*;
 
 /// When each simulation begins, Unix time in milliseconds.
 pub const START: u64 = 1_764_633_600_000;
--- a/tests/routes/proposals.rs
+++ b/tests/routes/proposals.rs
@@ -3,8 +3,8 @@
 use crate::route_fleet::*;
 use rstest::rstest;
 use std::collections::BTreeMap;
-use turnshift::replay::{Breach, Decision, Unsure};
-use turnshift::routes::*;
+use load_balancer::replay::{Breach, Decision, Unsure};
+use load_balancer::route_table::*;
 
 #[rstest]
 #[case::negative(&[("b0", -1.0)], "must be a number", 400)]
--- a/tests/routes/rollouts.rs
+++ b/tests/routes/rollouts.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 use std::collections::BTreeMap;
-use turnshift::routes::*;
+use load_balancer::route_table::*;
 
 fn tables(fleet: &Fleet) -> BTreeMap<Revision, String> {
     fleet.proxies.iter().map(|p| (p.table.revision, p.table.digest.clone())).collect()
--- a/tests/routes_judged.rs
+++ b/tests/routes_judged.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
-use turnshift::routes::MAX_WEIGHTS;
+use load_balancer::route_table::MAX_WEIGHTS;
 
 const EVERY: Duration = Duration::from_millis(200);
 
--- a/tests/routes_rig/mod.rs
+++ b/tests/routes_rig/mod.rs
@@ -19,7 +19,7 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 use tokio::time::sleep;
-use turnshift::routes::{Report, Weights, Witness};
+use load_balancer::route_table::{Report, Weights, Witness};
 
 /// Flags for a registry that hosts the route table, with these keys under `[routes]`.
 pub fn hosting(data: &Path, keys: &str) -> [String; 2] {
--- a/tests/routes_rig/records.rs
+++ b/tests/routes_rig/records.rs
@@ -2,7 +2,7 @@
 
 use crate::replay_rig::{START, World};
 use std::time::{SystemTime, UNIX_EPOCH};
-use turnshift::replay::Segment;
+use load_balancer::replay::Segment;
 
 /// What a simulated fleet of eight proxies recorded of backends `s0` to `s7` until now, packed.
 pub fn recorded(seconds: f64) -> Vec<Vec<u8>> {
--- a/tests/rules/cold.rs
+++ b/tests/rules/cold.rs
@@ -1,7 +1,7 @@
 //! Cold backends, by what all copies together send.
 
 use crate::common::*;
-use turnshift::api::*;
+use load_balancer::interface::*;
 
 /// Every copy hears of one start at the same moment and sends all that its own budget allows: together they
 /// stay under the multiple of the capacity surely reached, whatever the number of copies.
--- a/tests/rules/idle.rs
+++ b/tests/rules/idle.rs
@@ -2,7 +2,7 @@
 
 use crate::common::*;
 use rstest::rstest;
-use turnshift::api::*;
+use load_balancer::interface::*;
 
 /// A span, and the arrivals in it, after which a copy without a single attempt counts as idle.
 const SPAN: f64 = 4000.0;
--- a/tests/rules/keys.rs
+++ b/tests/rules/keys.rs
@@ -1,7 +1,7 @@
 //! The order of a key, and closing on drains.
 
 use crate::common::*;
-use turnshift::api::*;
+use load_balancer::interface::*;
 
 fn ordered() -> Proxy {
     let effect = Effect::Dedup { group: Group::Zone, window: 800.0 };
--- a/tests/rules/lives.rs
+++ b/tests/rules/lives.rs
@@ -1,7 +1,7 @@
 //! The four rules over random lives of a copy.
 
 use crate::common::*;
-use turnshift::api::*;
+use load_balancer::interface::*;
 
 const OUTCOMES: [Outcome; 7] = [
     Outcome::Ok,
--- a/tests/rules_apart.rs
+++ b/tests/rules_apart.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use turnshift::api::*;
+use load_balancer::interface::*;
 
 const TIMES: [f64; 6] = [0.5, 5.0, 20.0, 120.0, 300.0, 2000.0];
 const OUTCOMES: [Outcome; 6] =
--- a/tests/scale/parts.rs
+++ b/tests/scale/parts.rs
@@ -9,8 +9,8 @@
 use crate::run::traffic::{Count, Kind, Traffic};
 use rstest::rstest;
 use serde_json::{Value, json};
-use turnshift::api::ListKind;
-use turnshift::client::list::Host;
+use load_balancer::interface::ListKind;
+use load_balancer::client::list::Host;
 
 #[test]
 fn a_line_goes_through_points_that_lie_on_one() {
--- a/tests/standing.rs
+++ b/tests/standing.rs
@@ -15,7 +15,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 use tokio::time::{sleep, sleep_until};
-use turnshift::api::{Effect, Entry, ListKind, Outcome};
+use load_balancer::interface::{Effect, Entry, ListKind, Outcome};
 
 /// The rig's `stopSendingWithin`, and the protocol's slack on every limit.
 const GRACE: Duration = Duration::from_millis(550);
--- a/tests/table_rig/mod.rs
+++ b/tests/table_rig/mod.rs
@@ -18,7 +18,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio::time::timeout;
-use turnshift::routes::Weights;
+use load_balancer::route_table::Weights;
 
 /// A watch waits no longer here, whatever it asks for.
 const WAIT: Duration = Duration::from_millis(500);
--- a/tests/unit/client/routes/table.rs
+++ b/tests/unit/client/route_table/table.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `src/client/routes/table.rs`, which names this file.
+//! Unit tests of `src/client/route_table/table.rs`, which names this file.
 
 use super::*;
 
--- a/tests/unit/heathroad/body/room.rs
+++ b/tests/unit/proxy/body/room.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `src/bin/heathroad/body/room.rs`, which names this file.
+//! Unit tests of `src/bin/proxy/body/room.rs`, which names this file.
 
 use super::*;
 
--- a/tests/unit/heathroad/counters.rs
+++ b/tests/unit/proxy/counters.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `src/bin/heathroad/counters.rs`, which names this file.
+//! Unit tests of `src/bin/proxy/counters.rs`, which names this file.
 
 use super::*;
 
--- a/tests/unit/heathroad/engine/state.rs
+++ b/tests/unit/proxy/engine/state.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use std::cell::Cell;
-use turnshift::api::{Class, Entry, Phase, Settings};
+use load_balancer::interface::{Class, Entry, Phase, Settings};
 
 fn state() -> State {
     let settings = Settings {
--- a/tests/unit/heathroad/stream.rs
+++ b/tests/unit/proxy/io.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `src/bin/heathroad/stream/mod.rs`, which names this file.
+//! Unit tests of `src/bin/proxy/io/mod.rs`, which names this file.
 
 use super::*;
 use hyper::Request;
--- a/tests/unit/heathroad/lifecycle.rs
+++ b/tests/unit/proxy/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `src/bin/heathroad/lifecycle.rs`, which names this file.
+//! Unit tests of `src/bin/proxy/lifecycle.rs`, which names this file.
 
 use super::*;
 use std::pin::pin;
--- a/tests/unit/heathroad/backend/pool.rs
+++ b/tests/unit/proxy/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `src/bin/heathroad/backend/pool.rs`, which names this file.
+//! Unit tests of `src/bin/proxy/upstream/pool.rs`, which names this file.
 
 use super::*;
 use hyper::Request;
--- a/tests/unit/registry/deadlines.rs
+++ b/tests/unit/registry/deadlines.rs
@@ -1,7 +1,7 @@
 //! Unit tests of `src/bin/registry/writer/deadlines.rs`, which names this file.
 
 use super::*;
-use turnshift::catalog::{Entry, ServiceName};
+use load_balancer::catalog::{Entry, ServiceName};
 
 fn registration(service: &str, ttl_ms: u64, health: Health) -> Registration {
     let (dial, site, class) = (None, String::new(), String::new());
--- a/tests/unit/registry/routes/config.rs
+++ b/tests/unit/registry/route_table/config.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `src/bin/registry/routes/config.rs`, which names this file.
+//! Unit tests of `src/bin/registry/route_table/config.rs`, which names this file.
 
 use super::*;
 
--- a/tests/unit/registry/store.rs
+++ b/tests/unit/registry/store.rs
@@ -1,8 +1,8 @@
 use super::log::MIN_RECORD;
 use super::*;
 use crate::lease::Lease;
-use turnshift::catalog::{Change, Entry, Health, MAX_GAPS, Page, ServiceName, Update};
-use turnshift::routes::RouteRecord;
+use load_balancer::catalog::{Change, Entry, Health, MAX_GAPS, Page, ServiceName, Update};
+use load_balancer::route_table::RouteRecord;
 
 fn entry(host: &str, health: Health) -> Entry {
     let dial = Some("127.0.0.1:9".parse().expect("address"));
