--- a/benches/data_path/module.rs
+++ b/benches/data_path/module.rs
@@ -1,9 +1,9 @@
 //! The decision module alone: the time of one housekeeping, one change of the list, one call.
 
-use serde_json::{Value, json};
-use std::time::Instant;
 use load_balancer::Balancer;
 use load_balancer::interface::*;
+use serde_json::{Value, json};
+use std::time::Instant;
 
 const ROUNDS: u32 = 200;
 /// Of so many batches the quickest counts: on a shared machine the others were interrupted.
@@ -22,11 +22,16 @@
 fn settings(copies: u32, cold: bool) -> Settings {
     let cold = if cold { 1e9 } else { 1.0 };
     Settings {
-        copies,
-        tick: 5.0,
-        classes: vec![Class { aim: 300.0, points: 1.0, effect: Effect::Retryable, in_order: false }],
-        caps: Caps { try_limit: 3, ..Caps::default() },
-        rules: Rules { cold_from: 0.1, cold, fall_multiple: 3.0, ..Rules::default() },
+        instance_count: copies,
+        tick_ms: 5.0,
+        classes: vec![Class {
+            latency_objective_ms: 300.0,
+            priority_weight: 1.0,
+            idempotency: Idempotency::Idempotent,
+            in_order: false,
+        }],
+        caps: Caps { max_attempts: 3, ..Caps::default() },
+        rules: Rules { initial_capacity: 0.1, warm_up_ms: cold, overload_multiple: 3.0, ..Rules::default() },
         ..Settings::default()
     }
 }
@@ -34,7 +39,7 @@
 fn entry(n: u32, started_at: f64) -> Entry {
     // Spread over all numbers, as names are.
     let backend = n.wrapping_mul(2_654_435_761);
-    Entry { backend, started_at, weight: 1.0, zone: (n % 3) as u16, ..Entry::default() }
+    Entry { backend, started_at_ms: started_at, weight: 1.0, zone: (n % 3) as u16, ..Entry::default() }
 }
 
 impl Copy {
@@ -47,7 +52,8 @@
     fn call(&mut self) {
         let (request, deadline) = (self.next, self.now + 1000.0);
         self.next += 1;
-        let arrival = Arrival { request, key: 0, class: 0, tenant: 0, deadline, coming: false };
+        let arrival =
+            Arrival { request, key: 0, class: 0, tenant: 0, deadline_ms: deadline, body_pending: false };
         self.tell(1.0, Event::Request(arrival));
         let sent = self.actions.iter().find_map(|action| match action {
             Action::Send { backend, .. } => Some(*backend),
@@ -55,7 +61,15 @@
         });
         let Some(backend) = sent else { return };
         let (attempt, outcome, wait) = (0, Outcome::Ok, 1.0);
-        let over = Resolved { request, attempt, backend, outcome, wait, closed: true, spent: false };
+        let over = Resolved {
+            request,
+            attempt,
+            backend,
+            outcome,
+            latency_ms: wait,
+            request_ended: true,
+            body_consumed: false,
+        };
         self.tell(1.0, Event::Resolved(over));
     }
 }
@@ -79,7 +93,7 @@
         entries: (1..=backends).map(|n| entry(n, LONG_AGO)).collect(),
     };
     let whole_us = each(1, |_| copy.tell(1.0, whole()));
-    let house_us = each(ROUNDS, |_| copy.tell(50.0, Event::Wake { token: 0 }));
+    let house_us = each(ROUNDS, |_| copy.tell(50.0, Event::TimerFired { token: 0 }));
     let change_us = each(ROUNDS, |n| {
         let entries = vec![entry(1 + n % backends, LONG_AGO + f64::from(n))];
         copy.tell(1.0, Event::List { kind: ListKind::Delta, entries });
@@ -87,7 +101,7 @@
     let call_us = each(ROUNDS * CALLS, |_| copy.call());
     let busy_us = each(ROUNDS, |_| {
         (0..CALLS).for_each(|_| copy.call());
-        copy.tell(40.0, Event::Wake { token: 0 });
+        copy.tell(40.0, Event::TimerFired { token: 0 });
     });
     json!({"backends": backends, "copies": copies, "cold": cold, "whole_list_us": whole_us,
            "housekeeping_us": house_us, "change_us": change_us, "call_us": call_us,
--- a/benches/drift.rs
+++ b/benches/drift.rs
@@ -8,9 +8,9 @@
 mod route_fleet;
 
 use hdrhistogram::Histogram;
+use load_balancer::route_table::*;
 use route_fleet::*;
 use std::time::Instant;
-use load_balancer::route_table::*;
 
 const PROXIES: usize = 300;
 const FAULTS: usize = 100;
--- a/benches/replay.rs
+++ b/benches/replay.rs
@@ -8,10 +8,10 @@
 #[path = "../tests/replay_rig/mod.rs"]
 mod replay_rig;
 
-use replay_rig::{START, World, weights};
-use std::hint::black_box;
 use load_balancer::interface::Arrival;
 use load_balancer::replay::{About, Ending, Job, Recorder, Reply, judge};
+use replay_rig::{START, World, weights};
+use std::hint::black_box;
 
 const SEEDS: usize = 3;
 const FLEET_RATE: f64 = 600.0; // requests a second of all proxies
@@ -98,7 +98,8 @@
         traces: 50_000,
         span_ms: 5000.0,
     };
-    let arrival = |request| Arrival { request, key: 0, class: 0, tenant: 0, deadline: 0.0, coming: false };
+    let arrival =
+        |request| Arrival { request, key: 0, class: 0, tenant: 0, deadline_ms: 0.0, body_pending: false };
     let id = |i: u64| (i.wrapping_mul(0x9e37_79b9_7f4a_7c15)).to_le_bytes();
     let each = |label: &str, pass: &mut dyn FnMut(u64)| {
         let started = cpu_seconds();
--- a/benches/scale/run/agent.rs
+++ b/benches/scale/run/agent.rs
@@ -4,13 +4,13 @@
 use super::plan::instances;
 use bytes::Bytes;
 use hyper::Method;
+use load_balancer::client::pauses::{Bounds, Pauses};
+use load_balancer::client::registry::{Call, call};
+use load_balancer::client::traffic::{Kind, Traffic};
 use serde_json::json;
 use std::time::Duration;
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::sleep;
-use load_balancer::client::pauses::{Bounds, Pauses};
-use load_balancer::client::registry::{Call, call};
-use load_balancer::client::traffic::{Kind, Traffic};
 
 /// Pauses after a failed registration.
 const PAUSES: Bounds = [Duration::from_millis(100), Duration::from_secs(5)];
--- a/benches/scale/run/entries.rs
+++ b/benches/scale/run/entries.rs
@@ -1,9 +1,9 @@
 //! A list of backends, kept as no more than is needed to compare it with another.
 
+use load_balancer::client::list::{Health, Host};
+use load_balancer::interface::ListKind;
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
-use load_balancer::interface::ListKind;
-use load_balancer::client::list::{Health, Host};
 
 /// The entries by the hashes of their names, and the sum of what each entry says.
 #[derive(Default)]
--- a/benches/scale/run/hollow.rs
+++ b/benches/scale/run/hollow.rs
@@ -5,6 +5,12 @@
 use super::entries::Entries;
 use super::order::ProxyPlan;
 use super::standing::Standings;
+use load_balancer::client::discovery::{self, Backoff, Listener, Pace};
+use load_balancer::client::list::Host;
+use load_balancer::client::route_table::{Identity, RoutedProxy, Routes, Settings, Tally, Totals};
+use load_balancer::client::traffic::Traffic;
+use load_balancer::interface::ListKind;
+use load_balancer::route_table::{LeftOut, Revision, Weights};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,12 +19,6 @@
 use tokio::sync::{oneshot, watch};
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::Instant;
-use load_balancer::interface::ListKind;
-use load_balancer::client::discovery::{self, Backoff, Listener, Pace};
-use load_balancer::client::list::Host;
-use load_balancer::client::route_table::{Identity, RoutedProxy, Routes, Settings, Tally, Totals};
-use load_balancer::client::traffic::Traffic;
-use load_balancer::route_table::{LeftOut, Revision, Weights};
 
 /// Requests a second that its reports tell of: a rollout waits for some on either side.
 const REQUESTS_A_SECOND: f64 = 54.0;
--- a/benches/scale/run/standing.rs
+++ b/benches/scale/run/standing.rs
@@ -1,14 +1,14 @@
 //! What the reports of hollow proxies say of their backends: the decision module's own answer for an idle proxy. One
 //! module stands for all hollow proxies of a service in a worker, since a module for each would be their data path.
 
-use std::collections::{BTreeMap, HashMap};
-use std::rc::Rc;
-use load_balancer::interface::{BackendId, Entry, Event, ListKind, Phase, Standing};
 use load_balancer::client::list::{Health, Host};
 use load_balancer::client::route_table::Tally;
+use load_balancer::interface::{BackendId, Entry, Event, ListKind, Phase, TrafficShare};
+use load_balancer::platform_settings::PlatformSettings;
 use load_balancer::route_table::{LeftOut, MAX_REPORTED};
-use load_balancer::platform_settings::Facts;
 use load_balancer::{Balancer, backend_id};
+use std::collections::{BTreeMap, HashMap};
+use std::rc::Rc;
 
 /// What a report says of backends.
 #[derive(Default)]
@@ -30,7 +30,7 @@
 
 impl Standings {
     /// Knows no backend yet; none where the settings are not good.
-    pub fn new(facts: &Facts) -> Option<Standings> {
+    pub fn new(facts: &PlatformSettings) -> Option<Standings> {
         let balancer = Balancer::new(facts.settings.clone(), 1).ok()?;
         let (names, zones) = (HashMap::new(), facts.site.zones.clone());
         Some(Standings { balancer, names, zones, version: 0, picture: None })
@@ -58,7 +58,7 @@
         };
         let zone = self.zones.iter().position(|zone| *zone == host.site).unwrap_or_default() as u16;
         let (started_at, weight, cell) = (host.born_ms, host.share, host.block);
-        Entry { backend, phase, zone, started_at, weight, cell }
+        Entry { backend, phase, zone, started_at_ms: started_at, weight, cell }
     }
 
     /// What a report says now.
@@ -84,13 +84,13 @@
     }
 }
 
-fn why(standing: Standing) -> Option<LeftOut> {
+fn why(standing: TrafficShare) -> Option<LeftOut> {
     match standing {
-        Standing::Full => None,
-        Standing::Ejected => Some(LeftOut::Ejected),
-        Standing::Cold => Some(LeftOut::Cold),
-        Standing::Draining => Some(LeftOut::Draining),
-        Standing::Subset => Some(LeftOut::Subset),
-        Standing::Slow => Some(LeftOut::Slow),
+        TrafficShare::Full => None,
+        TrafficShare::Ejected => Some(LeftOut::Ejected),
+        TrafficShare::WarmingUp => Some(LeftOut::Cold),
+        TrafficShare::Draining => Some(LeftOut::Draining),
+        TrafficShare::OutsideSubset => Some(LeftOut::Subset),
+        TrafficShare::Slow => Some(LeftOut::Slow),
     }
 }
--- a/benches/scale/run/traffic.rs
+++ b/benches/scale/run/traffic.rs
@@ -1,9 +1,9 @@
 //! Control messages by kind.
 
+use load_balancer::client::traffic as client;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::ops::Sub;
-use load_balancer::client::traffic as client;
 
 /// Milliseconds of a bucket in which calls are counted for their rate.
 pub const BUCKET_MS: u64 = 200;
--- a/benches/scale/run/truth.rs
+++ b/benches/scale/run/truth.rs
@@ -3,10 +3,10 @@
 use super::entries::Entries;
 use super::order::Truth;
 use super::plan::{Plan, entry};
+use load_balancer::client::list::Host;
+use load_balancer::interface::ListKind;
 use serde_json::Value;
 use std::collections::BTreeMap;
-use load_balancer::interface::ListKind;
-use load_balancer::client::list::Host;
 
 /// The entries that should be listed, by service and name.
 pub struct Account {
--- a/benches/scale/run/worker.rs
+++ b/benches/scale/run/worker.rs
@@ -6,6 +6,8 @@
 use super::order::{Answer, Order, ProxyPlan, Truth};
 use super::standing::Standings;
 use super::traffic::{BUCKET_MS, Traffic};
+use load_balancer::client::traffic::{Kind, Traffic as Counted};
+use load_balancer::platform_settings::{self, PlatformSettings};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
 use std::io::{BufRead, Write};
@@ -14,8 +16,6 @@
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{MissedTickBehavior, interval};
-use load_balancer::client::traffic::{Kind, Traffic as Counted};
-use load_balancer::platform_settings::{self, Facts};
 
 /// What runs of a proxy here.
 enum Member {
@@ -69,7 +69,7 @@
 }
 
 /// The settings of a real proxy of so many.
-fn facts(peers: usize) -> Option<Facts> {
+fn facts(peers: usize) -> Option<PlatformSettings> {
     let settings = super::config::settings(0, peers);
     platform_settings::parse(settings.to_string().as_bytes()).ok()
 }
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -1,8 +1,8 @@
 //! Whether a request is sent, held or refused: slices by worth, lines by key, quotas of tenants.
 
 use super::Balancer;
-use crate::interface::*;
 use super::state::Request;
+use crate::interface::*;
 
 const RETRY_SHARE: f64 = 0.1; // repeats of what may have run, as a share of requests: no storm
 pub(super) const RETRY_DEPTH: f64 = 10.0;
@@ -10,14 +10,14 @@
 impl Balancer {
     pub(super) fn on_request(&mut self, now: f64, arrival: &Arrival, out: &mut Vec<Action>) {
         let (id, class) = (arrival.request, usize::from(arrival.class));
-        let Some(&Class { aim, in_order, .. }) = self.s.classes.get(class) else {
+        let Some(&Class { latency_objective_ms: aim, in_order, .. }) = self.s.classes.get(class) else {
             return out.push(Action::Fail { request: id });
         };
         let budget = self.retry_tokens + RETRY_SHARE;
         self.retry_tokens = budget.min(RETRY_DEPTH.max(self.limiter.total * RETRY_SHARE));
         let over = self.s.tier == 0 && self.over_quota(now, usize::from(arrival.tenant));
         let slice = self.slice_of[class][usize::from(over)];
-        let last = arrival.deadline - 2.0 * self.period();
+        let last = arrival.deadline_ms - 2.0 * self.period();
         // Order: behind another request of its key it waits in that key's line and holds no slot.
         let key = if in_order { arrival.key } else { 0 };
         let behind = key != 0 && self.lines.contains_key(&key);
@@ -30,7 +30,8 @@
         // With room but no backend or no turn, held while an answer can still be in time.
         let hold = if free || behind { aim - self.limiter.mean } else { self.hold };
         let hold_until = (now + hold).min(last);
-        let (deadline, attempts, ended, coming) = (arrival.deadline, Vec::new(), false, arrival.coming);
+        let (deadline, attempts, ended, coming) =
+            (arrival.deadline_ms, Vec::new(), false, arrival.body_pending);
         let request = Request { key, class, slice, deadline, hold_until, ended, coming, attempts };
         self.requests.insert(id, request);
         if free && self.send(now, id, out) {
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -1,8 +1,8 @@
 //! A request's life: its attempts, their outcomes, and its end.
 
 use super::Balancer;
-use crate::interface::*;
 use super::state::{Attempt, Request};
+use crate::interface::*;
 
 /// Share of the aim that a request is held: first tier, behind it.
 pub(super) const HOLD: [f64; 2] = [0.125, 0.5];
@@ -18,7 +18,7 @@
         let place = (b.entry.zone, b.entry.cell);
         let attempt = Attempt { backend: to, place, sent: now, out: true, never_ran: false, counted: false };
         r.attempts.push(attempt);
-        out.push(Action::Send { request: id, backend: to, not_past: r.deadline });
+        out.push(Action::Send { request: id, backend: to, deadline_ms: r.deadline });
         if !r.coming {
             self.begin(now, id);
         }
@@ -54,12 +54,13 @@
     /// Ends a request: refused where a further try is harmless, failed otherwise.
     pub(super) fn finish(&mut self, now: f64, id: RequestId, out: &mut Vec<Action>) {
         let Some(r) = self.requests.get(&id) else { return };
-        let Class { effect, aim, .. } = self.s.classes[r.class];
-        let all = matches!(effect, Effect::Retryable | Effect::Dedup { group: Group::All, .. });
+        let Class { idempotency: effect, latency_objective_ms: aim, .. } = self.s.classes[r.class];
+        let all =
+            matches!(effect, Idempotency::Idempotent | Idempotency::Keyed { scope: DedupScope::All, .. });
         if self.repeatable(now, r) && (all || r.attempts.iter().all(|a| a.never_ran)) {
-            let wait = (aim * HOLD[0] * (1.0 + self.rng.f64())).min(self.s.caps.max_retry_after);
+            let wait = (aim * HOLD[0] * (1.0 + self.rng.f64())).min(self.s.caps.max_retry_after_ms);
             let retry_after = if self.s.caps.retry_after { wait } else { 0.0 };
-            out.push(Action::Refuse { request: id, retry_after });
+            out.push(Action::Reject { request: id, retry_after_ms: retry_after });
         } else {
             out.push(Action::Fail { request: id });
         }
@@ -94,13 +95,13 @@
         if matches!(e.outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled)
             && let Some(line) = self.lines.get_mut(&r.key)
         {
-            line.rest_until = now + self.s.rules.settle_after_doubt;
+            line.rest_until = now + self.s.rules.key_settle_ms;
         }
         let (sent, counted, class, slice) = (a.sent, a.counted, r.class, r.slice);
-        let over = e.closed || r.ended;
+        let over = e.request_ended || r.ended;
         let (hold_until, free_move) = (r.hold_until, r.attempts.iter().all(|a| a.never_ran));
         let still_out = r.attempts.iter().any(|a| a.out);
-        let spare = r.attempts.len() < self.s.caps.try_limit as usize && !e.spent;
+        let spare = r.attempts.len() < self.s.caps.max_attempts as usize && !e.body_consumed;
         if counted {
             self.count(class, slice, -1.0);
         }
@@ -122,10 +123,12 @@
 
     /// Whether it may run again somewhere: nothing ran yet, it is harmless, or repeats are still dropped.
     fn repeatable(&self, now: f64, r: &Request) -> bool {
-        match (r.attempts.iter().find(|a| !a.never_ran), self.s.classes[r.class].effect) {
-            (None, _) | (_, Effect::Retryable) => true,
-            (Some(first), Effect::Dedup { window, .. }) => now < first.sent + window - self.s.tick,
-            (Some(_), Effect::Fragile) => false,
+        match (r.attempts.iter().find(|a| !a.never_ran), self.s.classes[r.class].idempotency) {
+            (None, _) | (_, Idempotency::Idempotent) => true,
+            (Some(first), Idempotency::Keyed { dedup_window_ms: window, .. }) => {
+                now < first.sent + window - self.s.tick_ms
+            }
+            (Some(_), Idempotency::NonIdempotent) => false,
         }
     }
 
@@ -133,7 +136,7 @@
     pub(super) fn resend(&mut self, now: f64, id: RequestId, free_move: bool, out: &mut Vec<Action>) -> bool {
         let r = &self.requests[&id];
         let allowed = self.repeatable(now, r);
-        let left = r.attempts.len() < self.s.caps.try_limit as usize && now + self.s.tick < r.deadline;
+        let left = r.attempts.len() < self.s.caps.max_attempts as usize && now + self.s.tick_ms < r.deadline;
         let sent = left && allowed && (free_move || self.retry_tokens >= 1.0) && self.send(now, id, out);
         if sent && !free_move {
             self.retry_tokens -= 1.0;
--- a/src/balancer/backends.rs
+++ b/src/balancer/backends.rs
@@ -1,7 +1,7 @@
 //! The backends by their ids. Tests can count how many of their records an event looks at.
 
-use crate::interface::BackendId;
 use super::state::Backend;
+use crate::interface::BackendId;
 use std::collections::BTreeMap;
 use std::ops::Index;
 
--- a/src/balancer/fleet.rs
+++ b/src/balancer/fleet.rs
@@ -10,16 +10,16 @@
     /// more only slowly, and only beside a strict majority of all that are known or configured: of the sides
     /// of a split one can be that, so that their parts together stay under one and a half of the whole.
     pub(super) fn on_peers(&mut self, now: f64, alive: u32, known: u32, rank: Option<u32>) {
-        let all = known.max(self.s.copies);
+        let all = known.max(self.s.instance_count);
         let most = 2 * u64::from(alive) > u64::from(all);
         self.present = f64::from(if most { alive } else { all }.max(1));
         self.fleet = self.fleet.max(self.present);
         // Each side of a split covers all backends. Copies that see few others may all have the same rank:
         // there their configured numbers part them.
-        let apart = if most { 0.0 } else { (f64::from(self.s.copy) * GOLDEN).fract() };
+        let apart = if most { 0.0 } else { (f64::from(self.s.instance_index) * GOLDEN).fract() };
         self.place = match rank.filter(|r| *r < alive) {
             Some(rank) => [f64::from(rank) + apart, f64::from(alive)],
-            None => [f64::from(self.s.copy), f64::from(self.s.copies)],
+            None => [f64::from(self.s.instance_index), f64::from(self.s.instance_count)],
         };
         self.resize(now, 0.0);
     }
--- a/src/balancer/health.rs
+++ b/src/balancer/health.rs
@@ -2,8 +2,8 @@
 
 use super::Balancer;
 use super::limiter::{CLIP, WINDOW};
-use crate::interface::*;
 use super::state::Backend;
+use crate::interface::*;
 
 const ERROR_STEP: f64 = 0.125; // weight of one outcome in an error rate
 const ERROR_EJECT: f64 = 0.35; // error rate at which a backend is left ...
@@ -32,7 +32,7 @@
     }
     /// Capacity that it surely has by now, as a share of its full one.
     pub(super) fn warmth(&self, rules: &Rules, now: f64) -> f64 {
-        rules.warmth(self.entry.started_at, now)
+        rules.warmth(self.entry.started_at_ms, now)
     }
 }
 
@@ -63,29 +63,29 @@
             b.calls.remove(i);
         }
         let l = &mut self.limiter;
-        if matches!(e.outcome, Outcome::Ok | Outcome::Error | Outcome::Full) {
+        if matches!(e.outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
             (b.heard, self.heard) = (now, now);
-            l.answers += f64::from(u8::from(e.outcome != Outcome::Full));
+            l.answers += f64::from(u8::from(e.outcome != Outcome::Rejected));
         }
         let unreachable = f64::from(u8::from(e.outcome == Outcome::ConnectFailed));
         let ok = e.outcome == Outcome::Ok;
         match e.outcome {
             // A call that its client gave up took longer still. It speaks of its backend and zone,
             // not of the limit, which silent backends would cut.
-            Outcome::Ok | Outcome::Cancelled if ok || e.wait > l.classes[class].mean => {
+            Outcome::Ok | Outcome::Cancelled if ok || e.latency_ms > l.classes[class].mean => {
                 let c = &mut l.classes[class];
                 if ok {
-                    c.sample(e.wait);
+                    c.sample(e.latency_ms);
                     l.served += 1.0;
-                    l.ratios += (e.wait / c.target()).min(CLIP);
-                    l.waits += e.wait.min(CLIP * c.target());
+                    l.ratios += (e.latency_ms / c.target()).min(CLIP);
+                    l.waits += e.latency_ms.min(CLIP * c.target());
                     l.bases += c.base;
                 }
                 let over = &mut self.excess[usize::from(b.entry.zone != self.s.zone)];
-                *over += ((e.wait - c.base) / c.aim - *over) * 0.1;
-                l.mean += (e.wait - l.mean) * if l.mean == 0.0 { 1.0 } else { 0.02 };
+                *over += ((e.latency_ms - c.base) / c.aim - *over) * 0.1;
+                l.mean += (e.latency_ms - l.mean) * if l.mean == 0.0 { 1.0 } else { 0.02 };
                 b.seen = (b.seen + 1.0).min(SLOW_DEPTH);
-                let ratio = (e.wait / c.mean.max(0.001)).min(CLIP);
+                let ratio = (e.latency_ms / c.mean.max(0.001)).min(CLIP);
                 self.slowness_moved = true;
                 self.scatter += ((ratio / b.slow - 1.0).powi(2) - self.scatter) / SCATTER_DEPTH;
                 b.slow += (ratio - b.slow) / (b.seen + SLOW_PRIOR);
@@ -115,7 +115,7 @@
                     self.eject(now, e.backend);
                 }
             }
-            Outcome::Full => l.drops += 1.0,
+            Outcome::Rejected => l.drops += 1.0,
             Outcome::Timeout => l.timeouts += f64::from(u8::from(!b.ejected())),
             _ => {}
         }
--- a/src/balancer/housekeep.rs
+++ b/src/balancer/housekeep.rs
@@ -15,12 +15,12 @@
 
 impl Balancer {
     pub(super) fn housekeep(&mut self, now: f64, out: &mut Vec<Action>) {
-        out.push(Action::WakeMe { delay: self.period(), token: HOUSEKEEPING });
+        out.push(Action::SetTimer { delay_ms: self.period(), token: HOUSEKEEPING });
         let passed = (now - self.house).max(0.0);
         self.house = now;
         self.limiter.update(passed, self.capacity);
         self.excess.iter_mut().for_each(|e| *e -= *e * passed / SPILL_FADE);
-        let gain = self.excess[0] - self.excess[1] - self.s.goal.cross_zone * CROSS_PRICE;
+        let gain = self.excess[0] - self.excess[1] - self.s.goal.cross_zone_price * CROSS_PRICE;
         self.drift = (self.drift + SPILL[1] * gain * passed / 1000.0).clamp(0.0, 1.0);
         self.spill = (self.drift + SPILL[0] * gain).clamp(0.0, 1.0);
         self.fleet = self.present.max(self.fleet - (self.fleet - self.present) * passed / TAKE_OVER);
@@ -39,7 +39,7 @@
         self.drop_proved(now, out);
         self.free_held(now, true, out);
         // Cold budgets grow with what this copy's backends prove to bear, at the warmth surely reached.
-        let margin = (COLD_MARGIN * self.s.rules.fall_multiple).min(1.0);
+        let margin = (COLD_MARGIN * self.s.rules.overload_multiple).min(1.0);
         let rate = self.limiter.member_rate;
         self.member_rate +=
             (rate - self.member_rate) * (passed / LEARN_MS[usize::from(rate < self.member_rate)]).min(1.0);
--- a/src/balancer/interface/action.rs
+++ b/src/balancer/interface/action.rs
@@ -14,14 +14,14 @@
         /// Where to.
         backend: BackendId,
         /// When the attempt is abandoned.
-        not_past: f64,
+        deadline_ms: f64,
     },
     /// Final answer: rejected, a further try is harmless.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// How long the client should stay away; 0 is no advice.
-        retry_after: f64,
+        retry_after_ms: f64,
     },
     /// Final answer: failed, nothing is promised.
     Fail {
@@ -35,15 +35,15 @@
         /// The attempt.
         attempt: AttemptNo,
     },
-    /// Ask for an [`Event::Wake`].
-    WakeMe {
+    /// Ask for an [`Event::TimerFired`].
+    SetTimer {
         /// Time from now.
-        delay: f64,
+        delay_ms: f64,
         /// Comes back with the event.
         token: u64,
     },
     /// Close idle connections to a backend.
-    Close {
+    CloseIdle {
         /// The backend.
         backend: BackendId,
     },
@@ -52,11 +52,12 @@
         /// On or off.
         on: bool,
     },
-    /// The list has told, or calls have proved, that a backend takes nothing new: nothing goes to it any more.
+    /// The list has told, or calls have proved, that a backend takes nothing new: nothing goes to it any
+    /// more.
     Withdraw {
         /// The backend.
         backend: BackendId,
     },
     /// Ask for the whole list, which may confirm what a suspicious one told.
-    Relist,
+    Resync,
 }
--- a/src/balancer/interface/attempt.rs
+++ b/src/balancer/interface/attempt.rs
@@ -14,7 +14,7 @@
     /// The backend found fault with the request itself, as any other would.
     Malformed,
     /// Turned away unseen; never ran.
-    Full,
+    Rejected,
     /// No answer in time; may have run.
     Timeout,
     /// No connection; never ran.
@@ -24,13 +24,13 @@
     /// Withdrawn; may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 impl Outcome {
     /// Whether this outcome proves that the request never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+        matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
@@ -46,9 +46,10 @@
     /// Its tenant; 0 where there are none.
     pub tenant: u16,
     /// When its client gives up.
-    pub deadline: f64,
-    /// Its body still comes and flows through the attempt that is out; [`Event::Whole`] tells of its last byte.
-    pub coming: bool,
+    pub deadline_ms: f64,
+    /// Its body still comes and flows through the attempt that is out; [`Event::BodyComplete`] tells of its
+    /// last byte.
+    pub body_pending: bool,
 }
 
 /// How an attempt ended.
@@ -63,9 +64,9 @@
     /// How it ended.
     pub outcome: Outcome,
     /// Time since it was sent.
-    pub wait: f64,
+    pub latency_ms: f64,
     /// The request is over; nothing more is owed.
-    pub closed: bool,
+    pub request_ended: bool,
     /// Part of its body is gone: it cannot be sent again.
-    pub spent: bool,
+    pub body_consumed: bool,
 }
--- a/src/balancer/interface/census.rs
+++ b/src/balancer/interface/census.rs
@@ -5,17 +5,17 @@
 
 /// What a backend gets of this copy's calls, and why it is less than its weight says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum TrafficShare {
     /// Its part.
     Full,
     /// Out of service for its errors, its slowness or its silence.
     Ejected,
     /// It started a short while ago.
-    Cold,
+    WarmingUp,
     /// It finishes its work.
     Draining,
     /// Not in this copy's subset.
-    Subset,
+    OutsideSubset,
     /// It fails calls or is surely slower than the others.
     Slow,
 }
--- a/src/balancer/interface/event.rs
+++ b/src/balancer/interface/event.rs
@@ -17,22 +17,22 @@
     /// A request arrived; exactly one final answer is owed.
     Request(Arrival),
     /// The last byte of a request came that had arrived without: its attempt's backend can begin.
-    Whole {
+    BodyComplete {
         /// The request.
         request: RequestId,
         /// When its client gives up.
-        deadline: f64,
+        deadline_ms: f64,
     },
     /// An attempt ended.
     Resolved(Resolved),
     /// The client left; nothing more is owed.
-    Hangup {
+    ClientGone {
         /// The request.
         request: RequestId,
     },
-    /// So many processes stand for this copy while one replaces another, each with a module of its own: what the
-    /// rules allow to a copy is theirs together.
-    Processes {
+    /// So many processes stand for this copy while one replaces another, each with a module of its own: what
+    /// the rules allow to a copy is theirs together.
+    LocalProcesses {
         /// Their number, this one included.
         processes: u32,
     },
@@ -42,17 +42,18 @@
         alive: u32,
         /// Alive, or gone not long ago, this copy included.
         known: u32,
-        /// This copy's place among those alive, from 0, in an order that all of them know; none if it is not known.
+        /// This copy's place among those alive, from 0, in an order that all of them know; none if it is not
+        /// known.
         rank: Option<u32>,
     },
     /// The route table's weights: picks follow them beside the list's; who is not named has 1.
-    Weights {
+    RouteWeights {
         /// Finite, 0 or more.
         weights: Vec<(BackendId, f64)>,
     },
     /// A timer came due.
-    Wake {
-        /// As given in [`Action::WakeMe`].
+    TimerFired {
+        /// As given in [`Action::SetTimer`].
         token: u64,
     },
 }
--- a/src/balancer/interface/list.rs
+++ b/src/balancer/interface/list.rs
@@ -24,7 +24,7 @@
     /// Its zone.
     pub zone: u16,
     /// When its process last started; 0 is long ago.
-    pub started_at: f64,
+    pub started_at_ms: f64,
     /// Its size beside the others'.
     pub weight: f64,
     /// Its cell.
--- a/src/balancer/interface/mod.rs
+++ b/src/balancer/interface/mod.rs
@@ -13,10 +13,10 @@
 
 pub use action::Action;
 pub use attempt::{Arrival, Outcome, Resolved};
-pub use census::{Census, Standing};
+pub use census::{Census, TrafficShare};
 pub use event::Event;
 pub use list::{Entry, ListKind, Phase};
-pub use settings::{Caps, Class, Effect, Goal, Group, ListGuard, Rules, Settings, Tenant};
+pub use settings::{Caps, Class, DedupScope, Goal, Idempotency, ListGuard, Rules, Settings, Tenant};
 pub use settings_error::SettingsError;
 
 /// Identifies a client request at one copy; never reused.
--- a/src/balancer/interface/settings.rs
+++ b/src/balancer/interface/settings.rs
@@ -6,20 +6,20 @@
 /// What a copy is told once, at its start.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Settings {
-    /// This copy's number among [`copies`](Self::copies), from 0.
-    pub copy: u32,
+    /// This copy's number among [`instance_count`](Self::instance_count), from 0.
+    pub instance_index: u32,
     /// How many copies send to this tier.
-    pub copies: u32,
+    pub instance_count: u32,
     /// Place of the tier that this copy sends to; 0 is the one that clients reach.
     pub tier: u32,
     /// Zone of this copy.
     pub zone: u16,
     /// Shortest time between two rounds of events.
-    pub tick: f64,
+    pub tick_ms: f64,
     /// Whether the list of backends must be asked for ([`Action::Watch`]) rather than being pushed.
-    pub must_ask: bool,
+    pub must_subscribe: bool,
     /// What a request beyond its tenant's quota is worth, as a share of its class's worth.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// Request classes; a request names its place in this list.
     pub classes: Vec<Class>,
     /// Tenants; may be empty.
@@ -34,49 +34,49 @@
     pub list_guard: ListGuard,
 }
 
-/// Protects a copy from a list service that has lost its state: what a suspicious list lacks stays in service until
-/// the list has stood for a while or the backend's own calls prove it right.
+/// Protects a copy from a list service that has lost its state: what a suspicious list lacks stays in service
+/// until the list has stood for a while or the backend's own calls prove it right.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ListGuard {
     /// News that leaves this share of the backends in service, or less, is suspicious; 0 believes all news.
     pub panic_threshold: f64,
     /// The removals of suspicious news are believed if a whole list still lacks the backends after this time.
-    pub hold: f64,
+    pub confirm_after_ms: f64,
 }
 
 /// A class of requests.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Class {
     /// An answer within this time earns the full worth.
-    pub aim: f64,
+    pub latency_objective_ms: f64,
     /// Worth of a request.
-    pub points: f64,
+    pub priority_weight: f64,
     /// Whether and where a request may run again.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Requests with one key run one at a time, in the order they came; all such classes share their keys.
     pub in_order: bool,
 }
 
 /// Whether a request of a class may be repeated once it may have run.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Safe to repeat anywhere.
-    Retryable,
-    /// Repeats are dropped by the backends of `group` for `window` after the first send that may have run.
-    Dedup {
+    Idempotent,
+    /// Repeats are dropped by the backends of `scope` for `dedup_window_ms` after the first send that may have run.
+    Keyed {
         /// Which backends drop each other's repeats.
-        group: Group,
+        scope: DedupScope,
         /// For how long they do.
-        window: f64,
+        dedup_window_ms: f64,
     },
     /// Must never run twice.
     #[default]
-    Fragile,
+    NonIdempotent,
 }
 
 /// The backends that drop repeats of a request which one of them has seen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// All backends.
     All,
     /// Those in one zone.
@@ -100,33 +100,33 @@
     /// Clients are told when to come back.
     pub retry_after: bool,
     /// Longest such advice that a client heeds.
-    pub max_retry_after: f64,
+    pub max_retry_after_ms: f64,
     /// Most attempts for one request.
-    pub try_limit: u32,
+    pub max_attempts: u32,
 }
 
 /// Figures of the four rules.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Rules {
     /// Share of its capacity at which a backend starts, at least.
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// Time after which it is warm, at most.
-    pub cold: f64,
+    pub warm_up_ms: f64,
     /// Sent more than this multiple of its present capacity, a cold backend falls over.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// Where the list must be asked for: silence longer than this counts as knowledge.
-    pub ask_within: f64,
+    pub max_silence_ms: f64,
     /// Idle connections to a draining backend are closed within this time; 0 where no such rule holds.
-    pub release_within: f64,
+    pub idle_close_within_ms: f64,
     /// A key of an ordered class rests so long after an attempt that may still be running.
-    pub settle_after_doubt: f64,
+    pub key_settle_ms: f64,
 }
 
 /// How the operators weigh and price results.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Goal {
     /// Weight of the worst-served class.
-    pub worst_class: f64,
+    pub worst_class_weight: f64,
     /// Price of attempts that cross zones.
-    pub cross_zone: f64,
+    pub cross_zone_price: f64,
 }
--- a/src/balancer/list.rs
+++ b/src/balancer/list.rs
@@ -1,8 +1,8 @@
 //! The list of backends: what it tells, when it is doubted, and what follows for those who take work.
 
 use super::Balancer;
-use crate::interface::*;
 use super::state::Backend;
+use crate::interface::*;
 
 pub(super) const ASK: u64 = 1;
 pub(super) const RELIST: u64 = 2;
@@ -19,7 +19,10 @@
     /// Asks for the list after a share of the time in which asking is due, or of `most` if that is less.
     pub(super) fn ask_later(&mut self, share: f64, most: f64, out: &mut Vec<Action>) {
         if !std::mem::replace(&mut self.asking, true) {
-            out.push(Action::WakeMe { delay: share * self.s.rules.ask_within.min(most), token: ASK });
+            out.push(Action::SetTimer {
+                delay_ms: share * self.s.rules.max_silence_ms.min(most),
+                token: ASK,
+            });
         }
     }
 
@@ -49,10 +52,11 @@
                 }
                 continue;
             }
-            if !known || b.entry.started_at != e.started_at {
+            if !known || b.entry.started_at_ms != e.started_at_ms {
                 // A new process: nothing known of the old one holds. Copies that hear of it together begin
                 // its cold budget at different phases, so that their first sends do not meet.
-                let phase = (f64::from(self.s.copy) + f64::from(e.backend % 8191)) * 0.618_033_988_75;
+                let phase =
+                    (f64::from(self.s.instance_index) + f64::from(e.backend % 8191)) * 0.618_033_988_75;
                 let (calls, cold_tokens) = (std::mem::take(&mut b.calls), phase.fract());
                 let (route, turn) = (self.routes.get(&e.backend).copied().unwrap_or(1.0), self.turn);
                 *b = Backend { calls, slow: 1.0, heard: now, cold_tokens, route, turn, ..Backend::default() };
@@ -85,7 +89,7 @@
             };
             let (gone, since) = (b.entry.phase == Phase::Gone, b.unlisted.unwrap_or(now));
             let doubted = gone && (few || b.unlisted.is_some());
-            if doubted && (kind == ListKind::Delta || now < since + guard.hold) {
+            if doubted && (kind == ListKind::Delta || now < since + guard.confirm_after_ms) {
                 (b.unlisted, b.entry.phase) = (Some(since), Phase::Ready);
                 self.roster.doubted.insert(id);
                 continue;
@@ -112,8 +116,9 @@
     /// While the list is doubted, it is asked for again: copies that lost it together ask each in its time.
     pub(super) fn doubt(&mut self, out: &mut Vec<Action>) {
         if !self.roster.doubted.is_empty() && !std::mem::replace(&mut self.relisting, true) {
-            let delay = (self.s.list_guard.hold * (0.5 + 0.5 * self.rng.f64())).max(self.period());
-            out.push(Action::WakeMe { delay, token: RELIST });
+            let delay =
+                (self.s.list_guard.confirm_after_ms * (0.5 + 0.5 * self.rng.f64())).max(self.period());
+            out.push(Action::SetTimer { delay_ms: delay, token: RELIST });
         }
     }
 
@@ -151,8 +156,8 @@
     /// Closes what is idle to a draining backend: at the notice, and once more after each outcome there.
     pub(super) fn release(&self, id: BackendId, out: &mut Vec<Action>) {
         let draining = self.backends.get(&id).is_some_and(|b| b.entry.phase != Phase::Ready);
-        if draining && self.s.rules.release_within > 0.0 {
-            out.push(Action::Close { backend: id });
+        if draining && self.s.rules.idle_close_within_ms > 0.0 {
+            out.push(Action::CloseIdle { backend: id });
         }
     }
 }
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -20,12 +20,12 @@
 
 use self::admission::RETRY_DEPTH;
 use self::attempts::HOLD;
+use self::backends::Backends;
 use self::housekeep::HOUSEKEEPING;
 use self::list::{ASK, ASK_FIRST, RELIST};
+use self::state::{Latency, Limiter, Line, Request, Roster, Segment, Slice};
 use self::subset::CROSS_CHEAP;
 use crate::interface::*;
-use self::backends::Backends;
-use self::state::{Latency, Limiter, Line, Request, Roster, Segment, Slice};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 const HOUSE_TICKS: f64 = 10.0; // ticks between housekeepings: often enough for holds, rare enough to be cheap
@@ -80,10 +80,11 @@
     /// Starts a copy that knows nothing yet; `seed` feeds its only random numbers.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         crate::check(&settings)?;
-        let mean = settings.classes.iter().map(|c| c.points).sum::<f64>() / settings.classes.len() as f64;
-        let (even, over) = (settings.goal.worst_class, settings.over_share_worth);
+        let mean =
+            settings.classes.iter().map(|c| c.priority_weight).sum::<f64>() / settings.classes.len() as f64;
+        let (even, over) = (settings.goal.worst_class_weight, settings.over_quota_weight);
         // The goal's weight on the worst-served class is worth that every class has alike.
-        let worth = |c: &Class| (1.0 - even) * c.points / mean.max(1e-9) + even;
+        let worth = |c: &Class| (1.0 - even) * c.priority_weight / mean.max(1e-9) + even;
         let worths: Vec<[f64; 2]> = settings.classes.iter().map(|c| [worth(c), worth(c) * over]).collect();
         let demoted = usize::from(settings.tier == 0 && !settings.tenants.is_empty());
         let mut levels: Vec<f64> = worths.iter().flat_map(|w| w[..=demoted].to_vec()).collect();
@@ -93,8 +94,12 @@
         let claim = |l: &f64| if worths.iter().any(|w| (w[0] - l).abs() < 1e-9) { *l } else { 0.0 };
         let sum = levels.iter().map(claim).sum::<f64>().max(1e-9);
         let place = |w: f64| levels.iter().position(|l| (l - w).abs() < 1e-9).unwrap_or(0);
-        let classes = settings.classes.iter().map(|c| Latency { aim: c.aim, ..Latency::default() }).collect();
-        let home = (settings.goal.cross_zone > CROSS_CHEAP).then_some(settings.zone);
+        let classes = settings
+            .classes
+            .iter()
+            .map(|c| Latency { aim: c.latency_objective_ms, ..Latency::default() })
+            .collect();
+        let home = (settings.goal.cross_zone_price > CROSS_CHEAP).then_some(settings.zone);
         Ok(Balancer {
             rng: fastrand::Rng::with_seed(seed),
             slice_of: worths.iter().map(|w| w.map(place)).collect(),
@@ -106,14 +111,14 @@
             ask_backoff: 1.0,
             capacity: 1.0,
             processes: 1.0,
-            present: f64::from(settings.copies),
-            fleet: f64::from(settings.copies),
-            place: [f64::from(settings.copy), f64::from(settings.copies)],
+            present: f64::from(settings.instance_count),
+            fleet: f64::from(settings.instance_count),
+            place: [f64::from(settings.instance_index), f64::from(settings.instance_count)],
             scatter: 1.0,
             usual: 1.0,
             // One for all classes: in a full queue the longer hold would take every slot of its slice.
             hold: HOLD[settings.tier.min(1) as usize]
-                * settings.classes.iter().map(|c| c.aim).fold(f64::MAX, f64::min),
+                * settings.classes.iter().map(|c| c.latency_objective_ms).fold(f64::MAX, f64::min),
             s: settings,
             ..Balancer::default()
         })
@@ -123,12 +128,12 @@
     pub fn handle(&mut self, now: f64, event: Event, out: &mut Vec<Action>) {
         if !self.started {
             (self.started, self.house, self.heard) = (true, now, now);
-            out.push(Action::WakeMe { delay: self.period(), token: HOUSEKEEPING });
+            out.push(Action::SetTimer { delay_ms: self.period(), token: HOUSEKEEPING });
             let nobody = matches!(&event, Event::List { entries, .. } if entries.is_empty());
-            if self.s.must_ask && nobody {
+            if self.s.must_subscribe && nobody {
                 // It can serve nobody until it has a list.
                 out.push(Action::Watch { on: true });
-            } else if self.s.must_ask {
+            } else if self.s.must_subscribe {
                 // Copies start together: the first call is spread so that discovery is not run over.
                 let share = 0.4 * self.rng.f64();
                 self.ask_later(share, ASK_FIRST, out);
@@ -137,29 +142,29 @@
         match event {
             Event::List { kind, entries } => self.on_list(now, kind, entries, out),
             Event::Request(arrival) => self.on_request(now, &arrival, out),
-            Event::Whole { request, deadline } => self.on_whole(now, request, deadline),
+            Event::BodyComplete { request, deadline_ms: deadline } => self.on_whole(now, request, deadline),
             Event::Resolved(resolved) => self.on_resolved(now, &resolved, out),
-            Event::Processes { processes } => self.processes = f64::from(processes.max(1)),
+            Event::LocalProcesses { processes } => self.processes = f64::from(processes.max(1)),
             Event::Peers { alive, known, rank } => self.on_peers(now, alive, known, rank),
-            Event::Weights { weights } => self.on_weights(now, weights),
-            Event::Hangup { request } => self.end(now, request, out),
-            Event::Wake { token: HOUSEKEEPING } => self.housekeep(now, out),
-            Event::Wake { token: ASK } => {
+            Event::RouteWeights { weights } => self.on_weights(now, weights),
+            Event::ClientGone { request } => self.end(now, request, out),
+            Event::TimerFired { token: HOUSEKEEPING } => self.housekeep(now, out),
+            Event::TimerFired { token: ASK } => {
                 self.asking = false;
                 out.push(Action::Watch { on: true });
             }
-            Event::Wake { token: RELIST } => {
+            Event::TimerFired { token: RELIST } => {
                 self.relisting = false;
                 self.doubt(out);
-                out.extend(self.relisting.then_some(Action::Relist));
+                out.extend(self.relisting.then_some(Action::Resync));
             }
-            Event::Wake { .. } => {}
+            Event::TimerFired { .. } => {}
         }
         self.free_held(now, false, out);
     }
 
     pub(super) fn period(&self) -> f64 {
-        (self.s.tick * HOUSE_TICKS).max(1.0)
+        (self.s.tick_ms * HOUSE_TICKS).max(1.0)
     }
 }
 
--- a/src/balancer/ordered_sum.rs
+++ b/src/balancer/ordered_sum.rs
@@ -13,8 +13,8 @@
     from + ids[from..end].partition_point(|other| *other < id)
 }
 
-/// A sum over a row of which all but the added are 1, rounded as if all were added one by one: it is the same whichever
-/// of them are told apart.
+/// A sum over a row of which all but the added are 1, rounded as if all were added one by one: it is the same
+/// whichever of them are told apart.
 #[derive(Default, Clone, Copy)]
 pub struct OrderedSum {
     sum: f64,
--- a/src/balancer/pick.rs
+++ b/src/balancer/pick.rs
@@ -1,8 +1,8 @@
 //! Which backend gets the next attempt.
 
 use super::Balancer;
-use crate::interface::*;
 use super::state::Request;
+use crate::interface::*;
 
 const DRAWS: [usize; 2] = [96, 12]; // draws by weight for one pick, and those that count
 const BEHIND: f64 = 8.0; // turns that a backend can make up for
@@ -21,9 +21,10 @@
 
     pub(super) fn fits(&self, now: f64, r: &Request, id: BackendId, trusting: bool) -> bool {
         let Some(b) = self.backends.get(&id).filter(|b| b.entry.phase == Phase::Ready) else { return false };
-        let effect = self.s.classes[r.class].effect;
+        let effect = self.s.classes[r.class].idempotency;
         // A backend out of service gets a trial, one repeatable request, once its time is up.
-        let trial = effect != Effect::Fragile && !r.coming && now >= b.ejected_until && b.calls.is_empty();
+        let trial =
+            effect != Idempotency::NonIdempotent && !r.coming && now >= b.ejected_until && b.calls.is_empty();
         let cold = b.warmth(&self.s.rules, now) < 1.0 && b.cold_tokens < 1.0;
         let closed = b.route <= 0.0 && !trusting; // the route table keeps it out, while others are left
         if cold
@@ -34,8 +35,8 @@
             return false;
         }
         match (r.attempts.iter().find(|a| !a.never_ran), effect) {
-            (Some(ran), Effect::Dedup { group: Group::Zone, .. }) => b.entry.zone == ran.place.0,
-            (Some(ran), Effect::Dedup { group: Group::Cell, .. }) => b.entry.cell == ran.place.1,
+            (Some(ran), Idempotency::Keyed { scope: DedupScope::Zone, .. }) => b.entry.zone == ran.place.0,
+            (Some(ran), Idempotency::Keyed { scope: DedupScope::Cell, .. }) => b.entry.cell == ran.place.1,
             _ => true,
         }
     }
@@ -45,7 +46,8 @@
         let b = &self.backends[&id];
         let slow = self.slowness(b) * (1.0 + ERROR_COST * b.error) / b.warmth(&self.s.rules, now);
         let slow = if b.ejected() && b.calls.is_empty() { 0.0 } else { slow };
-        let crossing = if b.entry.zone != self.s.zone && self.s.goal.cross_zone > 0.0 { 0.5 } else { 0.0 };
+        let crossing =
+            if b.entry.zone != self.s.zone && self.s.goal.cross_zone_price > 0.0 { 0.5 } else { 0.0 };
         (b.calls.len() as f64 * self.weight / b.weight().max(LEAST) + 1.0 + crossing) * slow
     }
 
--- a/src/balancer/platform_settings.rs
+++ b/src/balancer/platform_settings.rs
@@ -18,7 +18,7 @@
 
 /// The settings, split by who reads them.
 #[derive(Debug, Clone)]
-pub struct Facts {
+pub struct PlatformSettings {
     /// What the decisions need.
     pub settings: api::Settings,
     /// What a proxy on real sockets needs beside them.
@@ -35,17 +35,17 @@
     /// Names of the zones.
     pub zones: Vec<String>,
     /// Idle connections are closed by the backend after this, at the latest.
-    pub conn_idle: f64,
+    pub connection_idle_ms: f64,
     /// A connection not made by then has failed.
-    pub connect_timeout: f64,
+    pub connect_timeout_ms: f64,
     /// Most open requests of a copy.
-    pub open_cap: usize,
+    pub max_open_requests: usize,
     /// A request may have two attempts out at once.
-    pub may_duplicate: bool,
+    pub may_hedge: bool,
     /// Time after the notice in which sends to a draining backend must end.
-    pub drain_grace: f64,
+    pub drain_grace_ms: f64,
     /// The longest time that a client waits, over all its tries.
-    pub longest_wait: f64,
+    pub longest_client_timeout_ms: f64,
 }
 
 /// A figure that must be finite and not negative.
@@ -97,7 +97,7 @@
     #[serde(deserialize_with = "figure")]
     points: f64,
     semantics: Semantics,
-    group: Group,
+    group: DedupScope,
     #[serde(deserialize_with = "figure")]
     window: f64,
     #[serde(default)]
@@ -114,7 +114,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-enum Group {
+enum DedupScope {
     All,
     Zone,
     Cell,
@@ -181,7 +181,7 @@
 }
 
 /// Parses the text; an error names the key.
-pub fn parse(text: &[u8]) -> Result<Facts, Error> {
+pub fn parse(text: &[u8]) -> Result<PlatformSettings, Error> {
     let mut json = serde_json::Deserializer::from_slice(text);
     let facts = read(&mut json)?;
     json.end().map_err(|e| Error::Trailing(e.to_string()))?;
@@ -189,62 +189,62 @@
 }
 
 /// Reads the object from where it stands; an error names the key.
-pub fn read<'de, D: Deserializer<'de>>(from: D) -> Result<Facts, Error> {
+pub fn read<'de, D: Deserializer<'de>>(from: D) -> Result<PlatformSettings, Error> {
     let f: Text = serde_path_to_error::deserialize(from).map_err(|e| Error::Key(e.to_string()))?;
     let site = Site {
         classes: f.classes.iter().map(|c| c.name.clone()).collect(),
         tenants: f.tenants.iter().map(|t| t.name.clone()).collect(),
         zones: f.localities,
-        conn_idle: f.caps.conn_idle,
-        connect_timeout: f.caps.connect_timeout,
-        open_cap: f.caps.open_cap,
-        may_duplicate: f.caps.may_duplicate,
-        drain_grace: f.guarantees.stop_sending_within,
-        longest_wait: f.classes.iter().map(|c| c.give_up).fold(0.0, f64::max),
+        connection_idle_ms: f.caps.conn_idle,
+        connect_timeout_ms: f.caps.connect_timeout,
+        max_open_requests: f.caps.open_cap,
+        may_hedge: f.caps.may_duplicate,
+        drain_grace_ms: f.guarantees.stop_sending_within,
+        longest_client_timeout_ms: f.classes.iter().map(|c| c.give_up).fold(0.0, f64::max),
     };
     let class = |c: Class| api::Class {
-        aim: c.aim,
-        points: c.points,
+        latency_objective_ms: c.aim,
+        priority_weight: c.points,
         in_order: c.fifo_by_key,
-        effect: match c.semantics {
-            Semantics::Retryable => api::Effect::Retryable,
-            Semantics::Fragile => api::Effect::Fragile,
-            Semantics::Dedup => api::Effect::Dedup {
-                window: c.window,
-                group: match c.group {
-                    Group::All => api::Group::All,
-                    Group::Zone => api::Group::Zone,
-                    Group::Cell => api::Group::Cell,
+        idempotency: match c.semantics {
+            Semantics::Retryable => api::Idempotency::Idempotent,
+            Semantics::Fragile => api::Idempotency::NonIdempotent,
+            Semantics::Dedup => api::Idempotency::Keyed {
+                dedup_window_ms: c.window,
+                scope: match c.group {
+                    DedupScope::All => api::DedupScope::All,
+                    DedupScope::Zone => api::DedupScope::Zone,
+                    DedupScope::Cell => api::DedupScope::Cell,
                 },
             },
         },
     };
     let settings = api::Settings {
-        copy: f.slot_no,
-        copies: f.peers_total,
+        instance_index: f.slot_no,
+        instance_count: f.peers_total,
         tier: f.tier,
         zone: f.locality,
-        tick: f.tick,
-        must_ask: matches!(f.discovery, Discovery::Subscribe),
-        over_share_worth: f.over_share_worth,
+        tick_ms: f.tick,
+        must_subscribe: matches!(f.discovery, Discovery::Subscribe),
+        over_quota_weight: f.over_share_worth,
         classes: f.classes.into_iter().map(class).collect(),
         tenants: f.tenants.iter().map(|t| api::Tenant { quota_per_s: t.quota_per_s }).collect(),
         caps: api::Caps {
             cancelling: f.caps.cancelling,
             retry_after: f.caps.retry_after,
-            max_retry_after: f.caps.max_retry_after,
-            try_limit: f.caps.try_limit,
+            max_retry_after_ms: f.caps.max_retry_after,
+            max_attempts: f.caps.try_limit,
         },
         rules: api::Rules {
-            cold_from: f.guarantees.cold_from,
-            cold: f.guarantees.cold,
-            fall_multiple: f.guarantees.fall_multiple,
-            ask_within: f.guarantees.ask_within,
-            release_within: f.guarantees.release_within,
-            settle_after_doubt: f.guarantees.settle_after_doubt,
+            initial_capacity: f.guarantees.cold_from,
+            warm_up_ms: f.guarantees.cold,
+            overload_multiple: f.guarantees.fall_multiple,
+            max_silence_ms: f.guarantees.ask_within,
+            idle_close_within_ms: f.guarantees.release_within,
+            key_settle_ms: f.guarantees.settle_after_doubt,
         },
-        goal: api::Goal { worst_class: f.goal.worst_class, cross_zone: f.prices.cross_zone },
+        goal: api::Goal { worst_class_weight: f.goal.worst_class, cross_zone_price: f.prices.cross_zone },
         list_guard: api::ListGuard::default(),
     };
-    Ok(Facts { settings, site })
+    Ok(PlatformSettings { settings, site })
 }
--- a/src/balancer/roster.rs
+++ b/src/balancer/roster.rs
@@ -1,9 +1,9 @@
 //! The backends that take work, in order, and sums over them, kept up to date as news comes: the passing of
 //! time costs what is cold or out of service, and not what is listed.
 
-use crate::interface::*;
 use super::ordered_sum::{OrderedSum, place_from};
 use super::state::{Backend, Capacity, Exception, Roster};
+use crate::interface::*;
 
 impl Roster {
     /// Nobody yet. `home` is this copy's zone, where leaving it has a price.
@@ -72,7 +72,7 @@
         if !self.has(id) {
             return;
         }
-        let (started_at, ejected_until) = (b.entry.started_at, b.ejected_until);
+        let (started_at, ejected_until) = (b.entry.started_at_ms, b.ejected_until);
         let found = self.exceptions.binary_search_by_key(&id, |e| e.id);
         let was = found.is_ok_and(|at| self.exceptions[at].ejected_until > 0.0);
         self.moved |= was != b.ejected();
@@ -135,12 +135,12 @@
 impl Rules {
     /// How far a backend is on its way from cold to warm, from 0 to 1.
     fn grown(&self, started_at: f64, now: f64) -> f64 {
-        if started_at > 0.0 { ((now - started_at) / self.cold.max(1.0)).clamp(0.0, 1.0) } else { 1.0 }
+        if started_at > 0.0 { ((now - started_at) / self.warm_up_ms.max(1.0)).clamp(0.0, 1.0) } else { 1.0 }
     }
 
     /// Capacity that a backend surely has by now, as a share of its full one.
     pub(super) fn warmth(&self, started_at: f64, now: f64) -> f64 {
         let grown = self.grown(started_at, now);
-        self.cold_from.min(1.0) * (1.0 - grown) + grown
+        self.initial_capacity.min(1.0) * (1.0 - grown) + grown
     }
 }
--- a/src/balancer/state.rs
+++ b/src/balancer/state.rs
@@ -124,8 +124,8 @@
     pub moved: bool, // members or who of them is out of service, since the subset was drawn
 }
 
-/// What the subset takes of a part of the roster: from a place onwards, round its end, until so many healthy ones are
-/// in, and how many that are in all.
+/// What the subset takes of a part of the roster: from a place onwards, round its end, until so many healthy
+/// ones are in, and how many that are in all.
 #[derive(Default)]
 pub struct Segment {
     pub from: usize,
--- a/src/balancer/subset.rs
+++ b/src/balancer/subset.rs
@@ -2,8 +2,8 @@
 
 use super::Balancer;
 use super::list::OVERLAP;
-use crate::interface::*;
 use super::state::Segment;
+use crate::interface::*;
 
 const MIN_SUBSET: f64 = 5.0; // room for two picks when a member or two are out
 const CALLS_PER_MEMBER: f64 = 1.0; // own calls that a member carries before the subset widens
--- a/src/balancer/view.rs
+++ b/src/balancer/view.rs
@@ -1,8 +1,8 @@
 //! What operators are told of a copy's backends.
 
 use super::Balancer;
-use crate::interface::*;
 use super::state::Backend;
+use crate::interface::*;
 
 const SEEN_ERROR: f64 = 0.01; // error rate at which a backend gets clearly less
 
@@ -36,16 +36,16 @@
     }
 
     /// What each backend in the list gets, and why it is less than its weight says.
-    pub fn standings(&self, now: f64) -> impl Iterator<Item = (BackendId, Standing)> {
+    pub fn standings(&self, now: f64) -> impl Iterator<Item = (BackendId, TrafficShare)> {
         let listed = self.backends.iter().filter(|(_, b)| b.entry.phase != Phase::Gone);
         listed.map(move |(id, b)| {
             let standing = match () {
-                () if b.entry.phase == Phase::Draining => Standing::Draining,
-                () if b.ejected() => Standing::Ejected,
-                () if b.warmth(&self.s.rules, now) < 1.0 => Standing::Cold,
-                () if self.seat(*id).is_none() => Standing::Subset,
-                () if b.error > SEEN_ERROR || self.slowness(b) > 1.0 => Standing::Slow,
-                () => Standing::Full,
+                () if b.entry.phase == Phase::Draining => TrafficShare::Draining,
+                () if b.ejected() => TrafficShare::Ejected,
+                () if b.warmth(&self.s.rules, now) < 1.0 => TrafficShare::WarmingUp,
+                () if self.seat(*id).is_none() => TrafficShare::OutsideSubset,
+                () if b.error > SEEN_ERROR || self.slowness(b) > 1.0 => TrafficShare::Slow,
+                () => TrafficShare::Full,
             };
             (*id, standing)
         })
--- a/src/bin/proxy/config/error.rs
+++ b/src/bin/proxy/config/error.rs
@@ -1,9 +1,9 @@
 //! Why a configuration cannot be used, and what to change in it.
 
-use std::io;
-use std::path::PathBuf;
 use load_balancer::catalog::ServiceNameError;
 use load_balancer::platform_settings;
+use std::io;
+use std::path::PathBuf;
 
 /// Why a configuration cannot be used. Each is one line.
 #[derive(Debug, thiserror::Error)]
--- a/src/bin/proxy/config/file.rs
+++ b/src/bin/proxy/config/file.rs
@@ -1,10 +1,10 @@
 //! What the configuration file may hold.
 
 use crate::recorder;
-use serde::Deserialize;
 use load_balancer::client::discovery::Backoff;
 use load_balancer::client::list::Page;
 use load_balancer::client::{membership, route_table};
+use serde::Deserialize;
 
 /// The platform's file has keys that nothing here needs; they are passed over.
 #[derive(Deserialize)]
--- a/src/bin/proxy/config/mod.rs
+++ b/src/bin/proxy/config/mod.rs
@@ -12,16 +12,16 @@
 use crate::recorder;
 use clap::Parser;
 use file::{Addresses, File};
-use std::env;
-use std::net::SocketAddr;
-use std::path::PathBuf;
-use load_balancer::interface::ListGuard;
 use load_balancer::catalog::ServiceName;
 use load_balancer::client::discovery::Backoff;
 use load_balancer::client::list::Page;
 use load_balancer::client::registry::MAX_REGISTRIES;
 use load_balancer::client::{membership, route_table};
-use load_balancer::platform_settings::{self, Facts};
+use load_balancer::interface::ListGuard;
+use load_balancer::platform_settings::{self, PlatformSettings};
+use std::env;
+use std::net::SocketAddr;
+use std::path::PathBuf;
 
 /// All that a start needs.
 pub struct Config {
@@ -44,7 +44,7 @@
     /// The list of backends as this proxy last had it.
     pub known: Option<Page>,
     /// The settings.
-    pub facts: Facts,
+    pub facts: PlatformSettings,
     /// How it takes part among the proxies of its tier, if it does.
     pub membership: Option<membership::Settings>,
     /// How it has its picks weighed by the route table, if it does.
@@ -109,9 +109,10 @@
     let text = file.record.as_ref().map_or_else(String::new, |_| file.settings.to_string());
     let mut facts = platform_settings::read(file.settings)?;
     // Under the platform's protocol a change that was told binds at once: there the guard is off unless asked for.
-    facts.settings.list_guard = file
-        .list_guard
-        .map_or(ListGuard::default(), |g| ListGuard { panic_threshold: g.panic_threshold, hold: g.hold_ms });
+    facts.settings.list_guard = file.list_guard.map_or(ListGuard::default(), |g| ListGuard {
+        panic_threshold: g.panic_threshold,
+        confirm_after_ms: g.hold_ms,
+    });
     if let Some(what) = check::wrong(file.limits.sockets, &facts) {
         return Err(Error::Value(what));
     }
--- a/src/bin/proxy/counters.rs
+++ b/src/bin/proxy/counters.rs
@@ -1,10 +1,10 @@
 //! What operators are told in figures. Each request and each attempt is counted once, where it ends.
 
+use load_balancer::client::route_table::Totals;
+use load_balancer::interface::Census;
 use serde_json::{Map, Value, json};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
-use load_balancer::interface::Census;
-use load_balancer::client::route_table::Totals;
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/bin/proxy/downstream/answer.rs
+++ b/src/bin/proxy/downstream/answer.rs
@@ -2,11 +2,11 @@
 
 use super::Front;
 use super::reply::{Reply, closing, plain, write};
-use crate::upstream::Served;
 use crate::body::Flow;
 use crate::counters::Record;
 use crate::engine::{Answer, Incoming};
 use crate::io::{Client, Progress};
+use crate::upstream::Served;
 use hyper::body::{Body, Incoming as Inflow};
 use hyper::header::EXPECT;
 use hyper::{Request, StatusCode};
--- a/src/bin/proxy/downstream/mod.rs
+++ b/src/bin/proxy/downstream/mod.rs
@@ -8,13 +8,14 @@
 use crate::body::{self, Room};
 use crate::counters::Counters;
 use crate::engine::Engine;
-use crate::lifecycle::{LINGER, Lifecycle};
 use crate::io::{ClientStream, Watched};
+use crate::lifecycle::{LINGER, Lifecycle};
 use hyper::StatusCode;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::TokioTimer;
 use linger::Lingering;
+use load_balancer::platform_settings::PlatformSettings;
 use reply::{closing, plain};
 use std::cell::Cell;
 use std::future::ready;
@@ -26,7 +27,6 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
-use load_balancer::platform_settings::Facts;
 
 /// A caller may take so long to send a request's head, and may be idle for so long before it.
 const HEAD: Duration = Duration::from_secs(60);
@@ -56,7 +56,7 @@
     /// Decides them.
     pub engine: Rc<Engine>,
     /// The settings.
-    pub facts: Facts,
+    pub facts: PlatformSettings,
     /// Counts them.
     pub counters: Rc<Counters>,
     /// Whether clients are taken.
--- a/src/bin/proxy/downstream/reply.rs
+++ b/src/bin/proxy/downstream/reply.rs
@@ -1,9 +1,9 @@
 //! What a caller is answered, and the answer's body.
 
-use crate::upstream::Served;
 use crate::body::{Held, Paced};
 use crate::counters::{Ending, Record};
 use crate::engine::Answer;
+use crate::upstream::Served;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use hyper::header::{CONNECTION, HeaderValue, RETRY_AFTER};
--- a/src/bin/proxy/downstream/request.rs
+++ b/src/bin/proxy/downstream/request.rs
@@ -2,22 +2,22 @@
 
 use super::Front;
 use super::reply::{Reply, plain};
-use crate::upstream::Call;
 use crate::body::{self, Paced, Rest};
 use crate::counters::Record;
 use crate::engine::{Incoming, millis};
 use crate::io::{Client, Progress};
+use crate::upstream::Call;
 use bytes::BytesMut;
 use hyper::body::{Body, Incoming as Inflow};
 use hyper::header::{ALLOW, EXPECT, HOST, HeaderMap, HeaderValue};
 use hyper::{Method, Request, StatusCode, Uri};
+use load_balancer::interface::Idempotency;
 use percent_encoding::percent_decode_str;
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::task::spawn_local;
 use tokio::time::Instant;
-use load_balancer::interface::Effect;
 
 /// Longest time that a caller may say it waits, unless a class of the settings has a longer one.
 const MAX_PATIENCE: Duration = Duration::from_secs(600);
@@ -45,13 +45,13 @@
         };
         let patience =
             one(&head.headers, "req-deadline-ms").and_then(|d| d.to_str().ok()?.parse::<u64>().ok());
-        let longest = MAX_PATIENCE.max(millis(self.facts.site.longest_wait));
+        let longest = MAX_PATIENCE.max(millis(self.facts.site.longest_client_timeout_ms));
         let patience = Duration::from_millis(patience.ok_or_else(bad)?).min(longest);
         let key = one(&head.headers, "idempotency-key").cloned();
-        let (method, keyed) = match self.facts.settings.classes[class].effect {
-            Effect::Retryable => (Method::GET, None),
-            Effect::Dedup { .. } => (Method::POST, Some(true)),
-            Effect::Fragile => (Method::POST, Some(false)),
+        let (method, keyed) = match self.facts.settings.classes[class].idempotency {
+            Idempotency::Idempotent => (Method::GET, None),
+            Idempotency::Keyed { .. } => (Method::POST, Some(true)),
+            Idempotency::NonIdempotent => (Method::POST, Some(false)),
         };
         if head.method != method {
             let mut reply = plain(StatusCode::METHOD_NOT_ALLOWED);
--- a/src/bin/proxy/engine/act.rs
+++ b/src/bin/proxy/engine/act.rs
@@ -4,9 +4,9 @@
 use super::clock::millis;
 use super::request::Answer;
 use super::state::State;
+use load_balancer::interface::{Action, Event};
 use std::rc::Rc;
 use tokio::time::{Instant, sleep};
-use load_balancer::interface::{Action, Event};
 
 impl Engine {
     /// Tells the module of an event and carries out what it decides, and so on until all is quiet.
@@ -25,8 +25,10 @@
 
     fn act(self: &Rc<Self>, s: &mut State, action: Action) {
         match action {
-            Action::Send { request, backend, not_past } => self.send(s, request, backend, not_past),
-            Action::Refuse { request, retry_after } => {
+            Action::Send { request, backend, deadline_ms: not_past } => {
+                self.send(s, request, backend, not_past)
+            }
+            Action::Reject { request, retry_after_ms: retry_after } => {
                 let retry_after = Some(millis(retry_after)).filter(|d| !d.is_zero());
                 s.answer(request, Answer::Refused { retry_after });
             }
@@ -39,14 +41,14 @@
                     let _ = cancel.send(());
                 }
             }
-            Action::WakeMe { delay, token } => {
+            Action::SetTimer { delay_ms: delay, token } => {
                 let engine = self.clone();
                 tokio::task::spawn_local(async move {
                     sleep(millis(delay)).await;
-                    engine.tell(Event::Wake { token });
+                    engine.tell(Event::TimerFired { token });
                 });
             }
-            Action::Close { backend } => {
+            Action::CloseIdle { backend } => {
                 if let Some(target) = s.targets.get(&backend) {
                     self.pool.close(target.dial);
                 }
@@ -55,7 +57,7 @@
                 self.watching.send_replace(on);
             }
             Action::Withdraw { backend } => s.withdraw(backend, &self.pool),
-            Action::Relist => {
+            Action::Resync => {
                 self.relist.set(true);
                 self.watching.send_replace(true);
             }
--- a/src/bin/proxy/engine/attempts.rs
+++ b/src/bin/proxy/engine/attempts.rs
@@ -3,12 +3,12 @@
 use super::Engine;
 use super::request::{Answer, Life, Open, Out};
 use super::state::State;
-use crate::upstream::{Attempt, End};
 use crate::body::Flow;
+use crate::upstream::{Attempt, End};
+use load_balancer::interface::{BackendId, Event, Outcome, RequestId, Resolved};
 use std::rc::Rc;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
-use load_balancer::interface::{BackendId, Event, Outcome, RequestId, Resolved};
 
 impl Engine {
     pub(super) fn send(
@@ -22,14 +22,14 @@
         let number = open.attempts.len();
         if matches!(open.life, Life::Owed(_)) && open.call.left() {
             open.answer(Answer::Broken);
-            s.events.push_back(Event::Hangup { request });
+            s.events.push_back(Event::ClientGone { request });
         }
         let sent = Instant::now();
         let target = s.targets.get(&backend);
-        let within = number < self.facts.settings.caps.try_limit as usize;
+        let within = number < self.facts.settings.caps.max_attempts as usize;
         let Some(target) = target.filter(|_| within && matches!(open.life, Life::Owed(_))) else {
             open.attempts.push(None);
-            s.events.push_back(resolved(request, number, backend, Outcome::Moot, 0.0, open));
+            s.events.push_back(resolved(request, number, backend, Outcome::NotSent, 0.0, open));
             self.observe_moot(request, number, backend);
             return;
         };
@@ -81,5 +81,13 @@
 ) -> Event {
     let (attempt, closed) = (number as u8, matches!(open.life, Life::Over));
     let spent = open.call.rest.as_ref().is_some_and(|r| r.passed());
-    Event::Resolved(Resolved { request, attempt, backend, outcome, wait, closed, spent })
+    Event::Resolved(Resolved {
+        request,
+        attempt,
+        backend,
+        outcome,
+        latency_ms: wait,
+        request_ended: closed,
+        body_consumed: spent,
+    })
 }
--- a/src/bin/proxy/engine/decide.rs
+++ b/src/bin/proxy/engine/decide.rs
@@ -4,14 +4,14 @@
 use super::clock::millis;
 use super::request::{Answer, Here, Incoming, Life, Open, backstop};
 use super::state::hash;
-use crate::upstream::{MARGIN, margin};
 use crate::body::Flow;
+use crate::upstream::{MARGIN, margin};
+use load_balancer::interface::{Arrival, Event, Idempotency};
+use load_balancer::replay::Ending;
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep_until};
-use load_balancer::interface::{Arrival, Effect, Event};
-use load_balancer::replay::Ending;
 
 impl Engine {
     /// Takes a request and waits for its one answer. Dropped before that, the caller has hung up.
@@ -33,15 +33,17 @@
         let name = self.observer.as_ref().map(|_| incoming.call.id.clone());
         let request = {
             let s = &mut *self.state.borrow_mut();
-            if s.requests.len() >= self.facts.site.open_cap {
+            if s.requests.len() >= self.facts.site.max_open_requests {
                 return Answer::Refused { retry_after: None };
             }
             let id = s.next;
             s.next += 1;
             let call = Rc::new(incoming.call);
-            let window = match self.facts.settings.classes[usize::from(incoming.class)].effect {
-                Effect::Dedup { window, .. } => Some(millis(window - self.facts.settings.tick)),
-                Effect::Retryable | Effect::Fragile => None,
+            let window = match self.facts.settings.classes[usize::from(incoming.class)].idempotency {
+                Idempotency::Keyed { dedup_window_ms: window, .. } => {
+                    Some(millis(window - self.facts.settings.tick_ms))
+                }
+                Idempotency::Idempotent | Idempotency::NonIdempotent => None,
             };
             let (life, attempts) = (Life::Owed(caller), Vec::new());
             s.requests.insert(id, Open { call, life, attempts, window, ran: None });
@@ -49,7 +51,7 @@
         };
         let here = Here { engine: self.clone(), request, ending: Cell::new(Ending::Left) };
         let (class, tenant, coming) = (incoming.class, incoming.tenant, rest.is_some());
-        let arrival = Arrival { request, key, class, tenant, deadline, coming };
+        let arrival = Arrival { request, key, class, tenant, deadline_ms: deadline, body_pending: coming };
         self.observe_arrival(name, &arrival, incoming.patience);
         self.tell(Event::Request(arrival));
         let mut whole = incoming.received;
@@ -61,7 +63,7 @@
             };
             let Flow::Whole(at) = flow else { return Answer::Broken };
             whole = at;
-            self.tell(Event::Whole { request, deadline: due(at) });
+            self.tell(Event::BodyComplete { request, deadline_ms: due(at) });
         }
         let limit = limit(whole);
         here.ends(tokio::select! {
--- a/src/bin/proxy/engine/list.rs
+++ b/src/bin/proxy/engine/list.rs
@@ -3,12 +3,12 @@
 use super::Engine;
 use super::state::State;
 use crate::upstream::Target;
+use load_balancer::client::discovery::Listener;
+use load_balancer::client::list::{Health, Host};
+use load_balancer::interface::{Census, Entry, Event, ListKind, Phase};
 use std::cell::Cell;
 use std::rc::Rc;
 use tracing::{info, warn};
-use load_balancer::interface::{Census, Entry, Event, ListKind, Phase};
-use load_balancer::client::discovery::Listener;
-use load_balancer::client::list::{Health, Host};
 
 /// The engine as discovery's client knows it.
 pub struct ListedEngine(pub Rc<Engine>);
@@ -101,6 +101,6 @@
             }
         }
         let (zone, started_at, weight, cell) = (zone as u16, h.born_ms.max(0.0), h.share.max(0.0), h.block);
-        Some(Entry { backend, phase, zone, started_at, weight, cell })
+        Some(Entry { backend, phase, zone, started_at_ms: started_at, weight, cell })
     }
 }
--- a/src/bin/proxy/engine/mod.rs
+++ b/src/bin/proxy/engine/mod.rs
@@ -14,9 +14,12 @@
 pub use list::ListedEngine;
 pub use request::{Answer, Incoming};
 
-use crate::upstream::Pool;
 use crate::observer::Observer;
+use crate::upstream::Pool;
 use clock::Clock;
+use load_balancer::Balancer;
+use load_balancer::interface::{Census, Event, RequestId, SettingsError};
+use load_balancer::platform_settings::PlatformSettings;
 use request::Life;
 use state::State;
 use std::cell::{Cell, RefCell};
@@ -24,16 +27,13 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until};
-use load_balancer::Balancer;
-use load_balancer::interface::{Census, Event, RequestId, SettingsError};
-use load_balancer::platform_settings::Facts;
 
 /// The proxy's middle. Everything runs on one thread, so that events have one order.
 pub struct Engine {
     state: RefCell<State>,
     pool: Rc<Pool>,
     clock: Clock,
-    facts: Facts,
+    facts: PlatformSettings,
     watching: watch::Sender<bool>,
     /// The module wants the whole list anew.
     relist: Cell<bool>,
@@ -46,7 +46,7 @@
 impl Engine {
     /// Starts the module. What it asks of discovery comes through `watching`.
     pub fn new(
-        facts: Facts,
+        facts: PlatformSettings,
         seed: u64,
         pool: Rc<Pool>,
         watching: watch::Sender<bool>,
@@ -84,7 +84,7 @@
 
     /// So many processes stand for this copy.
     pub fn processes(self: &Rc<Self>, processes: u32) {
-        self.tell(Event::Processes { processes });
+        self.tell(Event::LocalProcesses { processes });
     }
 
     /// So many proxies of the tier are present, as the members tell each other.
@@ -108,7 +108,7 @@
                 s.requests.values_mut().for_each(|r| r.answer(Answer::TimedOut));
                 s.requests.keys().copied().collect()
             };
-            open.into_iter().for_each(|request| engine.tell(Event::Hangup { request }));
+            open.into_iter().for_each(|request| engine.tell(Event::ClientGone { request }));
         });
     }
 }
--- a/src/bin/proxy/engine/observe.rs
+++ b/src/bin/proxy/engine/observe.rs
@@ -2,19 +2,19 @@
 
 use super::Engine;
 use hyper::header::HeaderValue;
+use load_balancer::interface::{Arrival, BackendId, Event, Outcome, RequestId, TrafficShare};
+use load_balancer::replay::Ending;
+use load_balancer::route_table::{LeftOut, Revision, Weights};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
-use load_balancer::interface::{Arrival, BackendId, Event, Outcome, RequestId, Standing};
-use load_balancer::replay::Ending;
-use load_balancer::route_table::{LeftOut, Revision, Weights};
 
 impl Engine {
     /// Another table: each backend that is listed is weighed by it, now and after each change of the list.
     pub fn weigh(self: &Rc<Self>, revision: Revision, table: Weights) {
         if let Some(observer) = &self.observer {
             let weights = observer.weigh(self.now(), revision, table);
-            self.tell(Event::Weights { weights });
+            self.tell(Event::RouteWeights { weights });
         }
     }
 
@@ -26,12 +26,12 @@
     /// All that are listed, and why one gets less than its weight says.
     pub fn standings(&self) -> Vec<(BackendId, Option<LeftOut>)> {
         let why = |standing| match standing {
-            Standing::Full => None,
-            Standing::Ejected => Some(LeftOut::Ejected),
-            Standing::Cold => Some(LeftOut::Cold),
-            Standing::Draining => Some(LeftOut::Draining),
-            Standing::Subset => Some(LeftOut::Subset),
-            Standing::Slow => Some(LeftOut::Slow),
+            TrafficShare::Full => None,
+            TrafficShare::Ejected => Some(LeftOut::Ejected),
+            TrafficShare::WarmingUp => Some(LeftOut::Cold),
+            TrafficShare::Draining => Some(LeftOut::Draining),
+            TrafficShare::OutsideSubset => Some(LeftOut::Subset),
+            TrafficShare::Slow => Some(LeftOut::Slow),
         };
         let state = self.state.borrow();
         state.balancer.standings(self.now()).map(|(backend, standing)| (backend, why(standing))).collect()
@@ -45,7 +45,7 @@
     /// Those that a list names have their weights before the module hears of them.
     pub(super) fn weigh_newcomers(self: &Rc<Self>) {
         if let Some(observer) = self.observer.as_ref().filter(|observer| observer.untold()) {
-            self.tell(Event::Weights { weights: observer.weights() });
+            self.tell(Event::RouteWeights { weights: observer.weights() });
         }
     }
 
--- a/src/bin/proxy/engine/request.rs
+++ b/src/bin/proxy/engine/request.rs
@@ -2,13 +2,13 @@
 
 use super::Engine;
 use crate::upstream::{Call, Served};
+use load_balancer::interface::{BackendId, Event, RequestId};
+use load_balancer::replay::Ending;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
-use load_balancer::interface::{BackendId, Event, RequestId};
-use load_balancer::replay::Ending;
 
 /// A request still without an answer so long before the caller's deadline is failed whatever the module says.
 const BACKSTOP: Duration = Duration::from_millis(10);
@@ -134,7 +134,7 @@
             left
         };
         if left {
-            self.engine.tell(Event::Hangup { request: self.request });
+            self.engine.tell(Event::ClientGone { request: self.request });
         }
         self.engine.observe_end(self.request, self.ending.get());
     }
--- a/src/bin/proxy/engine/state.rs
+++ b/src/bin/proxy/engine/state.rs
@@ -2,12 +2,12 @@
 
 use super::request::{Answer, Open};
 use crate::upstream::{Pool, Target};
+use load_balancer::interface::{Action, BackendId, Event, ListKind, RequestId};
+use load_balancer::{Balancer, backend_id};
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::rc::Rc;
 use tokio::time::Instant;
-use load_balancer::interface::{Action, BackendId, Event, ListKind, RequestId};
-use load_balancer::{Balancer, backend_id};
 
 pub(super) struct State {
     pub(super) balancer: Balancer,
--- a/src/bin/proxy/error.rs
+++ b/src/bin/proxy/error.rs
@@ -1,10 +1,10 @@
 //! Why the program ends.
 
 use crate::config;
+use load_balancer::client::membership;
+use load_balancer::interface::SettingsError;
 use std::io;
 use std::net::SocketAddr;
-use load_balancer::interface::SettingsError;
-use load_balancer::client::membership;
 
 /// Why the program ends. Each is one line.
 #[derive(Debug, thiserror::Error)]
--- a/src/bin/proxy/main.rs
+++ b/src/bin/proxy/main.rs
@@ -2,33 +2,36 @@
 
 #![forbid(unsafe_code)]
 
-mod upstream;
 mod body;
 mod config;
 mod counters;
 mod descriptors;
+mod downstream;
 mod engine;
 mod error;
-mod downstream;
 mod handover;
+mod io;
 mod lifecycle;
 mod log;
 mod observer;
 mod ops;
 mod recorder;
 mod route_table;
-mod io;
+mod upstream;
 
-use upstream::Pool;
 use body::Room;
 use config::Config;
 use counters::Counters;
 use descriptors::Descriptors;
+use downstream::Front;
 use engine::{Engine, ListedEngine, millis};
 use error::Error;
-use downstream::Front;
 use handover::Siblings;
 use lifecycle::{FLOWS, LINGER, Lifecycle};
+use load_balancer::client::discovery;
+use load_balancer::client::membership::Membership;
+use load_balancer::client::traffic::Traffic;
+use load_balancer::interface::ListKind;
 use observer::Observer;
 use ops::Ops;
 use std::cell::Cell;
@@ -42,10 +45,7 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, timeout};
 use tracing::{error, info, warn};
-use load_balancer::interface::ListKind;
-use load_balancer::client::discovery;
-use load_balancer::client::membership::Membership;
-use load_balancer::client::traffic::Traffic;
+use upstream::Pool;
 
 /// A start waits so long for discovery's first list before it takes clients.
 const FIRST_LIST: Duration = Duration::from_millis(1500);
@@ -88,10 +88,10 @@
     let limits = upstream::Limits {
         connections: usable / 2,
         processes: processes.subscribe(),
-        connect: millis(site.connect_timeout),
-        idle: millis(site.conn_idle),
-        drain_grace: millis(site.drain_grace),
-        may_duplicate: site.may_duplicate,
+        connect: millis(site.connect_timeout_ms),
+        idle: millis(site.connection_idle_ms),
+        drain_grace: millis(site.drain_grace_ms),
+        may_duplicate: site.may_hedge,
     };
     let room = Room::new(config.memory / HELD_SHARE);
     let pool = Rc::new(Pool::new(limits, counters.attempts(), room.clone()));
@@ -191,7 +191,7 @@
         }
     });
     let connections = usable - usable / 2;
-    let last = lifecycle::last_answer(millis(config.facts.site.longest_wait));
+    let last = lifecycle::last_answer(millis(config.facts.site.longest_client_timeout_ms));
     let bound = listener.local_addr();
     let bound =
         bound.map_err(|source| Error::Listen { what: "listening", address: config.listen, source })?;
--- a/src/bin/proxy/observer.rs
+++ b/src/bin/proxy/observer.rs
@@ -1,16 +1,16 @@
 //! What the engine tells of its backends and calls, counted where they pass: for the reports, and for the recorder.
 
 use crate::recorder::Recording;
+use load_balancer::client::list::Host;
+use load_balancer::client::route_table::Tally;
+use load_balancer::interface::{Arrival, AttemptNo, BackendId, Outcome, RequestId};
+use load_balancer::replay::{Ending, Listed};
+use load_balancer::route_table::{Revision, Weights};
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::hash_map::Entry;
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 use std::time::Duration;
-use load_balancer::interface::{Arrival, AttemptNo, BackendId, Outcome, RequestId};
-use load_balancer::client::list::Host;
-use load_balancer::client::route_table::Tally;
-use load_balancer::replay::{Ending, Listed};
-use load_balancer::route_table::{Revision, Weights};
 
 /// A backend as the list names it, and what went to it.
 struct Place {
@@ -157,7 +157,7 @@
     pub fn moot(&self, now: f64, request: RequestId, number: AttemptNo, backend: BackendId) {
         if let Some(recording) = self.recording.get() {
             recording.sent(now, request, backend, 0);
-            recording.replied(now, request, number, Outcome::Moot);
+            recording.replied(now, request, number, Outcome::NotSent);
         }
     }
 
--- a/src/bin/proxy/ops.rs
+++ b/src/bin/proxy/ops.rs
@@ -4,6 +4,8 @@
 use crate::engine::Engine;
 use crate::lifecycle::{Lifecycle, Phase};
 use crate::recorder::Recording;
+use load_balancer::client::membership::Membership;
+use load_balancer::client::route_table::Routes;
 use std::collections::VecDeque;
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,8 +14,6 @@
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
-use load_balancer::client::membership::Membership;
-use load_balancer::client::route_table::Routes;
 
 /// Most callers at once. One more takes the place of the one that has been here longest without a whole call:
 /// those who say nothing keep nobody out.
--- a/src/bin/proxy/recorder.rs
+++ b/src/bin/proxy/recorder.rs
@@ -2,6 +2,13 @@
 //! request: segments are cut from time to time, encoded on a thread of their own, and the oldest go where none takes them.
 
 use hyper::Method;
+use load_balancer::client::registry::{Call, Fault, PAUSES, Rotation, call};
+use load_balancer::client::route_table::Identity;
+use load_balancer::client::traffic::{Kind, Traffic};
+use load_balancer::interface::{Arrival, AttemptNo, BackendId, Outcome, RequestId};
+use load_balancer::replay::{
+    About, Ending, Listed, MAX_BACKENDS, MAX_TRACES, Recorder, Reply, SAMPLED_OF, Segment,
+};
 use serde::Deserialize;
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
@@ -13,13 +20,6 @@
 use tokio::task::spawn_blocking;
 use tokio::time::sleep;
 use tracing::{info, warn};
-use load_balancer::interface::{Arrival, AttemptNo, BackendId, Outcome, RequestId};
-use load_balancer::client::registry::{Call, Fault, PAUSES, Rotation, call};
-use load_balancer::client::route_table::Identity;
-use load_balancer::client::traffic::{Kind, Traffic};
-use load_balancer::replay::{
-    About, Ending, Listed, MAX_BACKENDS, MAX_TRACES, Recorder, Reply, SAMPLED_OF, Segment,
-};
 
 /// How often it is looked whether a segment is due.
 const LOOK: Duration = Duration::from_millis(250);
@@ -240,11 +240,11 @@
         Outcome::Ok => Reply::Ok,
         Outcome::Error => Reply::Error,
         Outcome::Malformed => Reply::Malformed,
-        Outcome::Full => Reply::Full,
+        Outcome::Rejected => Reply::Full,
         Outcome::Timeout => Reply::Timeout,
         Outcome::ConnectFailed => Reply::ConnectFailed,
         Outcome::Reset => Reply::Reset,
         Outcome::Cancelled => Reply::Cancelled,
-        Outcome::Moot => Reply::Moot,
+        Outcome::NotSent => Reply::Moot,
     }
 }
--- a/src/bin/proxy/route_table/proxy.rs
+++ b/src/bin/proxy/route_table/proxy.rs
@@ -3,10 +3,10 @@
 use crate::counters::Counters;
 use crate::engine::Engine;
 use crate::observer::Observer;
-use std::collections::BTreeMap;
-use std::rc::Rc;
 use load_balancer::client::route_table::{RoutedProxy, Tally, Totals};
 use load_balancer::route_table::{LeftOut, Revision, Weights};
+use std::collections::BTreeMap;
+use std::rc::Rc;
 
 /// The engine, and what is counted about it.
 pub(super) struct ObservedEngine {
--- a/src/bin/proxy/route_table/start.rs
+++ b/src/bin/proxy/route_table/start.rs
@@ -6,13 +6,13 @@
 use crate::engine::Engine;
 use crate::observer::Observer;
 use crate::recorder::Recording;
+use load_balancer::client::membership::Membership;
+use load_balancer::client::route_table::{Identity, Routes};
+use load_balancer::client::traffic::Traffic;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::watch;
 use tokio::task::spawn_local;
-use load_balancer::client::membership::Membership;
-use load_balancer::client::route_table::{Identity, Routes};
-use load_balancer::client::traffic::Traffic;
 
 /// Connections that these may hold: a watch, a report and a segment, and the next of each.
 pub const DESCRIPTORS: usize = 6;
--- a/src/bin/proxy/upstream/attempt.rs
+++ b/src/bin/proxy/upstream/attempt.rs
@@ -6,6 +6,7 @@
 use bytes::{Bytes, BytesMut};
 use hyper::header::{CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::{Response, StatusCode};
+use load_balancer::interface::Outcome;
 use std::future::pending;
 use std::io;
 use std::pin::pin;
@@ -13,7 +14,6 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout, timeout_at};
-use load_balancer::interface::Outcome;
 
 /// An answer that does not tell its length and is not whole so long after its first bytes is passed on as it comes. Where
 /// less time is left than this, its attempt is given up before.
@@ -60,7 +60,7 @@
             }
         });
         // Without its last byte it is no request, and its sender's pace says nothing of the backend.
-        let unserved = |given_up| End::Unserved(if call.came() { given_up } else { Outcome::Moot });
+        let unserved = |given_up| End::Unserved(if call.came() { given_up } else { Outcome::NotSent });
         let link = tokio::select! {
             biased;
             // Given up in the very step in which its connection came up, nothing of it is written.
@@ -69,7 +69,7 @@
         };
         let link = match link {
             // Its dial may have come up long after it was decided.
-            Ok(_) if begin_by.is_some_and(|by| Instant::now() >= by) => Err(Outcome::Moot),
+            Ok(_) if begin_by.is_some_and(|by| Instant::now() >= by) => Err(Outcome::NotSent),
             link => link,
         };
         let link = match link {
@@ -107,10 +107,10 @@
     // The connect may have begun before the backend was told to drain and ended long after: by then a send
     // would break the drain. Half the grace leaves room for a late loop and a slow write.
     if target.drained.get().is_some_and(|told| told.elapsed() > pool.limits.drain_grace / 2) {
-        return Err(Outcome::Moot);
+        return Err(Outcome::NotSent);
     }
     if call.left() {
-        return Err(Outcome::Moot);
+        return Err(Outcome::NotSent);
     }
     Ok(link)
 }
@@ -124,11 +124,11 @@
     not_past: Instant,
 ) -> End {
     let Some(request) = call.request(&link.progress, not_past) else {
-        return End::Unserved(Outcome::Moot);
+        return End::Unserved(Outcome::NotSent);
     };
     let answer = match link.sender.send_request(request).await {
         Ok(answer) => answer,
-        Err(_) if !call.came() && call.broken() => return End::Unserved(Outcome::Moot),
+        Err(_) if !call.came() && call.broken() => return End::Unserved(Outcome::NotSent),
         // Only the connection knows whether the backend can have the whole request.
         Err(_) if link.progress.whole() => return End::Unserved(Outcome::Reset),
         Err(_) => return End::Unserved(Outcome::ConnectFailed),
@@ -137,7 +137,7 @@
     let end = read(answer, &pool.room, call.due()).await;
     // A backend begins with a request's last byte: what comes before that is no answer to it, but it may well be turned
     // away by then. What is left of the request is never written.
-    if early && end.outcome() != Outcome::Full {
+    if early && end.outcome() != Outcome::Rejected {
         let ran = link.progress.whole();
         link.progress.abandon();
         return End::Unserved(if ran { Outcome::Reset } else { Outcome::ConnectFailed });
@@ -171,7 +171,7 @@
     match head.status {
         StatusCode::OK => End::Served(served),
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => {
-            End::Unserved(Outcome::Full)
+            End::Unserved(Outcome::Rejected)
         }
         StatusCode::BAD_REQUEST => End::Unserved(Outcome::Malformed),
         _ => End::Unserved(Outcome::Error),
--- a/src/bin/proxy/upstream/mod.rs
+++ b/src/bin/proxy/upstream/mod.rs
@@ -10,10 +10,10 @@
 
 use crate::body::{Held, Paced};
 use bytes::Bytes;
+use load_balancer::interface::Outcome;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use tokio::time::Instant;
-use load_balancer::interface::Outcome;
 
 /// A backend's answer to pass on.
 pub struct Served {
--- a/src/bin/proxy/upstream/pool.rs
+++ b/src/bin/proxy/upstream/pool.rs
@@ -5,6 +5,7 @@
 use crate::io::{Outgoing, Progress, Watched};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
+use load_balancer::interface::Outcome;
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -16,7 +17,6 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout};
-use load_balancer::interface::Outcome;
 
 /// Kept connections are given up at this share of the time after which backends close them (`caps.connIdle`).
 const RETIRE: f64 = 0.5;
@@ -143,14 +143,14 @@
         let Some(place) = Place::take(&self.open, most) else {
             // No descriptor to spare: that says nothing of the backend, and the request was never sent.
             self.evict();
-            return Err(Outcome::Moot);
+            return Err(Outcome::NotSent);
         };
         if self.open.get() >= most {
             self.evict();
         }
         let stream = match timeout(self.limits.connect, TcpStream::connect(dial)).await {
             Ok(Ok(stream)) => stream,
-            Ok(Err(e)) if out_of_descriptors(&e) => return Err(Outcome::Moot),
+            Ok(Err(e)) if out_of_descriptors(&e) => return Err(Outcome::NotSent),
             Ok(Err(_)) | Err(_) => return Err(Outcome::ConnectFailed),
         };
         stream.set_nodelay(true).map_err(|_| Outcome::ConnectFailed)?;
--- a/src/bin/registry/http/lists.rs
+++ b/src/bin/registry/http/lists.rs
@@ -7,10 +7,10 @@
 use crate::writer::{Fence, Shared, Want};
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
+use load_balancer::catalog::{Entry, ServiceName};
 use serde::Deserialize;
 use std::time::Duration;
 use tokio::time::timeout;
-use load_balancer::catalog::{Entry, ServiceName};
 
 /// Shortest and longest TTL of a registration.
 pub const TTL_MS: (u64, u64) = (100, 86_400_000);
--- a/src/bin/registry/http/query.rs
+++ b/src/bin/registry/http/query.rs
@@ -1,8 +1,8 @@
 //! Queries of watches.
 
+use load_balancer::catalog::{ServiceName, ServiceNameError};
 use std::time::Duration;
 use thiserror::Error;
-use load_balancer::catalog::{ServiceName, ServiceNameError};
 
 /// The longest a watch waits (PROTOCOL, "Discovery").
 pub const MAX_WAIT_MS: u64 = 60_000;
--- a/src/bin/registry/http/route_table.rs
+++ b/src/bin/registry/http/route_table.rs
@@ -9,11 +9,11 @@
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
+use load_balancer::replay::{BadSegment, MAX_ENCODED};
+use load_balancer::route_table::{DriftPage, Proposal, Report, Revision, StatePage, Weights};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use tokio::time::{Instant, timeout_at};
-use load_balancer::replay::{BadSegment, MAX_ENCODED};
-use load_balancer::route_table::{DriftPage, Proposal, Report, Revision, StatePage, Weights};
 
 /// Longest report, in bytes.
 const MAX_REPORT: usize = 1 << 20;
--- a/src/bin/registry/http/written.rs
+++ b/src/bin/registry/http/written.rs
@@ -5,9 +5,9 @@
 use crate::lease::Refused;
 use crate::writer::{Done, Failed, Order, Orders, Want};
 use hyper::StatusCode;
+use load_balancer::route_table::RouteRecord;
 use serde_json::{Value, json};
 use tokio::sync::oneshot;
-use load_balancer::route_table::RouteRecord;
 
 /// Hands a want to the writer and waits until it is on disk.
 pub async fn ordered(want: Want, orders: &Orders) -> Answer {
--- a/src/bin/registry/route_table/config.rs
+++ b/src/bin/registry/route_table/config.rs
@@ -1,9 +1,9 @@
 //! The keys under `[routes]`: the host's own here, all others the library's.
 
-use serde::Deserialize;
-use thiserror::Error;
 use load_balancer::replay::Bounds;
 use load_balancer::route_table::{Config as Control, ConfigError};
+use serde::Deserialize;
+use thiserror::Error;
 
 /// What the host goes by. Off unless `enabled`.
 #[derive(Deserialize, Clone, Debug, Default)]
--- a/src/bin/registry/route_table/held.rs
+++ b/src/bin/registry/route_table/held.rs
@@ -1,8 +1,8 @@
 //! What is known of the held segments without reading them, and what operators see of it.
 
+use load_balancer::replay::Segment;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashSet, VecDeque};
-use load_balancer::replay::Segment;
 
 /// What was left out or went since the start.
 #[derive(Serialize, Clone, Copy, Debug, Default)]
--- a/src/bin/registry/route_table/host.rs
+++ b/src/bin/registry/route_table/host.rs
@@ -8,18 +8,18 @@
 use crate::error::StartError;
 use crate::store::{MAX_RECORD, Record, State};
 use bytes::Bytes;
-use serde_json::{Value, json};
-use std::path::Path;
-use std::sync::{Arc, Mutex, MutexGuard};
-use thiserror::Error;
-use tokio::sync::watch;
-use tracing::{debug, info, warn};
 use load_balancer::catalog::{Entry, ServiceName};
 use load_balancer::replay::{Job, Listed};
 use load_balancer::route_table::{
     Backend, BadReport, Control, DriftPage, Effect, Finding, Outcome, Proposal, Refused, Report, Revision,
     RouteRecord, StatePage, Table,
 };
+use serde_json::{Value, json};
+use std::path::Path;
+use std::sync::{Arc, Mutex, MutexGuard};
+use thiserror::Error;
+use tokio::sync::watch;
+use tracing::{debug, info, warn};
 
 /// How often time is told to the decisions.
 const TICK_MS: u64 = 250;
--- a/src/bin/registry/route_table/judging.rs
+++ b/src/bin/registry/route_table/judging.rs
@@ -3,6 +3,8 @@
 
 use super::ring::Ring;
 use crate::error::StartError;
+use load_balancer::replay::{Job, Verdict, judge};
+use load_balancer::route_table::Revision;
 use serde_json::{Value, json};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
@@ -10,8 +12,6 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Instant;
 use tracing::{error, info, warn};
-use load_balancer::replay::{Job, Verdict, judge};
-use load_balancer::route_table::Revision;
 
 /// One judging.
 #[derive(Clone)]
--- a/src/bin/registry/route_table/pages.rs
+++ b/src/bin/registry/route_table/pages.rs
@@ -1,8 +1,8 @@
 //! Tables as bytes, made once for all that are meant to have the same: after a change a whole fleet asks.
 
 use bytes::Bytes;
-use serde::Serialize;
 use load_balancer::route_table::{Revision, Table, Weights};
+use serde::Serialize;
 
 /// Tables that are kept made into bytes: the one in force and the one that goes out, with one more each on a change.
 const MAX_PAGES: usize = 4;
--- a/src/bin/registry/route_table/ring.rs
+++ b/src/bin/registry/route_table/ring.rs
@@ -2,6 +2,7 @@
 //! that a power cut spoils is left out by its checksum, and stated as a gap in its proxy's numbers.
 
 use super::held::{Index, Kept, RingPage};
+use load_balancer::replay::{BadSegment, Segment};
 use serde::Serialize;
 use std::fs;
 use std::io;
@@ -9,7 +10,6 @@
 use std::sync::{Condvar, Mutex, MutexGuard};
 use thiserror::Error;
 use tracing::{info, warn};
-use load_balancer::replay::{BadSegment, Segment};
 
 /// Segments that are held at the most, however small.
 const MAX_SEGMENTS: usize = 1 << 16;
--- a/src/bin/registry/store/record.rs
+++ b/src/bin/registry/store/record.rs
@@ -3,9 +3,9 @@
 //! Updates of the service of no name have the form that they had before there were others.
 
 use crate::lease::Lease;
-use serde::{Deserialize, Serialize};
 use load_balancer::catalog::{Change, ServiceName, Update};
 use load_balancer::route_table::RouteRecord;
+use serde::{Deserialize, Serialize};
 
 /// What the log holds.
 pub enum Record {
--- a/src/bin/registry/store/snapshot.rs
+++ b/src/bin/registry/store/snapshot.rs
@@ -4,10 +4,10 @@
 
 use super::State;
 use crate::lease::Lease;
-use serde::{Deserialize, Serialize};
-use std::collections::VecDeque;
 use load_balancer::catalog::{Catalog, Change, Saved, SavedService, ServiceName};
 use load_balancer::route_table::RouteRecord;
+use serde::{Deserialize, Serialize};
+use std::collections::VecDeque;
 
 /// The whole state at one version: the snapshot's record.
 #[derive(Serialize, Deserialize)]
--- a/src/bin/registry/store/state.rs
+++ b/src/bin/registry/store/state.rs
@@ -2,9 +2,9 @@
 
 use super::Record;
 use crate::lease::Lease;
-use std::collections::BTreeMap;
 use load_balancer::catalog::Catalog;
 use load_balancer::route_table::RouteRecord;
+use std::collections::BTreeMap;
 
 /// The state as the log and the snapshot give it.
 pub struct State {
--- a/src/bin/registry/writer/deadlines.rs
+++ b/src/bin/registry/writer/deadlines.rs
@@ -2,9 +2,9 @@
 
 use super::records::{EntryId, Registration};
 use crate::store::State;
+use load_balancer::catalog::Health;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
-use load_balancer::catalog::Health;
 
 /// The deadline of every entry of every service.
 pub struct Deadlines {
--- a/src/bin/registry/writer/mod.rs
+++ b/src/bin/registry/writer/mod.rs
@@ -13,6 +13,7 @@
 use crate::lease::{Table, Written};
 use crate::store::{Log, Record, State};
 use deadlines::Deadlines;
+use load_balancer::catalog::{ServiceName, Update};
 use records::{Registration, records};
 use route_table::Batch;
 use std::collections::HashSet;
@@ -20,7 +21,6 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender};
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
-use load_balancer::catalog::{ServiceName, Update};
 
 /// How often lapsed TTLs are looked for.
 const TICK: Duration = Duration::from_millis(50);
--- a/src/bin/registry/writer/order.rs
+++ b/src/bin/registry/writer/order.rs
@@ -2,11 +2,11 @@
 
 use crate::lease::{Ask, Lease, Refused};
 use crate::route_table::TooLong;
+use load_balancer::catalog::{Entry, ServiceName};
+use load_balancer::route_table::{Proposal, Refused as NoProposal, RouteRecord};
 use serde::Deserialize;
 use std::time::Duration;
 use tokio::sync::oneshot;
-use load_balancer::catalog::{Entry, ServiceName};
-use load_balancer::route_table::{Proposal, Refused as NoProposal, RouteRecord};
 
 /// What was done, once it is on disk.
 #[derive(Clone, Debug)]
--- a/src/bin/registry/writer/records.rs
+++ b/src/bin/registry/writer/records.rs
@@ -1,9 +1,9 @@
 //! From orders to records.
 
 use crate::store::{Record, State};
+use load_balancer::catalog::{Change, Entry, Health, ServiceName, Update};
 use std::collections::HashMap;
 use std::time::Duration;
-use load_balancer::catalog::{Change, Entry, Health, ServiceName, Update};
 
 /// An entry among those of all services.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/src/bin/registry/writer/route_table.rs
+++ b/src/bin/registry/writer/route_table.rs
@@ -4,9 +4,9 @@
 use crate::lease::Table;
 use crate::route_table::Host;
 use crate::store::State;
+use load_balancer::route_table::{Proposal, RouteRecord};
 use std::time::Instant;
 use tracing::error;
-use load_balancer::route_table::{Proposal, RouteRecord};
 
 /// What a batch decides of the route table.
 #[derive(Default)]
--- a/src/bin/registry/writer/shared.rs
+++ b/src/bin/registry/writer/shared.rs
@@ -4,8 +4,8 @@
 use crate::route_table::Host;
 use crate::store::State;
 use bytes::Bytes;
-use std::sync::{Arc, Mutex, MutexGuard, RwLock, RwLockReadGuard};
 use load_balancer::catalog::{PageCache, ServiceName};
+use std::sync::{Arc, Mutex, MutexGuard, RwLock, RwLockReadGuard};
 
 /// Bytes of lists that are kept made, over all services.
 const MAX_PAGES: usize = 32 << 20;
--- a/src/bin/registry/writer/wake.rs
+++ b/src/bin/registry/writer/wake.rs
@@ -1,9 +1,9 @@
 //! Wakes the watches of a service when it has changed.
 
+use load_balancer::catalog::ServiceName;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::sync::watch;
-use load_balancer::catalog::ServiceName;
 
 /// The services that somebody waits for. One is in it only as long as that, whether it exists or not.
 #[derive(Default)]
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -5,12 +5,12 @@
 
 mod wire;
 
+use load_balancer::interface::Action;
+use load_balancer::{Balancer, platform_settings};
 use std::collections::HashMap;
 use std::io::{self, BufReader, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::process::ExitCode;
-use load_balancer::interface::Action;
-use load_balancer::{Balancer, platform_settings};
 
 fn main() -> ExitCode {
     match serve() {
--- a/src/bin/simulator-adapter/wire/decoder.rs
+++ b/src/bin/simulator-adapter/wire/decoder.rs
@@ -108,7 +108,14 @@
                 r.u8("stateBits")?;
                 r.f64("predicted")?;
                 let (tenant, deadline) = (r.u16("customer")?, r.f64("clientDeadline")?);
-                Event::Request(Arrival { request, key, class, tenant, deadline, coming: false })
+                Event::Request(Arrival {
+                    request,
+                    key,
+                    class,
+                    tenant,
+                    deadline_ms: deadline,
+                    body_pending: false,
+                })
             }
             4 => {
                 r.u64("xid")?;
@@ -125,10 +132,18 @@
                 let attempt = r.u8("hop")?;
                 let backend = r.u32("backend")?;
                 r.report()?;
-                Event::Resolved(Resolved { request, attempt, backend, outcome, wait, closed, spent: false })
+                Event::Resolved(Resolved {
+                    request,
+                    attempt,
+                    backend,
+                    outcome,
+                    latency_ms: wait,
+                    request_ended: closed,
+                    body_consumed: false,
+                })
             }
-            6 => Event::Hangup { request: r.u64("xid")? },
-            7 => Event::Wake { token: r.u64("nonce")? },
+            6 => Event::ClientGone { request: r.u64("xid")? },
+            7 => Event::TimerFired { token: r.u64("nonce")? },
             8 => {
                 r.f64("waitTime")?;
                 r.u32("backend")?;
--- a/src/bin/simulator-adapter/wire/reader.rs
+++ b/src/bin/simulator-adapter/wire/reader.rs
@@ -51,12 +51,12 @@
         Ok(match self.u16("disposition")? {
             0 => Outcome::Ok,
             1 => Outcome::Error,
-            2 => Outcome::Full,
+            2 => Outcome::Rejected,
             3 => Outcome::Timeout,
             4 => Outcome::ConnectFailed,
             5 => Outcome::Reset,
             6 => Outcome::Cancelled,
-            7 => Outcome::Moot,
+            7 => Outcome::NotSent,
             other => return self.bad(2, "disposition", format_args!("{other} is unknown")),
         })
     }
@@ -71,7 +71,7 @@
             phase,
             backend: self.u32("backend")?,
             zone: self.u16("hall")?,
-            started_at: self.f64("startedAt")?,
+            started_at_ms: self.f64("startedAt")?,
             weight: f64::from(self.f32("weight")?),
             cell: self.u16("cluster")?,
         };
--- a/src/bin/simulator-adapter/wire/reply.rs
+++ b/src/bin/simulator-adapter/wire/reply.rs
@@ -33,24 +33,24 @@
     pub fn push(&mut self, instance: u16, action: &Action) {
         let code = match action {
             Action::Send { .. } => 1,
-            Action::Refuse { .. } => 2,
+            Action::Reject { .. } => 2,
             Action::Fail { .. } => 3,
             Action::Cancel { .. } => 4,
-            Action::WakeMe { .. } => 5,
-            Action::Close { .. } => 7,
+            Action::SetTimer { .. } => 5,
+            Action::CloseIdle { .. } => 7,
             Action::Watch { .. } => 11,
             // The simulator follows its own list; the guard, which asks for one, is off there.
-            Action::Withdraw { .. } | Action::Relist => return,
+            Action::Withdraw { .. } | Action::Resync => return,
         };
         self.head(code, instance);
         let b = &mut self.bytes;
         match action {
-            Action::Send { request, backend, not_past } => {
+            Action::Send { request, backend, deadline_ms: not_past } => {
                 b.extend(request.to_le_bytes());
                 b.extend(backend.to_le_bytes());
                 b.extend(not_past.to_le_bytes());
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after_ms: retry_after } => {
                 b.extend(request.to_le_bytes());
                 b.extend(retry_after.to_le_bytes());
             }
@@ -59,13 +59,13 @@
                 b.extend(request.to_le_bytes());
                 b.push(*attempt);
             }
-            Action::WakeMe { delay, token } => {
+            Action::SetTimer { delay_ms: delay, token } => {
                 b.extend(delay.to_le_bytes());
                 b.extend(token.to_le_bytes());
             }
-            Action::Close { backend } => b.extend(backend.to_le_bytes()),
+            Action::CloseIdle { backend } => b.extend(backend.to_le_bytes()),
             Action::Watch { on } => b.push(u8::from(*on)),
-            Action::Withdraw { .. } | Action::Relist => {}
+            Action::Withdraw { .. } | Action::Resync => {}
         }
     }
     /// The whole reply.
--- a/src/client/discovery/listener.rs
+++ b/src/client/discovery/listener.rs
@@ -1,7 +1,7 @@
 //! Who the followed list is for.
 
-use crate::interface::ListKind;
 use crate::client::list::Host;
+use crate::interface::ListKind;
 
 /// Takes the list of backends as it changes. The proxy's engine is one.
 pub trait Listener {
--- a/src/client/discovery/mod.rs
+++ b/src/client/discovery/mod.rs
@@ -9,9 +9,9 @@
 pub use listener::Listener;
 pub use pace::{Backoff, Pace};
 
-use crate::interface::ListKind;
 use crate::catalog::ServiceName;
 use crate::client::traffic::Traffic;
+use crate::interface::ListKind;
 use absent::AbsentService;
 use ask::ask;
 use source::Source;
--- a/src/replay/play.rs
+++ b/src/replay/play.rs
@@ -137,7 +137,7 @@
             };
             let entries = numbers.iter().enumerate().filter_map(entry).collect();
             let weights = numbers.iter().copied().zip(weights.iter().copied()).collect();
-            play.tell(0.0, i as u32, Event::Weights { weights });
+            play.tell(0.0, i as u32, Event::RouteWeights { weights });
             play.tell(0.0, i as u32, Event::List { kind: ListKind::Full, entries });
             for (nth, (at, _)) in (0..).zip(&p.peers) {
                 play.plan(*at, What::Peers { copy: i as u32, nth });
--- a/src/replay/records.rs
+++ b/src/replay/records.rs
@@ -137,7 +137,7 @@
             if crate::check(&facts.settings).is_err() {
                 continue;
             }
-            copies = copies.max(facts.settings.copies);
+            copies = copies.max(facts.settings.instance_count);
             let start = (s.span_ms.0 + offset(s) - from).max(0.0);
             let length = (s.span_ms.1 + offset(s) - from).min(r.length) - start;
             let found = s.traces.len() as f64;
--- a/src/replay/step.rs
+++ b/src/replay/step.rs
@@ -17,12 +17,12 @@
         Reply::Ok => Outcome::Ok,
         Reply::Error => Outcome::Error,
         Reply::Malformed => Outcome::Malformed,
-        Reply::Full => Outcome::Full,
+        Reply::Full => Outcome::Rejected,
         Reply::Timeout => Outcome::Timeout,
         Reply::ConnectFailed => Outcome::ConnectFailed,
         Reply::Reset => Outcome::Reset,
         Reply::Cancelled => Outcome::Cancelled,
-        Reply::Moot => Outcome::Moot,
+        Reply::Moot => Outcome::NotSent,
     }
 }
 
@@ -52,8 +52,8 @@
             key,
             class: r.own_class,
             tenant: r.tenant,
-            deadline: at + r.patience,
-            coming: false,
+            deadline_ms: at + r.patience,
+            body_pending: false,
         };
         self.tell(at, r.proxy, Event::Request(arrival));
         self.waits(request);
@@ -69,12 +69,12 @@
                 self.copies[copy as usize].late.push(token);
                 self.plan(now + LATE, What::Late { copy, token });
             }
-            What::Wake { copy, token } => self.tell(now, copy, Event::Wake { token }),
+            What::Wake { copy, token } => self.tell(now, copy, Event::TimerFired { token }),
             What::Late { copy, token } => {
                 let late = &mut self.copies[copy as usize].late;
                 if let Some(i) = late.iter().position(|&t| t == token) {
                     late.remove(i);
-                    self.tell(now, copy, Event::Wake { token });
+                    self.tell(now, copy, Event::TimerFired { token });
                 }
             }
             What::Peers { copy, nth } => {
@@ -84,7 +84,7 @@
             What::Leave { request } => {
                 let copy = self.recorded(request).proxy;
                 self.end(now, request, Ending::Left);
-                self.tell(now, copy, Event::Hangup { request: RequestId::from(request) });
+                self.tell(now, copy, Event::ClientGone { request: RequestId::from(request) });
             }
         }
     }
@@ -96,21 +96,21 @@
         if !c.may_be_late() {
             while let Some(token) = c.late.pop() {
                 c.heard = 0;
-                c.balancer.handle(now, Event::Wake { token }, &mut actions);
+                c.balancer.handle(now, Event::TimerFired { token }, &mut actions);
             }
         }
-        if matches!(event, Event::Wake { .. }) {
+        if matches!(event, Event::TimerFired { .. }) {
             c.heard = 0;
         }
         c.balancer.handle(now, event, &mut actions);
         for action in actions.drain(..) {
             match action {
-                Action::Send { request, backend, not_past } => {
+                Action::Send { request, backend, deadline_ms: not_past } => {
                     if let Some(&backend) = self.ids.get(&backend) {
                         self.send(now, copy, request as u32, backend, not_past);
                     }
                 }
-                Action::Refuse { request, .. } => self.end(now, request as u32, Ending::Refused),
+                Action::Reject { request, .. } => self.end(now, request as u32, Ending::Refused),
                 Action::Fail { request } => self.end(now, request as u32, Ending::Failed),
                 Action::Cancel { request, attempt } => {
                     let of = |c: &Out| c.live && u64::from(c.request) == request && c.attempt == attempt;
@@ -120,9 +120,14 @@
                         self.plan(now, What::End { call: call as u32, sent });
                     }
                 }
-                Action::WakeMe { delay, token } => self.plan(now + delay, What::Wake { copy, token }),
+                Action::SetTimer { delay_ms: delay, token } => {
+                    self.plan(now + delay, What::Wake { copy, token })
+                }
                 // The list is as it was recorded, and connections cost nothing here.
-                Action::Close { .. } | Action::Watch { .. } | Action::Withdraw { .. } | Action::Relist => {}
+                Action::CloseIdle { .. }
+                | Action::Watch { .. }
+                | Action::Withdraw { .. }
+                | Action::Resync => {}
             }
         }
         self.actions = actions;
@@ -189,9 +194,9 @@
             attempt,
             backend: self.numbers[backend as usize],
             outcome,
-            wait: now - at,
-            closed,
-            spent: false,
+            latency_ms: now - at,
+            request_ended: closed,
+            body_consumed: false,
         };
         self.tell(now, copy, Event::Resolved(resolved));
         self.waits(id);
--- a/tests/catalog/model.rs
+++ b/tests/catalog/model.rs
@@ -1,9 +1,9 @@
 //! Random changes, compactions and restarts beside a model: a map of (service, host) and the list of all changes.
 
 use super::{change, name};
+use load_balancer::catalog::{Catalog, Health, Page, ServiceName};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
-use load_balancer::catalog::{Catalog, Health, Page, ServiceName};
 
 const SERVICES: [&str; 4] = ["", "a", "b", "c"];
 const HOSTS: [&str; 4] = ["h0", "h1", "h2", "h3"];
--- a/tests/client_rig/mod.rs
+++ b/tests/client_rig/mod.rs
@@ -2,16 +2,16 @@
 //! many of them in the test's own process.
 #![allow(dead_code)]
 
+use load_balancer::client::discovery::{Listener, Settings, follow};
+use load_balancer::client::list::{Health, Host};
+use load_balancer::client::traffic::{Kind, Traffic};
+use load_balancer::interface::ListKind;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::{Notify, oneshot, watch};
 use tokio::task::{JoinHandle, spawn_local};
-use load_balancer::interface::ListKind;
-use load_balancer::client::discovery::{Listener, Settings, follow};
-use load_balancer::client::list::{Health, Host};
-use load_balancer::client::traffic::{Kind, Traffic};
 
 /// The list as a client holds it.
 #[derive(Default)]
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -4,10 +4,10 @@
 mod cold_rig;
 
 use cold_rig::{Day, Sent, play};
+use load_balancer::interface::Rules;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rstest::rstest;
-use load_balancer::interface::Rules;
 
 /// A day, and the time in which a cold backend that gets too much falls.
 fn day(seed: u64, copies: usize) -> (Day, f64) {
@@ -18,9 +18,9 @@
     let some = f64::from(u8::from(cold < backends));
     let fall = within(500.0, 2000.0);
     let rules = Rules {
-        cold_from: within(0.1, 0.6),
-        cold: within(2000.0, 20_000.0),
-        fall_multiple: within(1.5, 4.0),
+        initial_capacity: within(0.1, 0.6),
+        warm_up_ms: within(2000.0, 20_000.0),
+        overload_multiple: within(1.5, 4.0),
         ..Rules::default()
     };
     let day = Day {
@@ -52,9 +52,9 @@
     let (mut worst, mut spans): (f64, Vec<f64>) = (0.0, Vec::new());
     for sent in &seen.sent {
         for (first, &Sent { at: from, .. }) in sent.iter().enumerate() {
-            let allowed = |present: f64| day.rules.fall_multiple * present * seen.capacity * fall;
+            let allowed = |present: f64| day.rules.overload_multiple * present * seen.capacity * fall;
             let mean = (day.present(from) + day.present(from + fall)) / 2.0;
-            let until = (from + fall).min(day.rules.cold);
+            let until = (from + fall).min(day.rules.warm_up_ms);
             let (mut calls, mut work, mut told) = (0.0, 0.0, 0.0);
             for call in sent[first..].iter().take_while(|call| call.at < until) {
                 calls += 1.0;
--- a/tests/cold_rig/fleet.rs
+++ b/tests/cold_rig/fleet.rs
@@ -1,13 +1,13 @@
 //! What happens in the fleet, in the order of time.
 
 use super::{Day, START, Seen, Sent};
+use load_balancer::Balancer;
+use load_balancer::interface::*;
 use rand::RngExt;
 use rand::rngs::StdRng;
 use rand_distr::{Distribution, Exp};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
-use load_balancer::Balancer;
-use load_balancer::interface::*;
 
 const BEGIN: f64 = START - 4000.0;
 /// Nobody is told later than this.
@@ -99,7 +99,7 @@
                 What::Told(copy, news) if self.copies[copy].is_some() => self.list(now, copy, news),
                 What::Told(..) => {}
                 What::Arrives(copy) => self.arrive(now, copy),
-                What::Wakes(copy, token) => self.tell(now, copy, Event::Wake { token }),
+                What::Wakes(copy, token) => self.tell(now, copy, Event::TimerFired { token }),
                 What::Ends(copy, resolved) => {
                     self.tell(now, copy, Event::Resolved(resolved));
                 }
@@ -112,7 +112,7 @@
         let entry = |b: usize| Entry {
             backend: b as BackendId * 7919 % 100_003,
             weight: 1.0,
-            started_at: if cold(b) { START } else { 0.0 },
+            started_at_ms: if cold(b) { START } else { 0.0 },
             zone: (b % 3) as u16,
             ..Entry::default()
         };
@@ -120,15 +120,20 @@
     }
 
     fn start(&mut self, now: f64, copy: usize) {
-        let class = |aim, points| Class { aim, points, effect: Effect::Retryable, in_order: false };
+        let class = |aim, points| Class {
+            latency_objective_ms: aim,
+            priority_weight: points,
+            idempotency: Idempotency::Idempotent,
+            in_order: false,
+        };
         let settings = Settings {
-            copy: copy as u32,
-            copies: self.day.copies as u32,
-            tick: 5.0,
+            instance_index: copy as u32,
+            instance_count: self.day.copies as u32,
+            tick_ms: 5.0,
             zone: (copy % 3) as u16,
-            over_share_worth: 0.05,
+            over_quota_weight: 0.05,
             classes: vec![class(1000.0, 1.0), class(2000.0, 3.0)],
-            caps: Caps { cancelling: true, retry_after: true, max_retry_after: 1000.0, try_limit: 4 },
+            caps: Caps { cancelling: true, retry_after: true, max_retry_after_ms: 1000.0, max_attempts: 4 },
             rules: self.day.rules.clone(),
             ..Settings::default()
         };
@@ -163,7 +168,8 @@
         let class = u16::from(self.rng.random::<f64>() < 0.25);
         self.work.insert(request, ([0.8, 1.6][usize::from(class)], 0)); // a request has 1 in the mean
         let deadline = now + DEADLINE;
-        let arrival = Arrival { request, key: 0, class, tenant: 0, deadline, coming: false };
+        let arrival =
+            Arrival { request, key: 0, class, tenant: 0, deadline_ms: deadline, body_pending: false };
         self.tell(now, copy, Event::Request(arrival));
     }
 
@@ -172,8 +178,10 @@
         self.copies[copy].as_mut().expect("it runs").handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::WakeMe { delay, token } => self.plan(now + delay, What::Wakes(copy, token)),
-                Action::Send { request, backend, not_past } => {
+                Action::SetTimer { delay_ms: delay, token } => {
+                    self.plan(now + delay, What::Wakes(copy, token))
+                }
+                Action::Send { request, backend, deadline_ms: not_past } => {
                     self.send(now, copy, (request, backend, not_past));
                 }
                 _ => {}
@@ -201,7 +209,7 @@
                 Exp::new(1.0 / (self.service * work / warmth)).expect("positive").sample(&mut self.rng);
             let slot = self.slots[b].iter_mut().min_by(|a, b| a.total_cmp(b)).expect("one");
             if *slot > now + 1000.0 {
-                (Outcome::Full, now + 2.0)
+                (Outcome::Rejected, now + 2.0)
             } else {
                 *slot = slot.max(now) + took;
                 if *slot > not_past { (Outcome::Timeout, not_past) } else { (Outcome::Ok, *slot) }
@@ -209,7 +217,15 @@
         };
         let closed = outcome == Outcome::Ok;
         let wait = end - now;
-        let resolved = Resolved { request, attempt, backend, outcome, wait, closed, spent: false };
+        let resolved = Resolved {
+            request,
+            attempt,
+            backend,
+            outcome,
+            latency_ms: wait,
+            request_ended: closed,
+            body_consumed: false,
+        };
         self.plan(end, What::Ends(copy, resolved));
     }
 }
--- a/tests/cold_rig/mod.rs
+++ b/tests/cold_rig/mod.rs
@@ -4,9 +4,9 @@
 mod fleet;
 
 use fleet::Fleet;
+use load_balancer::interface::Rules;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use load_balancer::interface::Rules;
 
 /// When the cold backends come back; the fleet has served for so long before.
 pub const START: f64 = 10_000.0;
@@ -71,7 +71,7 @@
 impl Day {
     /// Share of its capacity that a cold backend has so long after its start.
     pub fn present(&self, after: f64) -> f64 {
-        let grown = (after / self.rules.cold).min(1.0);
-        self.rules.cold_from + (1.0 - self.rules.cold_from) * grown
+        let grown = (after / self.rules.warm_up_ms).min(1.0);
+        self.rules.initial_capacity + (1.0 - self.rules.initial_capacity) * grown
     }
 }
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -4,8 +4,8 @@
 mod cold_rig;
 
 use cold_rig::{Day, Sent, play};
-use rstest::rstest;
 use load_balancer::interface::Rules;
+use rstest::rstest;
 
 const BACKENDS: usize = 12;
 /// Time in which a cold backend that gets too much falls over, in milliseconds.
@@ -20,7 +20,7 @@
         backends: BACKENDS,
         cold: BACKENDS,
         lost: 0.0,
-        rules: Rules { cold_from: 0.3, cold: COLD, fall_multiple: 3.0, ..Rules::default() },
+        rules: Rules { initial_capacity: 0.3, warm_up_ms: COLD, overload_multiple: 3.0, ..Rules::default() },
         load: 0.5,
         burst: 1.0,
         rate: 10.0,
@@ -37,7 +37,7 @@
     let over = |first: usize| {
         let from = sent[first].at;
         let got: f64 = sent[first..].iter().take_while(|s| s.at < from + FALL).map(|s| s.work.max(1.0)).sum();
-        let budget = day.rules.fall_multiple * day.present(from) * capacity * FALL;
+        let budget = day.rules.overload_multiple * day.present(from) * capacity * FALL;
         got / (budget + 2.0 * budget.sqrt() + 2.0)
     };
     (0..sent.len()).map(over).fold(0.0, f64::max)
--- a/tests/common/events.rs
+++ b/tests/common/events.rs
@@ -23,7 +23,14 @@
         self.next += 1;
         self.asked.insert(request, Asked { key, class, deadline, sends: Vec::new(), ended: None });
         let class = class as u16;
-        self.tell(Event::Request(Arrival { request, key, class, tenant, deadline, coming }));
+        self.tell(Event::Request(Arrival {
+            request,
+            key,
+            class,
+            tenant,
+            deadline_ms: deadline,
+            body_pending: coming,
+        }));
         request
     }
 
@@ -34,7 +41,7 @@
         let out = a.sends.iter_mut().find(|s| s.outcome.is_none()).expect("an attempt is out");
         (out.at, out.not_past) = (now, now + left);
         let deadline = a.deadline;
-        self.tell(Event::Whole { request, deadline });
+        self.tell(Event::BodyComplete { request, deadline_ms: deadline });
     }
 
     /// Ends an attempt.
@@ -54,16 +61,16 @@
             attempt,
             backend,
             outcome,
-            wait,
-            closed,
-            spent: false,
+            latency_ms: wait,
+            request_ended: closed,
+            body_consumed: false,
         }));
         self.check_release(backend);
     }
 
     pub fn hang_up(&mut self, request: RequestId) {
         self.close(request, "hung up");
-        self.tell(Event::Hangup { request });
+        self.tell(Event::ClientGone { request });
     }
 
     /// Attempts that are out, oldest request first.
@@ -78,11 +85,11 @@
     /// Moves the clock, firing timers and attempts' time-outs on the way.
     pub fn advance(&mut self, to: f64) {
         while self.now < to {
-            self.now = (self.now + self.s.tick).min(to);
+            self.now = (self.now + self.s.tick_ms).min(to);
             let now = self.now;
             let due: Vec<u64> = self.timers.iter().filter(|t| t.0 <= now).map(|t| t.1).collect();
             self.timers.retain(|t| t.0 > now);
-            due.into_iter().for_each(|token| self.tell(Event::Wake { token }));
+            due.into_iter().for_each(|token| self.tell(Event::TimerFired { token }));
             let late: Vec<_> = self.out().into_iter().filter(|(_, _, s)| s.not_past <= now).collect();
             late.into_iter().for_each(|(id, n, _)| self.resolve(id, n, Outcome::Timeout));
             for (id, n) in std::mem::take(&mut self.cancelled) {
@@ -105,7 +112,7 @@
             for _ in 0..per_tick {
                 self.ask(class, 0, 1e5);
             }
-            self.advance(self.now + self.s.tick);
+            self.advance(self.now + self.s.tick_ms);
             for (id, n, s) in self.out() {
                 if self.now - s.at >= wait {
                     self.resolve(id, n, Outcome::Ok);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -5,30 +5,30 @@
 mod events;
 mod rules;
 
-use std::collections::{BTreeMap, HashMap};
 use load_balancer::Balancer;
 use load_balancer::interface::*;
+use std::collections::{BTreeMap, HashMap};
 
 pub const GRACE: f64 = 20.0;
 
-pub fn class(aim: f64, points: f64, effect: Effect) -> Class {
-    Class { aim, points, effect, in_order: false }
+pub fn class(aim: f64, points: f64, effect: Idempotency) -> Class {
+    Class { latency_objective_ms: aim, priority_weight: points, idempotency: effect, in_order: false }
 }
 
 pub fn settings(copies: u32, classes: Vec<Class>) -> Settings {
     Settings {
-        copies,
-        tick: 5.0,
-        over_share_worth: 0.05,
+        instance_count: copies,
+        tick_ms: 5.0,
+        over_quota_weight: 0.05,
         classes,
-        caps: Caps { cancelling: true, retry_after: true, max_retry_after: 2000.0, try_limit: 6 },
+        caps: Caps { cancelling: true, retry_after: true, max_retry_after_ms: 2000.0, max_attempts: 6 },
         rules: Rules {
-            cold_from: 0.12,
-            cold: 20_000.0,
-            fall_multiple: 3.0,
-            ask_within: 10_000.0,
-            release_within: 500.0,
-            settle_after_doubt: 300.0,
+            initial_capacity: 0.12,
+            warm_up_ms: 20_000.0,
+            overload_multiple: 3.0,
+            max_silence_ms: 10_000.0,
+            idle_close_within_ms: 500.0,
+            key_settle_ms: 300.0,
         },
         ..Settings::default()
     }
--- a/tests/common/rules.rs
+++ b/tests/common/rules.rs
@@ -5,7 +5,7 @@
 impl Proxy {
     /// Connections to a draining backend are closed at the notice and after each outcome there.
     pub(super) fn check_release(&self, backend: BackendId) {
-        if self.s.rules.release_within > 0.0 && self.listed[&backend].phase == Phase::Draining {
+        if self.s.rules.idle_close_within_ms > 0.0 && self.listed[&backend].phase == Phase::Draining {
             assert_eq!(self.closed.get(&backend), Some(&self.now), "connections to {backend} are kept open");
         }
     }
@@ -21,7 +21,7 @@
             assert!(earlier.ended.is_some(), "{request} sent before {id} is over");
             for s in &earlier.sends {
                 let rest = match s.outcome.expect("every attempt has its outcome") {
-                    Outcome::Timeout | Outcome::Reset | Outcome::Cancelled => self.s.rules.settle_after_doubt,
+                    Outcome::Timeout | Outcome::Reset | Outcome::Cancelled => self.s.rules.key_settle_ms,
                     _ => 0.0,
                 };
                 assert!(self.now >= s.over + rest, "{request} sent while {id} may still run");
@@ -35,14 +35,16 @@
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { request, backend, not_past } => self.sent(request, backend, not_past),
-                Action::Refuse { request, .. } => self.refused(request),
+                Action::Send { request, backend, deadline_ms: not_past } => {
+                    self.sent(request, backend, not_past)
+                }
+                Action::Reject { request, .. } => self.refused(request),
                 Action::Fail { request } => self.close(request, "failed"),
-                Action::WakeMe { delay, token } => {
+                Action::SetTimer { delay_ms: delay, token } => {
                     assert!(delay.is_finite() && delay > 0.0, "timers lie ahead");
                     self.timers.push((self.now + delay, token));
                 }
-                Action::Close { backend } => {
+                Action::CloseIdle { backend } => {
                     self.closed.insert(backend, self.now);
                 }
                 Action::Watch { on } => {
@@ -53,7 +55,7 @@
                     self.withdrawn.push(backend);
                     self.listed.get_mut(&backend).expect("listed").phase = Phase::Gone;
                 }
-                Action::Relist => self.relists.push(self.now),
+                Action::Resync => self.relists.push(self.now),
                 Action::Cancel { request, attempt } => {
                     self.cancelled.push((request, usize::from(attempt)));
                     assert!(self.s.caps.cancelling, "cancelled where that is not allowed");
@@ -74,19 +76,19 @@
         let a = self.asked.get_mut(&request).expect("sent a request that was never asked");
         assert!(a.ended.is_none(), "sent after its end");
         assert!(not_past <= a.deadline);
-        assert!(a.sends.len() < self.s.caps.try_limit as usize, "too many attempts");
+        assert!(a.sends.len() < self.s.caps.max_attempts as usize, "too many attempts");
         let out = a.sends.iter().filter(|s| s.outcome.is_none()).count();
         assert_eq!(out, 0, "two attempts out at once");
         if let Some(ran) = a.sends.iter().find(|s| s.outcome.is_none_or(|o| !o.never_ran())) {
             let group = self.listed.get(&ran.backend).map(|e| (e.zone, e.cell));
-            match self.s.classes[a.class].effect {
-                Effect::Retryable => {}
-                Effect::Fragile => panic!("a fragile request that may have run was sent again"),
-                Effect::Dedup { group: g, window } => {
+            match self.s.classes[a.class].idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::NonIdempotent => panic!("a fragile request that may have run was sent again"),
+                Idempotency::Keyed { scope: g, dedup_window_ms: window } => {
                     assert!(self.now < ran.at + window, "repeated after the window");
                     let (z, c) = group.expect("listed");
-                    assert!(g != Group::Zone || z == zone, "repeated in another zone");
-                    assert!(g != Group::Cell || c == cell, "repeated in another cell");
+                    assert!(g != DedupScope::Zone || z == zone, "repeated in another zone");
+                    assert!(g != DedupScope::Cell || c == cell, "repeated in another cell");
                 }
             }
         }
@@ -95,9 +97,10 @@
 
     fn refused(&mut self, request: RequestId) {
         let a = &self.asked[&request];
-        let effect = self.s.classes[a.class].effect;
+        let effect = self.s.classes[a.class].idempotency;
         let unrun = a.sends.iter().all(|s| s.outcome.is_some_and(Outcome::never_ran));
-        let all = matches!(effect, Effect::Retryable | Effect::Dedup { group: Group::All, .. });
+        let all =
+            matches!(effect, Idempotency::Idempotent | Idempotency::Keyed { scope: DedupScope::All, .. });
         assert!(unrun || all, "refused what may have run");
         self.close(request, "refused");
     }
--- a/tests/decisions/admission.rs
+++ b/tests/decisions/admission.rs
@@ -6,7 +6,8 @@
 
 #[test]
 fn low_worth_is_refused_first_and_its_slice_keeps_its_share() {
-    let classes = vec![class(1000.0, 9.0, Effect::Retryable), class(1000.0, 1.0, Effect::Retryable)];
+    let classes =
+        vec![class(1000.0, 9.0, Idempotency::Idempotent), class(1000.0, 1.0, Idempotency::Idempotent)];
     let mut p = Proxy::new(settings(1, classes), 1, entries(10));
     let total = fill(&mut p, 1, 0, 400);
     let high = fill(&mut p, 0, 0, 400) - total;
@@ -39,7 +40,8 @@
 
 #[test]
 fn held_requests_are_freed_by_worth_and_refused_in_time() {
-    let classes = vec![class(1000.0, 9.0, Effect::Fragile), class(1000.0, 1.0, Effect::Fragile)];
+    let classes =
+        vec![class(1000.0, 9.0, Idempotency::NonIdempotent), class(1000.0, 1.0, Idempotency::NonIdempotent)];
     let mut p = Proxy::new(settings(1, classes), 1, entries(5));
     let out = fill(&mut p, 1, 0, 14); // the low slice fills the total and holds four more
     let low: Vec<_> = p.asked.iter().filter(|(_, a)| a.sends.is_empty()).map(|(&id, _)| id).collect();
@@ -59,7 +61,8 @@
 /// 0.62 of one class served and 0.89 of the other, from one slice, for a longer aim).
 #[test]
 fn a_longer_aim_takes_no_more_of_a_shared_slice() {
-    let classes = vec![class(1000.0, 1.0, Effect::Fragile), class(3000.0, 1.0, Effect::Fragile)];
+    let classes =
+        vec![class(1000.0, 1.0, Idempotency::NonIdempotent), class(3000.0, 1.0, Idempotency::NonIdempotent)];
     let mut p = Proxy::new(settings(1, classes), 1, entries(5));
     let mut served = [0, 0];
     for round in 0..4000 {
@@ -80,7 +83,7 @@
 #[test]
 fn demoted_work_keeps_one_slot() {
     let mut s = plain(1);
-    s.over_share_worth = 0.3;
+    s.over_quota_weight = 0.3;
     s.tenants = vec![Tenant { quota_per_s: 1.0 }, Tenant { quota_per_s: 1000.0 }];
     let mut p = Proxy::new(s, 1, entries(10));
     let within = fill(&mut p, 0, 1, 400);
--- a/tests/decisions/bodies.rs
+++ b/tests/decisions/bodies.rs
@@ -42,7 +42,15 @@
         let backend = p.asked[&request].sends[0].backend;
         p.asked.get_mut(&request).expect("asked").sends[0].outcome = Some(Outcome::ConnectFailed);
         let outcome = Outcome::ConnectFailed;
-        let resolved = Resolved { request, attempt: 0, backend, outcome, wait: 1.0, closed: false, spent };
+        let resolved = Resolved {
+            request,
+            attempt: 0,
+            backend,
+            outcome,
+            latency_ms: 1.0,
+            request_ended: false,
+            body_consumed: spent,
+        };
         p.tell(Event::Resolved(resolved));
         assert_eq!(p.asked[&request].sends.len(), sends);
         assert_eq!(p.asked[&request].ended.is_some(), spent);
--- a/tests/decisions/limit.rs
+++ b/tests/decisions/limit.rs
@@ -30,7 +30,7 @@
 
 #[test]
 fn limit_falls_when_answers_are_slow_and_many_are_dropped() {
-    for (wait, outcome) in [(900.0, Outcome::Ok), (60.0, Outcome::Full)] {
+    for (wait, outcome) in [(900.0, Outcome::Ok), (60.0, Outcome::Rejected)] {
         let mut p = Proxy::new(plain(1), 1, entries(10));
         p.serve(3000.0, 4, 0, 40.0);
         let before = fill(&mut p, 0, 0, 400);
@@ -96,7 +96,7 @@
     let mut p = Proxy::new(plain(1), 1, entries(8));
     for old in 1..=8 {
         p.list(ListKind::Delta, vec![Entry { phase: Phase::Draining, ..entry(old) }]);
-        p.list(ListKind::Delta, vec![Entry { started_at: p.now, ..entry(old + 8) }]);
+        p.list(ListKind::Delta, vec![Entry { started_at_ms: p.now, ..entry(old + 8) }]);
     }
     p.advance(p.now + 20_000.0);
     let (warm, first) = (fill(&mut p, 0, 0, 400), fill(&mut Proxy::new(plain(1), 1, entries(8)), 0, 0, 400));
@@ -122,7 +122,7 @@
 /// nothing, nor may lost calls pin its slots until their deadline.
 #[test]
 fn lost_answers_do_not_take_the_limit() {
-    let mut p = Proxy::new(settings(1, vec![class(1000.0, 1.0, Effect::Fragile)]), 1, entries(8));
+    let mut p = Proxy::new(settings(1, vec![class(1000.0, 1.0, Idempotency::NonIdempotent)]), 1, entries(8));
     let answer = |s: &Sent, now: f64| (now - s.at >= 150.0).then_some(Outcome::Ok);
     run(&mut p, 6000.0, answer);
     // One answer in six never comes, wherever the call went.
@@ -137,7 +137,7 @@
 /// A call that is out for many times its class's mean is lost or stuck: it pins no slot until its deadline.
 #[test]
 fn silent_calls_do_not_pin_slots() {
-    let mut p = Proxy::new(settings(1, vec![class(1000.0, 1.0, Effect::Fragile)]), 1, entries(8));
+    let mut p = Proxy::new(settings(1, vec![class(1000.0, 1.0, Idempotency::NonIdempotent)]), 1, entries(8));
     run(&mut p, 3000.0, well);
     let first = fill(&mut p, 0, 0, 400);
     p.advance(p.now + 150.0);
--- a/tests/decisions/lists.rs
+++ b/tests/decisions/lists.rs
@@ -2,15 +2,15 @@
 
 use super::{fill, plain};
 use crate::common::*;
-use std::collections::BTreeSet;
 use load_balancer::Balancer;
 use load_balancer::interface::*;
+use std::collections::BTreeSet;
 
 /// Calls for the list fail: asked again, later and later, and not by all copies at the same moment.
 #[test]
 fn failed_list_calls_are_repeated_with_jitter() {
     let ask = |seed| {
-        let mut p = Proxy::new(Settings { must_ask: true, ..plain(4) }, seed, entries(6));
+        let mut p = Proxy::new(Settings { must_subscribe: true, ..plain(4) }, seed, entries(6));
         let mut failed = 0;
         for _ in 0..100_000 {
             p.advance(p.now + 5.0);
@@ -29,7 +29,7 @@
 }
 
 fn guarded() -> Settings {
-    Settings { list_guard: ListGuard { panic_threshold: 0.1, hold: 30_000.0 }, ..plain(1) }
+    Settings { list_guard: ListGuard { panic_threshold: 0.1, confirm_after_ms: 30_000.0 }, ..plain(1) }
 }
 
 /// All that three rounds of calls go to: of the few that are out at once chance may pass one over.
@@ -133,7 +133,10 @@
     p.list(ListKind::Full, Vec::new());
     assert_eq!((p.withdrawn.len(), p.balancer.census()), (10, Census::default()));
     assert!(
-        Balancer::new(Settings { list_guard: ListGuard { panic_threshold: 1.1, hold: 1.0 }, ..plain(1) }, 1)
-            .is_err()
+        Balancer::new(
+            Settings { list_guard: ListGuard { panic_threshold: 1.1, confirm_after_ms: 1.0 }, ..plain(1) },
+            1
+        )
+        .is_err()
     );
 }
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -13,11 +13,11 @@
 mod zones;
 
 use crate::common::*;
-use std::collections::BTreeMap;
 use load_balancer::interface::*;
+use std::collections::BTreeMap;
 
 fn plain(copies: u32) -> Settings {
-    settings(copies, vec![class(1000.0, 1.0, Effect::Retryable)])
+    settings(copies, vec![class(1000.0, 1.0, Idempotency::Idempotent)])
 }
 
 /// How many calls a copy has out when more are asked than it takes.
--- a/tests/decisions/peers.rs
+++ b/tests/decisions/peers.rs
@@ -2,8 +2,8 @@
 
 use super::plain;
 use crate::common::*;
-use std::collections::BTreeSet;
 use load_balancer::interface::*;
+use std::collections::BTreeSet;
 
 /// Ten copies that tell each other by the `sides` of a split: the sum of the parts that all of them take, second by
 /// second, over two minutes of the split and one after it.
--- a/tests/decisions/settings.rs
+++ b/tests/decisions/settings.rs
@@ -8,12 +8,12 @@
 fn unsound_settings_name_the_field() {
     type Change = fn(&mut Settings);
     let cases: [(&str, Change); 6] = [
-        ("copies", |s| s.copies = 0),
-        ("copy", |s| s.copy = 9),
+        ("copies", |s| s.instance_count = 0),
+        ("copy", |s| s.instance_index = 9),
         ("classes", |s| s.classes.clear()),
-        ("classes[0].aim", |s| s.classes[0].aim = 0.0),
-        ("tick", |s| s.tick = f64::NAN),
-        ("rules.cold_from", |s| s.rules.cold_from = -1.0),
+        ("classes[0].aim", |s| s.classes[0].latency_objective_ms = 0.0),
+        ("tick", |s| s.tick_ms = f64::NAN),
+        ("rules.cold_from", |s| s.rules.initial_capacity = -1.0),
     ];
     for (field, change) in cases {
         let mut s = plain(2);
--- a/tests/decisions/subsets.rs
+++ b/tests/decisions/subsets.rs
@@ -2,8 +2,8 @@
 
 use super::{plain, sends_by_backend};
 use crate::common::*;
-use std::collections::{BTreeMap, BTreeSet};
 use load_balancer::interface::*;
+use std::collections::{BTreeMap, BTreeSet};
 
 /// Copies tile the tier: every backend is in somebody's subset, and no copy meets the whole tier at low load.
 #[test]
@@ -11,7 +11,7 @@
     for (copies, n) in [(10, 60), (40, 100), (3, 30)] {
         let mut met_by: BTreeMap<BackendId, usize> = BTreeMap::new();
         for copy in 0..copies {
-            let mut p = Proxy::new(Settings { copy, ..plain(copies) }, 1, entries(n));
+            let mut p = Proxy::new(Settings { instance_index: copy, ..plain(copies) }, 1, entries(n));
             for _ in 0..400 {
                 let id = p.ask(0, 0, 1e5);
                 p.advance(p.now + 5.0);
--- a/tests/decisions/zones.rs
+++ b/tests/decisions/zones.rs
@@ -2,8 +2,8 @@
 
 use super::{plain, run, well};
 use crate::common::*;
-use std::collections::BTreeMap;
 use load_balancer::interface::*;
+use std::collections::BTreeMap;
 
 /// The share of a copy's last calls that left its zone, where answers take `near` ms and 50 ms beyond.
 fn left_the_zone(price: f64, near: f64) -> f64 {
@@ -28,7 +28,7 @@
 /// Two zones of five, the copy in the first; answers take what `near` says there and 50 ms beyond.
 fn two_zones(price: f64) -> Proxy {
     let mut s = plain(1);
-    s.goal.cross_zone = price;
+    s.goal.cross_zone_price = price;
     let zones = entries(10).into_iter().map(|e| Entry { zone: u16::from(e.backend > 5), ..e }).collect();
     Proxy::new(s, 1, zones)
 }
@@ -37,7 +37,7 @@
 #[test]
 fn a_zone_smaller_than_a_subset_is_filled_up_from_beyond() {
     let mut s = plain(2);
-    s.goal.cross_zone = 0.015;
+    s.goal.cross_zone_price = 0.015;
     let zones = entries(4).into_iter().map(|e| Entry { zone: e.backend as u16 % 3, ..e }).collect();
     let mut p = Proxy::new(Settings { zone: 2, ..s }, 1, zones);
     // A quarter of the members, so about a quarter of the calls, before any latency can tell.
@@ -49,7 +49,7 @@
 #[test]
 fn a_zone_that_bears_less_than_its_part_spills_the_rest_at_once() {
     let mut s = plain(1);
-    s.goal.cross_zone = 0.015;
+    s.goal.cross_zone_price = 0.015;
     let zones = entries(12).into_iter().map(|e| Entry { zone: e.backend as u16 % 2, ..e }).collect();
     let mut p = Proxy::new(s, 1, zones);
     let of_its_zone = |sends: &BTreeMap<BackendId, usize>| -> usize {
@@ -59,7 +59,7 @@
     assert!(whole > 180, "{whole} of 200 calls stay in a zone that bears its half");
     // Four of its six are new, so it bears 2.5 of the 8.5 that the list does, and its part would be the half.
     let started_at = p.now;
-    p.list(ListKind::Delta, (1..=4).map(|b| Entry { started_at, ..entry(2 * b) }).collect());
+    p.list(ListKind::Delta, (1..=4).map(|b| Entry { started_at_ms: started_at, ..entry(2 * b) }).collect());
     let part = of_its_zone(&run(&mut p, 1000.0, well));
     assert!((80..150).contains(&part), "{part} of 200 calls stay in a zone that bears 0.29 of the list");
 }
--- a/tests/digest.rs
+++ b/tests/digest.rs
@@ -47,7 +47,7 @@
 
 #[test]
 fn decisions_where_crossing_zones_costs_are_the_recorded_ones() {
-    assert_eq!(digest(4, |c| (c.zones, c.settings.goal.cross_zone) = (3, 0.2)), "524f6bb7efcc6c43");
+    assert_eq!(digest(4, |c| (c.zones, c.settings.goal.cross_zone_price) = (3, 0.2)), "524f6bb7efcc6c43");
 }
 
 #[test]
--- a/tests/digest/conditions.rs
+++ b/tests/digest/conditions.rs
@@ -19,42 +19,45 @@
     pub peers: u32,
 }
 
-fn class(aim: f64, points: f64, effect: Effect, in_order: bool) -> Class {
-    Class { aim, points, effect, in_order }
+fn class(aim: f64, points: f64, effect: Idempotency, in_order: bool) -> Class {
+    Class { latency_objective_ms: aim, priority_weight: points, idempotency: effect, in_order }
 }
 
 impl Conditions {
     pub fn draw(seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed ^ 0x5eed);
-        let dedup = |group, window| Effect::Dedup { group, window };
+        let dedup = |group, window| Idempotency::Keyed { scope: group, dedup_window_ms: window };
         let classes = vec![
-            class(200.0, 1.0, Effect::Retryable, false),
-            class(300.0, 5.0, Effect::Fragile, false),
-            class(400.0, 2.0, dedup(Group::Zone, 700.0), false),
-            class(300.0, 3.0, dedup(Group::Cell, 500.0), true),
-            class(300.0, 2.0, dedup(Group::All, 600.0), false),
+            class(200.0, 1.0, Idempotency::Idempotent, false),
+            class(300.0, 5.0, Idempotency::NonIdempotent, false),
+            class(400.0, 2.0, dedup(DedupScope::Zone, 700.0), false),
+            class(300.0, 3.0, dedup(DedupScope::Cell, 500.0), true),
+            class(300.0, 2.0, dedup(DedupScope::All, 600.0), false),
         ];
         let copies = 1 + rng.u32(..60);
         let most = if rng.bool() { 400 } else { 20 };
         let settings = Settings {
-            copy: rng.u32(..copies),
-            copies,
+            instance_index: rng.u32(..copies),
+            instance_count: copies,
             tier: rng.u32(..2),
-            tick: 5.0,
-            over_share_worth: 0.05,
+            tick_ms: 5.0,
+            over_quota_weight: 0.05,
             classes,
             tenants: vec![Tenant { quota_per_s: 500.0 }, Tenant { quota_per_s: 20.0 }],
-            caps: Caps { cancelling: true, retry_after: true, max_retry_after: 2000.0, try_limit: 4 },
+            caps: Caps { cancelling: true, retry_after: true, max_retry_after_ms: 2000.0, max_attempts: 4 },
             rules: Rules {
-                cold_from: 0.13,
-                cold: 7000.0,
-                fall_multiple: 3.0,
-                ask_within: 5000.0,
-                release_within: 500.0,
-                settle_after_doubt: 300.0,
+                initial_capacity: 0.13,
+                warm_up_ms: 7000.0,
+                overload_multiple: 3.0,
+                max_silence_ms: 5000.0,
+                idle_close_within_ms: 500.0,
+                key_settle_ms: 300.0,
+            },
+            goal: Goal { worst_class_weight: 0.3, cross_zone_price: if rng.bool() { 0.0 } else { 0.05 } },
+            list_guard: ListGuard {
+                panic_threshold: if rng.bool() { 0.0 } else { 0.2 },
+                confirm_after_ms: 3000.0,
             },
-            goal: Goal { worst_class: 0.3, cross_zone: if rng.bool() { 0.0 } else { 0.05 } },
-            list_guard: ListGuard { panic_threshold: if rng.bool() { 0.0 } else { 0.2 }, hold: 3000.0 },
             ..Settings::default()
         };
         Conditions {
--- a/tests/digest/life.rs
+++ b/tests/digest/life.rs
@@ -2,12 +2,14 @@
 
 #[path = "news.rs"]
 mod news;
+#[path = "record.rs"]
+mod record;
 
 use crate::conditions::Conditions;
-use std::collections::BTreeMap;
-use std::fmt::Write;
 use load_balancer::Balancer;
 use load_balancer::interface::*;
+use std::collections::BTreeMap;
+use std::fmt::Write;
 
 /// Steps of a life, and how long each is.
 const STEPS: usize = 1500;
@@ -67,7 +69,7 @@
         let weight = if self.conditions.uneven { [0.0, 0.3, 1.0, 2.7][self.rng.usize(..4)] } else { 1.0 };
         let (zone, cell) = (self.rng.u16(..self.conditions.zones), self.rng.u16(..5));
         let backend = id.wrapping_mul(2_654_435_761);
-        let entry = Entry { backend, phase: Phase::Ready, zone, started_at, weight, cell };
+        let entry = Entry { backend, phase: Phase::Ready, zone, started_at_ms: started_at, weight, cell };
         self.listed.insert(backend, entry);
     }
 
@@ -96,7 +98,7 @@
             let rank = self.rng.bool().then(|| self.rng.u32(..20));
             self.tell(Event::Peers { alive, known, rank });
             let processes = 1 + self.rng.u32(..2);
-            self.tell(Event::Processes { processes });
+            self.tell(Event::LocalProcesses { processes });
         }
         self.pass_time(self.now + STEP_MS);
     }
@@ -107,9 +109,16 @@
         self.open.insert(request, 0);
         let (key, tenant, coming) = (self.rng.u64(..30), self.rng.u16(..2), self.chance(30));
         let deadline = if coming { f64::MAX } else { self.now + 20.0 + 1000.0 * self.rng.f64() };
-        self.tell(Event::Request(Arrival { request, key, class, tenant, deadline, coming }));
+        self.tell(Event::Request(Arrival {
+            request,
+            key,
+            class,
+            tenant,
+            deadline_ms: deadline,
+            body_pending: coming,
+        }));
         if coming && self.chance(900) {
-            self.tell(Event::Whole { request, deadline: self.now + 700.0 });
+            self.tell(Event::BodyComplete { request, deadline_ms: self.now + 700.0 });
         } else if coming || self.chance(10) {
             self.hang_up(request);
         }
@@ -117,7 +126,7 @@
 
     fn hang_up(&mut self, request: RequestId) {
         self.open.remove(&request);
-        self.tell(Event::Hangup { request });
+        self.tell(Event::ClientGone { request });
     }
 
     fn pass_time(&mut self, to: f64) {
@@ -126,7 +135,7 @@
             let now = self.now;
             let due: Vec<u64> = self.timers.iter().filter(|t| t.0 <= now).map(|t| t.1).collect();
             self.timers.retain(|t| t.0 > now);
-            due.into_iter().for_each(|token| self.tell(Event::Wake { token }));
+            due.into_iter().for_each(|token| self.tell(Event::TimerFired { token }));
             let (over, out) = std::mem::take(&mut self.out).into_iter().partition(|o| o.due <= now);
             self.out = out;
             over.into_iter().for_each(|o| self.resolve(o));
@@ -141,7 +150,7 @@
             _ if due - sent >= PATIENCE_MS => Outcome::Timeout,
             0..60 if ill && backend % 3 == 0 => Outcome::Error,
             0..70 if ill && backend % 3 == 1 => Outcome::ConnectFailed,
-            0 => Outcome::Full,
+            0 => Outcome::Rejected,
             1 => Outcome::Reset,
             2 => Outcome::Error,
             _ => Outcome::Ok,
@@ -150,14 +159,22 @@
             self.open.remove(&request);
         }
         let (closed, spent) = (!self.open.contains_key(&request), false);
-        self.tell(Event::Resolved(Resolved { request, attempt, backend, outcome, wait, closed, spent }));
+        self.tell(Event::Resolved(Resolved {
+            request,
+            attempt,
+            backend,
+            outcome,
+            latency_ms: wait,
+            request_ended: closed,
+            body_consumed: spent,
+        }));
     }
 
     fn tell(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions {
-            writeln!(self.text, "{} {action:?}", self.now).expect("a string takes it");
+            writeln!(self.text, "{} {}", self.now, record::action(&action)).expect("a string takes it");
             self.carry_out(action);
         }
     }
@@ -165,14 +182,14 @@
     fn carry_out(&mut self, action: Action) {
         match action {
             Action::Send { request, backend, .. } => self.send(request, backend),
-            Action::WakeMe { delay, token } => self.timers.push((self.now + delay, token)),
-            Action::Refuse { request, .. } | Action::Fail { request } => drop(self.open.remove(&request)),
+            Action::SetTimer { delay_ms: delay, token } => self.timers.push((self.now + delay, token)),
+            Action::Reject { request, .. } | Action::Fail { request } => drop(self.open.remove(&request)),
             Action::Cancel { request, attempt } => {
                 let now = self.now;
                 let cancelled = self.out.iter_mut().filter(|o| o.request == request && o.attempt == attempt);
                 cancelled.for_each(|o| o.due = now);
             }
-            Action::Close { .. } | Action::Watch { .. } | Action::Withdraw { .. } | Action::Relist => {}
+            Action::CloseIdle { .. } | Action::Watch { .. } | Action::Withdraw { .. } | Action::Resync => {}
         }
     }
 
@@ -191,9 +208,9 @@
     fn look(&mut self) {
         let census = self.balancer.census();
         let weights: f64 = self.balancer.weights().map(|(_, weight)| weight).sum();
-        writeln!(self.text, "{census:?} {weights}").expect("a string takes it");
+        writeln!(self.text, "{} {weights}", record::census(&census)).expect("a string takes it");
         for (backend, standing) in self.balancer.standings(self.now) {
-            writeln!(self.text, "{backend} {standing:?}").expect("a string takes it");
+            writeln!(self.text, "{backend} {}", record::traffic_share(standing)).expect("a string takes it");
         }
     }
 }
--- a/tests/digest/news.rs
+++ b/tests/digest/news.rs
@@ -20,7 +20,7 @@
                 1 => entry.phase = Phase::Gone,
                 2 => entry.zone = self.rng.u16(..self.conditions.zones),
                 3 => entry.weight += 0.1,
-                4 => entry.started_at = self.now - 10.0,
+                4 => entry.started_at_ms = self.now - 10.0,
                 5 => {
                     let id = self.conditions.backends + self.rng.u32(1..30);
                     self.add(id);
@@ -44,7 +44,7 @@
         let (now, share) = (self.now, self.rng.f64());
         let mut entries: Vec<Entry> = self.listed.values().cloned().collect();
         entries.retain(|_| self.rng.f64() < share);
-        entries.iter_mut().for_each(|e| e.started_at = now - 100.0 * self.rng.f64());
+        entries.iter_mut().for_each(|e| e.started_at_ms = now - 100.0 * self.rng.f64());
         self.listed.extend(entries.iter().map(|e| (e.backend, e.clone())));
         self.tell(Event::List { kind: ListKind::Delta, entries });
     }
@@ -71,6 +71,6 @@
                 weights.push((id, [0.0, 0.5, 1.0, 1.7][self.rng.usize(..4)]));
             }
         }
-        self.tell(Event::Weights { weights });
+        self.tell(Event::RouteWeights { weights });
     }
 }
--- a/tests/drift.rs
+++ b/tests/drift.rs
@@ -2,10 +2,10 @@
 
 mod route_fleet;
 
+use load_balancer::route_table::*;
 use proptest::prelude::*;
 use route_fleet::*;
 use rstest::rstest;
-use load_balancer::route_table::*;
 
 /// Forty proxies of which all have a table.
 fn settled(seed: u64) -> Fleet {
--- a/tests/even.rs
+++ b/tests/even.rs
@@ -1,14 +1,14 @@
 //! How evenly a fleet of copies loads the backends of a tier, on a simulated clock: each copy a module of its own, Poisson
 //! clients, exponential work, any number of calls at once.
 
+use load_balancer::Balancer;
+use load_balancer::interface::*;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp};
 use rstest::rstest;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
-use load_balancer::Balancer;
-use load_balancer::interface::*;
 
 const BACKENDS: u32 = 60;
 const WORK_MS: f64 = 50.0;
@@ -57,11 +57,24 @@
 
 impl Fleet {
     fn new(copies: u32, rate: f64) -> Self {
-        let class = Class { aim: 300.0, points: 1.0, effect: Effect::Retryable, in_order: false };
-        let caps = Caps { try_limit: 3, ..Caps::default() };
-        let settings = Settings { copies, tick: 5.0, classes: vec![class], caps, ..Settings::default() };
-        let copy =
-            |copy| Balancer::new(Settings { copy, ..settings.clone() }, u64::from(copy)).expect("settings");
+        let class = Class {
+            latency_objective_ms: 300.0,
+            priority_weight: 1.0,
+            idempotency: Idempotency::Idempotent,
+            in_order: false,
+        };
+        let caps = Caps { max_attempts: 3, ..Caps::default() };
+        let settings = Settings {
+            instance_count: copies,
+            tick_ms: 5.0,
+            classes: vec![class],
+            caps,
+            ..Settings::default()
+        };
+        let copy = |copy| {
+            Balancer::new(Settings { instance_index: copy, ..settings.clone() }, u64::from(copy))
+                .expect("settings")
+        };
         let rates = vec![rate; copies as usize];
         Fleet { copies: (0..copies).map(copy).collect(), rates, ill: BTreeMap::new(), members: None }
     }
@@ -97,7 +110,7 @@
                 self.copies[c].handle(now, event, &mut out);
                 for action in out.drain(..) {
                     match action {
-                        Action::WakeMe { delay, token } => {
+                        Action::SetTimer { delay_ms: delay, token } => {
                             put(&mut queue, &mut place, now + delay, What::Wakes(c, token));
                         }
                         Action::Send { request, backend, .. } => {
@@ -109,11 +122,18 @@
                             };
                             let closed = outcome == Outcome::Ok;
                             let attempt = *tries.entry(request).and_modify(|n| *n += 1).or_insert(0);
-                            let end =
-                                Resolved { request, attempt, backend, outcome, wait, closed, spent: false };
+                            let end = Resolved {
+                                request,
+                                attempt,
+                                backend,
+                                outcome,
+                                latency_ms: wait,
+                                request_ended: closed,
+                                body_consumed: false,
+                            };
                             put(&mut queue, &mut place, now + wait, What::Ends(c, end));
                         }
-                        Action::Refuse { .. } | Action::Fail { .. } => seen.refused += 1,
+                        Action::Reject { .. } | Action::Fail { .. } => seen.refused += 1,
                         _ => {}
                     }
                 }
@@ -130,12 +150,19 @@
                     let (key, class, tenant, coming) = (0, 0, 0, false);
                     todo.push((
                         c,
-                        Event::Request(Arrival { request: id, key, class, tenant, deadline, coming }),
+                        Event::Request(Arrival {
+                            request: id,
+                            key,
+                            class,
+                            tenant,
+                            deadline_ms: deadline,
+                            body_pending: coming,
+                        }),
                     ));
                     let gap = Exp::new(self.rates[c] / 1000.0).expect("a rate").sample(&mut rng);
                     put(&mut queue, &mut place, now + gap, What::Arrives(c));
                 }
-                Some(What::Wakes(c, token)) => todo.push((c, Event::Wake { token })),
+                Some(What::Wakes(c, token)) => todo.push((c, Event::TimerFired { token })),
                 Some(What::Ends(c, end)) => todo.push((c, Event::Resolved(end))),
                 None => {}
             }
@@ -190,7 +217,7 @@
     let mut fleet = Fleet::new(20, 40.0);
     let weights: Vec<(BackendId, f64)> = (0..BACKENDS).map(|id| (id, f64::from(id % 3))).collect();
     fleet.copies.iter_mut().for_each(|c| {
-        c.handle(0.0, Event::Weights { weights: weights.clone() }, &mut Vec::new());
+        c.handle(0.0, Event::RouteWeights { weights: weights.clone() }, &mut Vec::new());
     });
     let seen = fleet.play(20.0, 0.0, 1);
     let of = |w: usize| (w..60).step_by(3).map(|id| seen.calls[id]).sum::<u64>() as f64;
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,11 +1,11 @@
 //! Limits of the library at their border and one over: what fits is whole, and what does not is refused with what to do.
 
-use std::collections::BTreeMap;
-use std::net::SocketAddr;
-use load_balancer::interface::Arrival;
 use load_balancer::client::membership::swim::{Dropped, Id, MAX_MEMBERS, Swim, Timing};
+use load_balancer::interface::Arrival;
 use load_balancer::replay::*;
 use load_balancer::route_table::*;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
 
 /// The fleet that has to fit below each limit.
 const FLEET: usize = 10_000;
@@ -102,7 +102,8 @@
     recorder.list(now, 1, listed(count));
     assert_eq!(recorder.left_out(), count.saturating_sub(MAX_BACKENDS));
     let hash = recorder.sampled(b"r1").expect("all are");
-    let arrival = Arrival { request: 1, key: 0, class: 0, tenant: 0, deadline: 1000.0, coming: false };
+    let arrival =
+        Arrival { request: 1, key: 0, class: 0, tenant: 0, deadline_ms: 1000.0, body_pending: false };
     recorder.arrived(now, hash, &arrival, 1000.0);
     recorder.sent(now, 1, count as u32 - 1, 0);
     recorder.closed(now + 5.0, 1, 0, Reply::Ok);
--- a/tests/registry_return/main.rs
+++ b/tests/registry_return/main.rs
@@ -15,11 +15,11 @@
 mod waits;
 
 use crate::rig::{Proxy, settings, soon};
+use load_balancer::client::discovery::{Backoff, Pace, Settings};
+use load_balancer::client::traffic::Traffic;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::time::Duration;
-use load_balancer::client::discovery::{Backoff, Pace, Settings};
-use load_balancer::client::traffic::Traffic;
 
 const TTL: u64 = 600_000;
 /// The longest pause of the clients and proxies here, before chance adds up to as much again.
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -2,9 +2,9 @@
 
 mod replay_rig;
 
+use load_balancer::replay::{Decision, Segment, Unsure, Verdict, judge};
 use replay_rig::{World, weights};
 use rstest::rstest;
-use load_balancer::replay::{Decision, Segment, Unsure, Verdict, judge};
 
 fn judged(world: &World, proposal: &[(&str, f64)], segments: &[Segment]) -> Verdict {
     judge(&world.job(weights(proposal)), segments, &|_| (), &|| false).expect("not cancelled")
--- a/tests/replay_rig/fleet.rs
+++ b/tests/replay_rig/fleet.rs
@@ -1,11 +1,11 @@
 //! The fleet itself: copies of the module, their recorders, and the backends' queues.
 
 use super::{START, World};
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use load_balancer::interface::*;
 use load_balancer::replay::{Ending, Recorder, Reply, Segment};
 use load_balancer::{Balancer, backend_id};
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub enum What {
@@ -62,7 +62,7 @@
             match what {
                 What::Arrival(copy) => self.arrive(now, copy),
                 What::Wake(copy, token) => {
-                    self.tell(now, copy, Event::Wake { token });
+                    self.tell(now, copy, Event::TimerFired { token });
                     let clock = self.clock(copy, now);
                     self.segments.extend(self.copies[copy].1.cut(clock));
                 }
@@ -81,7 +81,8 @@
         let request = self.requests.len() as u64;
         self.requests.push((copy, 0, false));
         let class = u16::from(self.rng.f64() < 0.2);
-        let arrival = Arrival { request, key: 0, class, tenant: 0, deadline: now + 5000.0, coming: false };
+        let arrival =
+            Arrival { request, key: 0, class, tenant: 0, deadline_ms: now + 5000.0, body_pending: false };
         let clock = self.clock(copy, now);
         let recorder = &mut self.copies[copy].1;
         if let Some(hash) = recorder.sampled(&request.to_le_bytes()) {
@@ -96,7 +97,7 @@
         let clock = self.clock(copy, now);
         for action in actions {
             match action {
-                Action::Send { request, backend, not_past } => {
+                Action::Send { request, backend, deadline_ms: not_past } => {
                     let (b, attempt) = (self.places[&backend], self.requests[request as usize].1);
                     self.requests[request as usize].1 += 1;
                     self.copies[copy].1.sent(clock, request, backend, self.flight[copy][b]);
@@ -106,9 +107,11 @@
                     self.queues[b].1.push_back(self.calls.len() - 1);
                     self.begin(now, b);
                 }
-                Action::Refuse { request, .. } => self.end(clock, request, Ending::Refused),
+                Action::Reject { request, .. } => self.end(clock, request, Ending::Refused),
                 Action::Fail { request } => self.end(clock, request, Ending::Failed),
-                Action::WakeMe { delay, token } => self.plan(now + delay, What::Wake(copy, token)),
+                Action::SetTimer { delay_ms: delay, token } => {
+                    self.plan(now + delay, What::Wake(copy, token))
+                }
                 _ => {}
             }
         }
@@ -150,9 +153,9 @@
             attempt,
             backend: backend_number,
             outcome,
-            wait: now - at,
-            closed,
-            spent: false,
+            latency_ms: now - at,
+            request_ended: closed,
+            body_consumed: false,
         };
         self.tell(now, proxy, Event::Resolved(resolved));
         self.begin(now, backend);
--- a/tests/replay_rig/mod.rs
+++ b/tests/replay_rig/mod.rs
@@ -5,12 +5,12 @@
 mod fleet;
 
 use fleet::{Fleet, What};
-use serde_json::json;
-use std::collections::{BTreeMap, BinaryHeap};
 use load_balancer::interface::*;
 use load_balancer::replay::{About, Bounds, Job, Listed, Peers, Recorder, Segment};
 use load_balancer::route_table::Weights;
 use load_balancer::{Balancer, backend_id};
+use serde_json::json;
+use std::collections::{BTreeMap, BinaryHeap};
 
 /// Unix time at which the fleet starts, ms.
 pub const START: f64 = 1.8e12;
@@ -138,7 +138,7 @@
             let weight =
                 |(l, &backend): (&Listed, &BackendId)| (backend, self.weights.of(&l.host, &l.class, &l.zone));
             let weights = listed.iter().zip(&numbers).map(weight).collect();
-            fleet.tell(0.0, copy, Event::Weights { weights });
+            fleet.tell(0.0, copy, Event::RouteWeights { weights });
             fleet.tell(0.0, copy, Event::List { kind: ListKind::Full, entries });
             if self.ranked {
                 let (alive, rank) = (self.proxies as u32, Some(copy as u32));
--- a/tests/replay_segments.rs
+++ b/tests/replay_segments.rs
@@ -2,10 +2,10 @@
 
 mod replay_rig;
 
+use load_balancer::replay::{BadSegment, Segment};
 use proptest::prelude::*;
 use replay_rig::{START, World};
 use rstest::rstest;
-use load_balancer::replay::{BadSegment, Segment};
 
 #[test]
 fn segments_come_back_as_they_were_sent() {
--- a/tests/route_fleet/mod.rs
+++ b/tests/route_fleet/mod.rs
@@ -7,9 +7,9 @@
 
 pub use faults::*;
 
-use std::collections::BTreeMap;
 use load_balancer::replay::{Decision, Verdict};
 use load_balancer::route_table::*;
+use std::collections::BTreeMap;
 
 /// When each simulation begins, Unix time in milliseconds.
 pub const START: u64 = 1_764_633_600_000;
--- a/tests/routes/proposals.rs
+++ b/tests/routes/proposals.rs
@@ -1,10 +1,10 @@
 //! Proposals: what is refused, which of two wins, and verdicts.
 
 use crate::route_fleet::*;
-use rstest::rstest;
-use std::collections::BTreeMap;
 use load_balancer::replay::{Breach, Decision, Unsure};
 use load_balancer::route_table::*;
+use rstest::rstest;
+use std::collections::BTreeMap;
 
 #[rstest]
 #[case::negative(&[("b0", -1.0)], "must be a number", 400)]
--- a/tests/routes/rollouts.rs
+++ b/tests/routes/rollouts.rs
@@ -1,10 +1,10 @@
 //! Rollouts, stage by stage, and their ends.
 
 use crate::route_fleet::*;
+use load_balancer::route_table::*;
 use proptest::prelude::*;
 use rstest::rstest;
 use std::collections::BTreeMap;
-use load_balancer::route_table::*;
 
 fn tables(fleet: &Fleet) -> BTreeMap<Revision, String> {
     fleet.proxies.iter().map(|p| (p.table.revision, p.table.digest.clone())).collect()
--- a/tests/routes_judged.rs
+++ b/tests/routes_judged.rs
@@ -6,6 +6,7 @@
 mod routes_rig;
 mod waits;
 
+use load_balancer::route_table::MAX_WEIGHTS;
 use registry_rig::*;
 use routes_rig::*;
 use serde_json::{Value, json};
@@ -13,7 +14,6 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
-use load_balancer::route_table::MAX_WEIGHTS;
 
 const EVERY: Duration = Duration::from_millis(200);
 
--- a/tests/routes_proxy.rs
+++ b/tests/routes_proxy.rs
@@ -6,6 +6,8 @@
 mod waits;
 
 use fault_relay::Relay;
+use load_balancer::replay::{Ending, Reply, Segment};
+use load_balancer::route_table::{MAX_NAME, MAX_WEIGHTS, Weights};
 use rig::*;
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -13,8 +15,6 @@
 use std::time::Duration;
 use table_rig::{Tables, table};
 use tokio::time::sleep;
-use load_balancer::replay::{Ending, Reply, Segment};
-use load_balancer::route_table::{MAX_NAME, MAX_WEIGHTS, Weights};
 
 const LOOK: Duration = Duration::from_millis(20);
 
@@ -208,7 +208,10 @@
             backends.iter().map(|(host, class, ..)| (host.as_str(), class.as_str())).collect();
         backends.sort_unstable();
         assert_eq!((name.as_str(), backends), ("n0", vec![("a", "m"), ("b", "m")]));
-        assert!(load_balancer::platform_settings::parse(settings.as_bytes()).is_ok(), "the module can be started by them");
+        assert!(
+            load_balancer::platform_settings::parse(settings.as_bytes()).is_ok(),
+            "the module can be started by them"
+        );
     }
     let page = scene.proxy.tell("record").await;
     assert!(page.contains("\"lost\":0"), "{page}");
--- a/tests/routes_rig/mod.rs
+++ b/tests/routes_rig/mod.rs
@@ -9,6 +9,7 @@
 
 use crate::registry_rig::{Line, Registry, entry};
 use crate::waits::soon;
+use load_balancer::route_table::{Report, Weights, Witness};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,7 +20,6 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 use tokio::time::sleep;
-use load_balancer::route_table::{Report, Weights, Witness};
 
 /// Flags for a registry that hosts the route table, with these keys under `[routes]`.
 pub fn hosting(data: &Path, keys: &str) -> [String; 2] {
--- a/tests/routes_rig/records.rs
+++ b/tests/routes_rig/records.rs
@@ -1,8 +1,8 @@
 //! What a fleet recorded, as if it had run until now.
 
 use crate::replay_rig::{START, World};
-use std::time::{SystemTime, UNIX_EPOCH};
 use load_balancer::replay::Segment;
+use std::time::{SystemTime, UNIX_EPOCH};
 
 /// What a simulated fleet of eight proxies recorded of backends `s0` to `s7` until now, packed.
 pub fn recorded(seconds: f64) -> Vec<Vec<u8>> {
--- a/tests/rules/cold.rs
+++ b/tests/rules/cold.rs
@@ -11,8 +11,8 @@
         let n = 8;
         let fleet: Vec<Proxy> = (0..copies)
             .map(|copy| {
-                let mut s = settings(copies, vec![class(2000.0, 1.0, Effect::Retryable)]);
-                s.copy = copy;
+                let mut s = settings(copies, vec![class(2000.0, 1.0, Idempotency::Idempotent)]);
+                s.instance_index = copy;
                 let mut p = Proxy::new(s, u64::from(copy), entries(n));
                 p.serve(6000.0, 2, 0, 250.0);
                 p
@@ -21,7 +21,7 @@
         let mut sends = Vec::new();
         for mut p in fleet {
             let started_at = p.now;
-            p.list(ListKind::Delta, vec![Entry { started_at, ..entry(3) }]);
+            p.list(ListKind::Delta, vec![Entry { started_at_ms: started_at, ..entry(3) }]);
             for _ in 0..600 {
                 p.ask(0, 0, 1e5);
                 p.ask(0, 0, 1e5);
@@ -53,11 +53,11 @@
 /// Starts the backends from `new` on anew in a list of `n` at 400 requests a second, and counts for 4 s what they
 /// are sent, each; they answer at once, the others after `wait`. The second figure is what one could bear by then.
 fn sends_to_cold(n: u32, new: u32, wait: f64, processes: u32) -> (f64, f64) {
-    let mut p = Proxy::new(settings(1, vec![class(2000.0, 1.0, Effect::Retryable)]), 1, entries(n));
+    let mut p = Proxy::new(settings(1, vec![class(2000.0, 1.0, Idempotency::Idempotent)]), 1, entries(n));
     p.serve(6000.0, 2, 0, 250.0);
     let started_at = p.now;
-    p.tell(Event::Processes { processes });
-    p.list(ListKind::Delta, (new..=n).map(|b| Entry { started_at, ..entry(b) }).collect());
+    p.tell(Event::LocalProcesses { processes });
+    p.list(ListKind::Delta, (new..=n).map(|b| Entry { started_at_ms: started_at, ..entry(b) }).collect());
     let mut sends = 0;
     for _ in 0..800 {
         p.ask(0, 0, 1e5);
@@ -102,9 +102,9 @@
 /// A restarted copy knows its cold backends only from a cached list and has seen no rate yet.
 #[test]
 fn a_copy_without_history_spares_cold_backends() {
-    let mut s = settings(10, vec![class(400.0, 1.0, Effect::Retryable)]);
-    s.copy = 4;
-    let cold = entries(10).into_iter().map(|e| Entry { started_at: 900.0, ..e }).collect();
+    let mut s = settings(10, vec![class(400.0, 1.0, Idempotency::Idempotent)]);
+    s.instance_index = 4;
+    let cold = entries(10).into_iter().map(|e| Entry { started_at_ms: 900.0, ..e }).collect();
     let mut p = Proxy::new(s, 3, cold);
     for _ in 0..200 {
         p.ask(0, 0, 1000.0);
--- a/tests/rules/idle.rs
+++ b/tests/rules/idle.rs
@@ -1,8 +1,8 @@
 //! A copy that is asked never turns all away for seconds on end, whatever its backends do.
 
 use crate::common::*;
-use rstest::rstest;
 use load_balancer::interface::*;
+use rstest::rstest;
 
 /// A span, and the arrivals in it, after which a copy without a single attempt counts as idle.
 const SPAN: f64 = 4000.0;
@@ -17,7 +17,8 @@
 
 /// Asks every `every` ms for 40 s; the trouble begins after 10 s and ends after 30.
 fn live(backends: u32, every: f64, trouble: Answers) -> Proxy {
-    let mut p = Proxy::new(settings(20, vec![class(400.0, 1.0, Effect::Retryable)]), 3, entries(backends));
+    let mut p =
+        Proxy::new(settings(20, vec![class(400.0, 1.0, Idempotency::Idempotent)]), 3, entries(backends));
     let begun = p.now;
     while p.now < begun + 40_000.0 {
         p.ask(0, 0, 1500.0);
@@ -39,7 +40,7 @@
 #[rstest]
 #[case::slow(|at, now| after(1200.0, Outcome::Ok, at, now))]
 #[case::fails(|at, now| after(20.0, Outcome::Error, at, now))]
-#[case::full(|at, now| after(2.0, Outcome::Full, at, now))]
+#[case::full(|at, now| after(2.0, Outcome::Rejected, at, now))]
 #[case::resets(|at, now| after(30.0, Outcome::Reset, at, now))]
 #[case::refuses(|at, now| after(0.0, Outcome::ConnectFailed, at, now))]
 #[case::hangs(|_, _| None)]
--- a/tests/rules/keys.rs
+++ b/tests/rules/keys.rs
@@ -4,7 +4,7 @@
 use load_balancer::interface::*;
 
 fn ordered() -> Proxy {
-    let effect = Effect::Dedup { group: Group::Zone, window: 800.0 };
+    let effect = Idempotency::Keyed { scope: DedupScope::Zone, dedup_window_ms: 800.0 };
     Proxy::new(settings(1, vec![Class { in_order: true, ..class(1000.0, 1.0, effect) }]), 1, entries(6))
 }
 
@@ -43,7 +43,7 @@
 /// Closing on drains: at the notice, and again after an outcome that comes later.
 #[test]
 fn idle_connections_to_a_draining_backend_are_closed() {
-    let mut p = Proxy::new(settings(1, vec![class(1000.0, 1.0, Effect::Fragile)]), 1, entries(1));
+    let mut p = Proxy::new(settings(1, vec![class(1000.0, 1.0, Idempotency::NonIdempotent)]), 1, entries(1));
     let id = p.ask(0, 0, 3000.0);
     p.list(ListKind::Delta, vec![Entry { phase: Phase::Draining, ..entry(1) }]);
     assert_eq!(p.closed.get(&1), Some(&p.now));
--- a/tests/rules/lives.rs
+++ b/tests/rules/lives.rs
@@ -7,22 +7,22 @@
     Outcome::Ok,
     Outcome::Ok,
     Outcome::Error,
-    Outcome::Full,
+    Outcome::Rejected,
     Outcome::Timeout,
     Outcome::ConnectFailed,
     Outcome::Reset,
 ];
 
 fn all_effects() -> Vec<Class> {
-    let dedup = |group, window| Effect::Dedup { group, window };
+    let dedup = |group, window| Idempotency::Keyed { scope: group, dedup_window_ms: window };
     vec![
-        class(400.0, 1.0, Effect::Retryable),
-        class(500.0, 5.0, Effect::Fragile),
-        class(600.0, 2.0, dedup(Group::All, 700.0)),
-        class(400.0, 2.0, dedup(Group::Zone, 900.0)),
-        class(500.0, 1.0, dedup(Group::Cell, 300.0)),
-        Class { in_order: true, ..class(500.0, 3.0, dedup(Group::Zone, 800.0)) },
-        Class { in_order: true, ..class(700.0, 3.0, Effect::Retryable) },
+        class(400.0, 1.0, Idempotency::Idempotent),
+        class(500.0, 5.0, Idempotency::NonIdempotent),
+        class(600.0, 2.0, dedup(DedupScope::All, 700.0)),
+        class(400.0, 2.0, dedup(DedupScope::Zone, 900.0)),
+        class(500.0, 1.0, dedup(DedupScope::Cell, 300.0)),
+        Class { in_order: true, ..class(500.0, 3.0, dedup(DedupScope::Zone, 800.0)) },
+        Class { in_order: true, ..class(700.0, 3.0, Idempotency::Idempotent) },
     ]
 }
 
@@ -32,7 +32,7 @@
     let mut s = settings(1 + rng.u32(..4), all_effects());
     s.tier = rng.u32(..3);
     s.tenants = vec![Tenant { quota_per_s: 50.0 }, Tenant { quota_per_s: 5.0 }];
-    s.goal.worst_class = 0.3;
+    s.goal.worst_class_weight = 0.3;
     change(&mut s);
     let place = |rng: &mut fastrand::Rng, mut e: Entry| {
         (e.zone, e.cell) = (rng.u16(..3), rng.u16(..4));
@@ -67,7 +67,7 @@
                     (e.zone, e.cell) = (known.zone, known.cell);
                 }
                 e.phase = [Phase::Ready, Phase::Ready, Phase::Draining, Phase::Gone][rng.usize(..4)];
-                e.started_at = if rng.bool() { 0.0 } else { p.now - 500.0 * rng.f64() };
+                e.started_at_ms = if rng.bool() { 0.0 } else { p.now - 500.0 * rng.f64() };
                 p.list(ListKind::Delta, vec![e]);
             }
             84..85 => {
@@ -80,17 +80,17 @@
             85..86 => p.list(ListKind::Failed, vec![]),
             86..88 => {
                 // Events about what was never there are passed over.
-                p.tell(Event::Hangup { request: 1 << 50 });
-                p.tell(Event::Wake { token: 999 });
+                p.tell(Event::ClientGone { request: 1 << 50 });
+                p.tell(Event::TimerFired { token: 999 });
                 let (request, outcome) = (1 << 50, Outcome::Ok);
                 let stray = Resolved {
                     request,
                     attempt: 3,
                     backend: 77,
                     outcome,
-                    wait: 1.0,
-                    closed: true,
-                    spent: false,
+                    latency_ms: 1.0,
+                    request_ended: true,
+                    body_consumed: false,
                 };
                 p.tell(Event::Resolved(stray));
             }
@@ -116,12 +116,12 @@
 
 #[test]
 fn rules_hold_where_cancels_are_forbidden() {
-    (100..140).for_each(|seed| life(seed, |s| (s.caps.cancelling, s.caps.try_limit) = (false, 2)));
+    (100..140).for_each(|seed| life(seed, |s| (s.caps.cancelling, s.caps.max_attempts) = (false, 2)));
 }
 
 #[test]
 fn rules_hold_where_the_list_must_be_asked() {
-    (200..230).for_each(|seed| life(seed, |s| s.must_ask = true));
+    (200..230).for_each(|seed| life(seed, |s| s.must_subscribe = true));
 }
 
 /// Guards against a copy whose hash order or clock leaks into its decisions.
--- a/tests/rules_apart.rs
+++ b/tests/rules_apart.rs
@@ -7,8 +7,14 @@
 use load_balancer::interface::*;
 
 const TIMES: [f64; 6] = [0.5, 5.0, 20.0, 120.0, 300.0, 2000.0];
-const OUTCOMES: [Outcome; 6] =
-    [Outcome::Ok, Outcome::Error, Outcome::Full, Outcome::ConnectFailed, Outcome::Reset, Outcome::Timeout];
+const OUTCOMES: [Outcome; 6] = [
+    Outcome::Ok,
+    Outcome::Error,
+    Outcome::Rejected,
+    Outcome::ConnectFailed,
+    Outcome::Reset,
+    Outcome::Timeout,
+];
 
 fn one_of<T: Copy>(rng: &mut fastrand::Rng, of: &[T]) -> T {
     of[rng.usize(..of.len())]
@@ -16,24 +22,31 @@
 
 fn apart(rng: &mut fastrand::Rng) -> Settings {
     let window = if rng.bool() { 0.0 } else { one_of(rng, &TIMES) };
-    let group = one_of(rng, &[Group::All, Group::Zone, Group::Cell]);
-    let effect = one_of(rng, &[Effect::Retryable, Effect::Fragile, Effect::Dedup { group, window }]);
+    let group = one_of(rng, &[DedupScope::All, DedupScope::Zone, DedupScope::Cell]);
+    let effect = one_of(
+        rng,
+        &[
+            Idempotency::Idempotent,
+            Idempotency::NonIdempotent,
+            Idempotency::Keyed { scope: group, dedup_window_ms: window },
+        ],
+    );
     let points = one_of(rng, &[0.0, 1.0, 1e6]);
     let class = Class { in_order: rng.bool(), ..class(one_of(rng, &TIMES), points, effect) };
     let mut s = settings(1 + rng.u32(..30), vec![class]);
-    s.tick = one_of(rng, &[1.0, 5.0, 200.0]);
-    s.caps.try_limit = 1 + rng.u32(..3);
+    s.tick_ms = one_of(rng, &[1.0, 5.0, 200.0]);
+    s.caps.max_attempts = 1 + rng.u32(..3);
     s.caps.cancelling = rng.bool();
     s.caps.retry_after = rng.bool();
-    s.caps.max_retry_after = one_of(rng, &TIMES);
-    s.rules.cold_from = one_of(rng, &[0.0, 0.1, 1.0]);
-    s.rules.cold = one_of(rng, &[0.0, 500.0, 20_000.0]);
-    s.rules.fall_multiple = one_of(rng, &[0.0, 1.5, 100.0]);
-    s.rules.settle_after_doubt = one_of(rng, &[0.0, 300.0]);
-    s.rules.release_within = one_of(rng, &[0.0, 1.0]);
-    s.must_ask = rng.bool();
+    s.caps.max_retry_after_ms = one_of(rng, &TIMES);
+    s.rules.initial_capacity = one_of(rng, &[0.0, 0.1, 1.0]);
+    s.rules.warm_up_ms = one_of(rng, &[0.0, 500.0, 20_000.0]);
+    s.rules.overload_multiple = one_of(rng, &[0.0, 1.5, 100.0]);
+    s.rules.key_settle_ms = one_of(rng, &[0.0, 300.0]);
+    s.rules.idle_close_within_ms = one_of(rng, &[0.0, 1.0]);
+    s.must_subscribe = rng.bool();
     s.tier = rng.u32(..2);
-    s.goal.worst_class = rng.f64();
+    s.goal.worst_class_weight = rng.f64();
     s
 }
 
@@ -50,7 +63,9 @@
     let refused = p.asked.values().filter_map(|a| a.ended.filter(|e| e.1 == "refused").map(|e| (a, e.0)));
     for (a, at) in refused {
         let ran = a.sends.iter().find(|s| s.outcome.is_none_or(|o| !o.never_ran()));
-        if let (Some(ran), Effect::Dedup { window, .. }) = (ran, p.s.classes[a.class].effect) {
+        if let (Some(ran), Idempotency::Keyed { dedup_window_ms: window, .. }) =
+            (ran, p.s.classes[a.class].idempotency)
+        {
             assert!(at < ran.at + window, "refused {} ms after its first send, window {window}", at - ran.at);
         }
     }
@@ -84,7 +99,7 @@
             70..76 => {
                 let mut e = entry(1 + rng.u32(..5));
                 e.phase = one_of(&mut rng, &[Phase::Ready, Phase::Ready, Phase::Draining, Phase::Gone]);
-                e.started_at = if rng.bool() { 0.0 } else { p.now - 100.0 };
+                e.started_at_ms = if rng.bool() { 0.0 } else { p.now - 100.0 };
                 p.list(ListKind::Delta, vec![e]);
             }
             _ => {
@@ -105,7 +120,7 @@
 }
 
 fn dedup_all(window: f64) -> Proxy {
-    let class = class(1000.0, 1.0, Effect::Dedup { group: Group::All, window });
+    let class = class(1000.0, 1.0, Idempotency::Keyed { scope: DedupScope::All, dedup_window_ms: window });
     Proxy::new(settings(1, vec![class]), 1, entries(3))
 }
 
--- a/tests/scale/parts.rs
+++ b/tests/scale/parts.rs
@@ -7,10 +7,10 @@
 use crate::run::sample::Sample;
 use crate::run::spread::Spread;
 use crate::run::traffic::{Count, Kind, Traffic};
+use load_balancer::client::list::Host;
+use load_balancer::interface::ListKind;
 use rstest::rstest;
 use serde_json::{Value, json};
-use load_balancer::interface::ListKind;
-use load_balancer::client::list::Host;
 
 #[test]
 fn a_line_goes_through_points_that_lie_on_one() {
--- a/tests/standing.rs
+++ b/tests/standing.rs
@@ -8,6 +8,7 @@
 
 use fault_relay::Relay;
 use http_body_util::{BodyExt, Full};
+use load_balancer::interface::{Entry, Idempotency, ListKind, Outcome};
 use rig::{Caller, Do, Proxy, Scene, request, scene, settings, soon};
 use serde_json::{Value, json};
 use std::sync::Arc;
@@ -15,7 +16,6 @@
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 use tokio::time::{sleep, sleep_until};
-use load_balancer::interface::{Effect, Entry, ListKind, Outcome};
 
 /// The rig's `stopSendingWithin`, and the protocol's slack on every limit.
 const GRACE: Duration = Duration::from_millis(550);
@@ -166,14 +166,14 @@
     const START: f64 = 5000.0;
     let mut sends = vec![Vec::new(); BACKENDS as usize + 1];
     for copy in 0..COPIES {
-        let mut s = common::settings(COPIES, vec![common::class(2000.0, 1.0, Effect::Retryable)]);
-        s.copy = copy;
+        let mut s = common::settings(COPIES, vec![common::class(2000.0, 1.0, Idempotency::Idempotent)]);
+        s.instance_index = copy;
         let mut p = common::Proxy::new(s, u64::from(copy), common::entries(BACKENDS));
         // Twenty requests a second, each at the copy's own time in the 50 ms, answered after 400 ms.
         p.advance(p.now + 50.0 * f64::from(copy) / f64::from(COPIES));
         while p.now < START + 4000.0 {
             if (START..START + 50.0).contains(&p.now) {
-                let cold = |b| Entry { started_at: START, ..common::entry(b) };
+                let cold = |b| Entry { started_at_ms: START, ..common::entry(b) };
                 p.list(ListKind::Delta, (WARM + 1..=BACKENDS).map(cold).collect());
             }
             p.ask(0, 0, 1e5);
--- a/tests/table_rig/mod.rs
+++ b/tests/table_rig/mod.rs
@@ -10,6 +10,7 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
+use load_balancer::route_table::Weights;
 use serde_json::{Value, json};
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -18,7 +19,6 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio::time::timeout;
-use load_balancer::route_table::Weights;
 
 /// A watch waits no longer here, whatever it asks for.
 const WAIT: Duration = Duration::from_millis(500);
--- a/tests/unit/balancer/steps.rs
+++ b/tests/unit/balancer/steps.rs
@@ -18,19 +18,24 @@
 
 fn settings(copies: u32, cross_zone: f64) -> Settings {
     Settings {
-        copies,
-        tick: 5.0,
-        classes: vec![Class { aim: 300.0, points: 1.0, effect: Effect::Retryable, in_order: false }],
-        caps: Caps { try_limit: 3, ..Caps::default() },
+        instance_count: copies,
+        tick_ms: 5.0,
+        classes: vec![Class {
+            latency_objective_ms: 300.0,
+            priority_weight: 1.0,
+            idempotency: Idempotency::Idempotent,
+            in_order: false,
+        }],
+        caps: Caps { max_attempts: 3, ..Caps::default() },
         rules: Rules {
-            cold_from: 0.1,
-            cold: 1e9,
-            fall_multiple: 3.0,
-            release_within: 1.0,
+            initial_capacity: 0.1,
+            warm_up_ms: 1e9,
+            overload_multiple: 3.0,
+            idle_close_within_ms: 1.0,
             ..Rules::default()
         },
-        goal: Goal { cross_zone, ..Goal::default() },
-        list_guard: ListGuard { panic_threshold: 0.1, hold: 1000.0 },
+        goal: Goal { cross_zone_price: cross_zone, ..Goal::default() },
+        list_guard: ListGuard { panic_threshold: 0.1, confirm_after_ms: 1000.0 },
         ..Settings::default()
     }
 }
@@ -54,7 +59,7 @@
         // Every part of the list has its cold ones.
         let started_at = if n.is_multiple_of(self.size / COLD) { self.now } else { 0.0 };
         let (backend, zone) = (n * 1000, (n % 3) as u16);
-        Entry { backend, zone, started_at, weight: 1.0, ..Entry::default() }
+        Entry { backend, zone, started_at_ms: started_at, weight: 1.0, ..Entry::default() }
     }
 
     /// How many records one event looks at.
@@ -67,7 +72,7 @@
 
     fn house(&mut self) -> usize {
         self.now += 50.0;
-        self.steps(Event::Wake { token: HOUSEKEEPING })
+        self.steps(Event::TimerFired { token: HOUSEKEEPING })
     }
 
     /// One entry that drains, and one that takes work again.
@@ -83,11 +88,20 @@
         self.now += 2.0;
         let (request, deadline) = (self.next, self.now + 1000.0);
         self.next += 1;
-        let arrival = Arrival { request, key: 0, class: 0, tenant: 0, deadline, coming: false };
+        let arrival =
+            Arrival { request, key: 0, class: 0, tenant: 0, deadline_ms: deadline, body_pending: false };
         let steps = self.steps(Event::Request(arrival));
         let Some(&Action::Send { backend, .. }) = self.actions.first() else { return steps };
         let closed = outcome == Outcome::Ok;
-        let over = Resolved { request, attempt: 0, backend, outcome, wait: 1.0, closed, spent: !closed };
+        let over = Resolved {
+            request,
+            attempt: 0,
+            backend,
+            outcome,
+            latency_ms: 1.0,
+            request_ended: closed,
+            body_consumed: !closed,
+        };
         steps + self.steps(Event::Resolved(over))
     }
 
--- a/tests/unit/proxy/downstream.rs
+++ b/tests/unit/proxy/downstream.rs
@@ -1,8 +1,8 @@
 //! Unit tests of `src/bin/proxy/downstream/mod.rs`, which names this file.
 
 use super::*;
-use crate::upstream::{Limits, Pool};
 use crate::paused::rig::settings;
+use crate::upstream::{Limits, Pool};
 use std::io::Write;
 use tokio::io::AsyncReadExt;
 use tokio::task::LocalSet;
--- a/tests/unit/proxy/engine/state.rs
+++ b/tests/unit/proxy/engine/state.rs
@@ -1,14 +1,14 @@
 //! Which backends the engine lets go of, and when.
 
 use super::*;
-use std::cell::Cell;
 use load_balancer::interface::{Class, Entry, Phase, Settings};
+use std::cell::Cell;
 
 fn state() -> State {
     let settings = Settings {
-        copies: 1,
-        tick: 5.0,
-        classes: vec![Class { aim: 1.0, ..Class::default() }],
+        instance_count: 1,
+        tick_ms: 5.0,
+        classes: vec![Class { latency_objective_ms: 1.0, ..Class::default() }],
         ..Settings::default()
     };
     State {
