--- /dev/null
+++ b/src/bin/proxy/downstream/handle.rs
@@ -0,0 +1,171 @@
+//! Handles one request from its head to its response, phase by phase.
+//!
+//! Acts for each request on a client's connection, also for `/health/ready`. Owns nothing beyond the request; in what order
+//! the phases run is written in [`Downstream::handle_request`] and nowhere else.
+
+use super::Downstream;
+use super::respond::{Reply, closing, plain, respond};
+use crate::body::{Flow, Rest};
+use crate::counters::Record;
+use crate::engine::{AdmittedRequest, ParsedRequest, RequestEnd};
+use crate::io::{Client, Progress};
+use crate::upstream::UpstreamResponse;
+use hyper::body::{Body, Incoming};
+use hyper::header::EXPECT;
+use hyper::{Request, StatusCode};
+use std::convert::Infallible;
+use std::future::Future;
+use std::pin::pin;
+use std::rc::Rc;
+use tokio::task::spawn_local;
+use tokio::time::Instant;
+
+/// The connection that a request came on.
+#[derive(Clone, Copy)]
+pub(super) struct RequestSource<'a> {
+    /// Whether it was accepted beyond the limit of connections.
+    pub(super) over_limit: bool,
+    pub(super) progress: &'a Progress,
+    pub(super) client: &'a Rc<Client>,
+}
+
+/// What the client announced of its body.
+#[derive(Clone, Copy)]
+struct Announced {
+    has_body: bool,
+    /// It sends its body only after a `100 Continue`.
+    expects_continue: bool,
+}
+
+impl Downstream {
+    /// The way of a request: `read_request` -> `admit` -> (`select_endpoint` -> `connect` -> `forward` -> `await_response` in
+    /// the engine, again for each retry) -> `respond` -> `account`.
+    pub(super) async fn handle_request(
+        &self,
+        request: Request<Incoming>,
+        source: RequestSource<'_>,
+    ) -> Result<Reply, Infallible> {
+        let announced = Announced {
+            has_body: !request.body().is_end_stream(),
+            expects_continue: request.headers().contains_key(EXPECT),
+        };
+        let readiness = self.readiness();
+        let parsed = if request.uri().path() == "/health/ready" {
+            Err(Box::new(plain(readiness)))
+        } else {
+            self.read_request(request, source).await
+        };
+        let reply = match parsed {
+            // Guards against bytes of an unread body that would be taken for the next request.
+            Err(reply) if announced.has_body => closing(*reply),
+            Err(reply) => *reply,
+            // Idle clients hold connections too: what is rejected is work beyond what can be served.
+            Ok((_, record))
+                if source.over_limit && self.engine.unanswered_requests() >= self.own_connections() =>
+            {
+                respond(RequestEnd::Rejected { retry_after: None }, record)
+            }
+            Ok((parsed, record)) => self.serve_request(parsed, record, announced, source).await,
+        };
+        Ok(if self.must_close(source.client) { closing(reply) } else { reply })
+    }
+
+    /// The status of `/health/ready`.
+    fn readiness(&self) -> StatusCode {
+        let ready = self.engine.is_ready() && self.lifecycle.phase().accepts_clients();
+        if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }
+    }
+
+    /// Whether a client's connection is closed after its response. Clients that send one request and stay connected would soon
+    /// hold all connections: as those run short, none is kept.
+    fn must_close(&self, client: &Client) -> bool {
+        2 * self.open.get() > self.own_connections()
+            || !self.lifecycle.phase().accepts_clients()
+            || client.spilt()
+    }
+
+    /// Admits a request, waits for its end, and responds.
+    async fn serve_request(
+        &self,
+        request: ParsedRequest,
+        mut record: Record,
+        announced: Announced,
+        source: RequestSource<'_>,
+    ) -> Reply {
+        let body = request.call.rest.clone();
+        let received_at = request.received_at;
+        source.client.is_at(body.is_none());
+        let mut ended = pin!(ended(self.engine.admit(request)));
+        let Some(body) = body else {
+            let end = unless_client_leaves(ended, source.client).await;
+            return respond(self.in_time(end, received_at), record);
+        };
+        let complete_or_ended = async {
+            tokio::select! {
+                end = &mut ended => return end,
+                flow = body.settled() => body_settled(flow, &mut record, source),
+            }
+            ended.await
+        };
+        let end = unless_client_leaves(complete_or_ended, source.client).await;
+        let end = match body.state() {
+            Flow::Whole(at) => self.in_time(end, at),
+            _ => end,
+        };
+        respond_with_unread_body(end, record, &body, announced)
+    }
+
+    /// Guards against a response that is begun and then lost at the kill: one that flows has no end in sight, so that for a
+    /// request that came late after the stop it counts as too late.
+    fn in_time(&self, end: RequestEnd, complete_at: Instant) -> RequestEnd {
+        match end {
+            RequestEnd::Served(UpstreamResponse { rest: Some(_), .. })
+                if self.lifecycle.is_late_request(complete_at) =>
+            {
+                RequestEnd::DeadlineExceeded
+            }
+            end => end,
+        }
+    }
+}
+
+/// Waits for the end of a request that was or was not admitted.
+async fn ended(admitted: Result<AdmittedRequest, RequestEnd>) -> RequestEnd {
+    match admitted {
+        Ok(request) => request.ended().await,
+        Err(end) => end,
+    }
+}
+
+async fn unless_client_leaves(ended: impl Future<Output = RequestEnd>, client: &Client) -> RequestEnd {
+    tokio::select! {
+        biased;
+        end = ended => end,
+        () = client.leaves() => RequestEnd::ClientGone,
+    }
+}
+
+/// The body that flowed is complete or broken off. When complete, an answer is owed, and the next bytes are another head's.
+fn body_settled(flow: Flow, record: &mut Record, source: RequestSource<'_>) {
+    if flow != Flow::Broken {
+        source.client.is_at(true);
+        source.progress.await_head();
+        record.taken();
+    }
+}
+
+/// Responds to a request whose body was not buffered, and sees to what of it is unread.
+///
+/// Guards against a response that is lost: closed over unread bytes, the client's connection would be reset. So the body is
+/// read to its end and dropped; where the client awaits a `100 Continue` it may never send it, and the connection closes.
+fn respond_with_unread_body(end: RequestEnd, record: Record, body: &Rest, announced: Announced) -> Reply {
+    let unread = if matches!(end, RequestEnd::Served(_)) { None } else { body.withdraw() };
+    match unread {
+        Some(_) if announced.expects_continue && !body.passed() => closing(respond(end, record)),
+        Some(flow) => {
+            spawn_local(flow.drain());
+            respond(end, record)
+        }
+        None => respond(end, record),
+    }
+}
--- /dev/null
+++ b/src/bin/proxy/downstream/read_request.rs
@@ -0,0 +1,200 @@
+//! The phase `read_request`: checks a request's head and reads its body as far as it is buffered.
+//!
+//! Acts once for each request. What cannot be accepted is answered here with its status: no record counts it. Owns nothing.
+
+use super::Downstream;
+use super::handle::RequestSource;
+use super::respond::{Reply, plain};
+use crate::body::{self, Held, Paced, Rest};
+use crate::counters::Record;
+use crate::engine::{ParsedRequest, millis};
+use crate::upstream::UpstreamRequest;
+use bytes::{Bytes, BytesMut};
+use hyper::body::{Body, Incoming};
+use hyper::header::{ALLOW, EXPECT, HOST, HeaderMap, HeaderValue};
+use hyper::{Method, Request, StatusCode, Uri};
+use load_balancer::interface::Idempotency;
+use percent_encoding::percent_decode_str;
+use std::io;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::task::spawn_local;
+use tokio::time::Instant;
+
+/// Longest timeout that a client may ask for, unless a class of the settings has a longer one.
+const MAX_CLIENT_TIMEOUT: Duration = Duration::from_secs(600);
+
+/// The response to a request that cannot be accepted.
+type ErrorReply = Box<Reply>;
+
+/// What a request's head says, checked.
+struct CheckedHead {
+    class: usize,
+    tenant: usize,
+    id: HeaderValue,
+    client_timeout: Duration,
+    idempotency_key: Option<HeaderValue>,
+    ordering_key: Option<String>,
+}
+
+/// A body as far as it was read.
+struct BufferedBody {
+    held: Bytes,
+    /// What follows that; `None` where the body is complete.
+    rest: Option<Paced>,
+    room: Option<Held>,
+}
+
+impl Downstream {
+    /// Reads a request, and its body if that is small; or responds with what is wrong with it.
+    pub(super) async fn read_request(
+        &self,
+        request: Request<Incoming>,
+        source: RequestSource<'_>,
+    ) -> Result<(ParsedRequest, Record), ErrorReply> {
+        let (head, body) = request.into_parts();
+        let checked = self.check_head(&head.method, &head.uri, &head.headers, body.is_end_stream())?;
+        let BufferedBody { held, rest, room } = self.buffer_body(body, &head.headers).await?;
+        let received_at = Instant::now();
+        let client = Rc::downgrade(source.client);
+        let is_complete = rest.is_none();
+        let rest = rest.map(|body| Rc::new(Rest::new(body, checked.client_timeout, client.clone())));
+        let mut record = self.counters.record(checked.class);
+        if is_complete {
+            source.progress.await_head();
+            record.taken();
+        }
+        let path = head.uri.path_and_query().cloned().map(Uri::from);
+        let call = UpstreamRequest {
+            method: head.method,
+            uri: path.ok_or_else(bad_request)?,
+            host: head.headers.get(HOST).cloned(),
+            id: checked.id,
+            key: checked.idempotency_key,
+            held,
+            rest,
+            client,
+            _room: room,
+            client_deadline: received_at + checked.client_timeout,
+        };
+        let parsed = ParsedRequest {
+            call,
+            class: checked.class as u16,
+            tenant: checked.tenant as u16,
+            key: checked.ordering_key,
+            received_at,
+            client_timeout: checked.client_timeout,
+        };
+        Ok((parsed, record))
+    }
+
+    /// Checks path, headers and method, in this order.
+    fn check_head(
+        &self,
+        method: &Method,
+        uri: &Uri,
+        headers: &HeaderMap,
+        has_no_body: bool,
+    ) -> Result<CheckedHead, ErrorReply> {
+        let class = class_of(&self.settings.site.classes, uri.path());
+        let class = class.ok_or_else(|| status(StatusCode::NOT_FOUND))?;
+        let id = single_value(headers, "req-id").ok_or_else(bad_request)?.clone();
+        let tenant = self.tenant_of(headers).ok_or_else(bad_request)?;
+        let client_timeout = self.client_timeout(headers).ok_or_else(bad_request)?;
+        let idempotency_key = single_value(headers, "idempotency-key").cloned();
+        let (allowed, needs_key) = match self.settings.settings.classes[class].idempotency {
+            Idempotency::Idempotent => (Method::GET, None),
+            Idempotency::Keyed { .. } => (Method::POST, Some(true)),
+            Idempotency::NonIdempotent => (Method::POST, Some(false)),
+        };
+        if *method != allowed {
+            return Err(method_not_allowed(&allowed));
+        }
+        if needs_key.is_some_and(|needed| needed != idempotency_key.is_some())
+            || needs_key.is_none() && !has_no_body
+        {
+            return Err(bad_request());
+        }
+        let ordering_key = uri.query().and_then(|q| q.split('&').find_map(|p| p.strip_prefix("k=")));
+        let ordering_key = ordering_key.filter(|key| !key.is_empty()).map(str::to_string);
+        Ok(CheckedHead { class, tenant, id, client_timeout, idempotency_key, ordering_key })
+    }
+
+    /// Index of the tenant that the headers name. A name may have letters beyond ASCII.
+    fn tenant_of(&self, headers: &HeaderMap) -> Option<usize> {
+        let tenants = &self.settings.site.tenants;
+        if tenants.is_empty() {
+            return Some(0);
+        }
+        let owner = single_value(headers, "req-owner").map(HeaderValue::as_bytes);
+        tenants.iter().position(|tenant| Some(tenant.as_bytes()) == owner)
+    }
+
+    /// How long the client waits, by its headers.
+    fn client_timeout(&self, headers: &HeaderMap) -> Option<Duration> {
+        let timeout_ms = single_value(headers, "req-deadline-ms")?.to_str().ok()?.parse().ok()?;
+        let longest = MAX_CLIENT_TIMEOUT.max(millis(self.settings.site.longest_client_timeout_ms));
+        Some(Duration::from_millis(timeout_ms).min(longest))
+    }
+
+    /// Reads a body as far as it is small and the buffer budget allows. What cannot be buffered is read only once there is a
+    /// backend to pass it on to.
+    async fn buffer_body(&self, body: Incoming, headers: &HeaderMap) -> Result<BufferedBody, ErrorReply> {
+        let mut body = Paced::new(body, body::CLIENT);
+        let length = body.left();
+        if length.is_some_and(|n| n > body::LARGEST) {
+            // Guards against a response that is lost in a reset over unread bytes. A client that expects a `100 Continue`
+            // may well not send the body.
+            if !headers.contains_key(EXPECT) {
+                spawn_local(body.drain());
+            }
+            return Err(status(StatusCode::PAYLOAD_TOO_LARGE));
+        }
+        let Some(mut room) = self.room.take(length) else {
+            return Ok(BufferedBody { held: Bytes::new(), rest: Some(body), room: None });
+        };
+        let mut held = BytesMut::new();
+        let is_complete = body.hold(&mut held).await.map_err(|e| match e.kind() {
+            io::ErrorKind::TimedOut => status(StatusCode::REQUEST_TIMEOUT),
+            _ => bad_request(),
+        })?;
+        room.shrink(held.len());
+        Ok(BufferedBody { held: held.freeze(), rest: (!is_complete).then_some(body), room: Some(room) })
+    }
+}
+
+fn status(status: StatusCode) -> ErrorReply {
+    Box::new(plain(status))
+}
+
+fn bad_request() -> ErrorReply {
+    status(StatusCode::BAD_REQUEST)
+}
+
+fn method_not_allowed(allowed: &Method) -> ErrorReply {
+    let mut reply = plain(StatusCode::METHOD_NOT_ALLOWED);
+    let allow = HeaderValue::from_static(if *allowed == Method::GET { "GET" } else { "POST" });
+    reply.headers_mut().insert(ALLOW, allow);
+    Box::new(reply)
+}
+
+/// Index of the class whose name the path begins with, as it stands or percent-encoded. Names may have slashes: the longest
+/// one that fits is chosen.
+fn class_of(names: &[String], path: &str) -> Option<usize> {
+    let begins = |path: &str, name: &str| {
+        path.strip_prefix(name).is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
+    };
+    let find = |path: &str| {
+        let fitting = names.iter().enumerate().filter(|(_, name)| begins(path, name));
+        fitting.max_by_key(|(_, name)| name.len()).map(|(index, _)| index)
+    };
+    let path = path.strip_prefix('/').unwrap_or(path);
+    let decoded = || percent_decode_str(path).decode_utf8().ok().and_then(|path| find(&path));
+    find(path).or_else(|| find(path.trim_start_matches('/'))).or_else(decoded)
+}
+
+/// The value of a header that must come once, and not empty.
+fn single_value<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a HeaderValue> {
+    let mut values = headers.get_all(name).iter();
+    values.next().filter(|v| !v.is_empty() && values.next().is_none())
+}
--- a/src/bin/proxy/downstream/reply.rs
+++ b/src/bin/proxy/downstream/respond.rs
@@ -1,9 +1,11 @@
-//! What a caller is answered, and the answer's body.
+//! The phase `respond`: the one place that maps each end of a request to what is written to the client.
+//!
+//! Owns the response's body, and with it the request's record: the phase `account` is the drop of both.
 
 use crate::body::{Held, Paced};
 use crate::counters::{Ending, Record};
-use crate::engine::Answer;
-use crate::upstream::Served;
+use crate::engine::RequestEnd;
+use crate::upstream::UpstreamResponse;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use hyper::header::{CONNECTION, HeaderValue, RETRY_AFTER};
@@ -12,18 +14,18 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-pub(super) type Reply = Response<Outflow>;
+pub(super) type Reply = Response<ResponseBody>;
 
-/// An answer's body. The request's record goes along and ends with it.
+/// A response's body. The request's record is dropped with it, and counted then.
 #[derive(Default)]
-pub struct Outflow {
+pub struct ResponseBody {
     data: Bytes,
     rest: Option<Paced>,
     record: Option<Record>,
     _room: Option<Held>,
 }
 
-impl Body for Outflow {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -38,7 +40,7 @@
             },
         };
         if let (Err(_), Some(record)) = (&next, &mut self.record) {
-            // The client can tell: its connection ends here.
+            // The client notices: its connection closes before the announced end.
             record.ends(Ending::Failed);
         }
         Poll::Ready(next.transpose().map(|piece| piece.map(Frame::data)))
@@ -58,37 +60,46 @@
     }
 }
 
+/// A response without a body.
 pub(super) fn plain(status: StatusCode) -> Reply {
-    let mut reply = Response::new(Outflow::default());
+    let mut reply = Response::new(ResponseBody::default());
     *reply.status_mut() = status;
     reply
 }
 
-/// The last one on its connection.
+/// The same response as the last one on its connection.
 pub(super) fn closing(mut reply: Reply) -> Reply {
     reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     reply
 }
 
-pub(super) fn write(answer: Answer, mut record: Record) -> Reply {
-    let none = Served { data: Bytes::new(), rest: None, room: None };
-    let (status, ending, served, wait) = match answer {
-        Answer::Served(served) => (StatusCode::OK, Ending::Served, served, None),
-        Answer::Refused { retry_after } => {
-            (StatusCode::SERVICE_UNAVAILABLE, Ending::Refused, none, retry_after)
-        }
-        Answer::Failed => (StatusCode::BAD_GATEWAY, Ending::Failed, none, None),
-        Answer::TimedOut => (StatusCode::GATEWAY_TIMEOUT, Ending::Failed, none, None),
-        Answer::Broken => (StatusCode::REQUEST_TIMEOUT, Ending::Failed, none, None),
-    };
+/// The status of each end, and what it counts as.
+fn status_of(end: &RequestEnd) -> (StatusCode, Ending) {
+    match end {
+        RequestEnd::Served(_) => (StatusCode::OK, Ending::Served),
+        RequestEnd::Rejected { .. } => (StatusCode::SERVICE_UNAVAILABLE, Ending::Refused),
+        RequestEnd::UpstreamFailed => (StatusCode::BAD_GATEWAY, Ending::Failed),
+        RequestEnd::DeadlineExceeded => (StatusCode::GATEWAY_TIMEOUT, Ending::Failed),
+        RequestEnd::ClientGone => (StatusCode::REQUEST_TIMEOUT, Ending::Failed),
+    }
+}
+
+/// The response to a request that ended so.
+pub(super) fn respond(end: RequestEnd, mut record: Record) -> Reply {
+    let (status, ending) = status_of(&end);
     record.ends(ending);
-    let Served { data, rest, room } = served;
-    let mut reply = Response::new(Outflow { data, rest, record: Some(record), _room: room });
+    let (response, retry_after) = match end {
+        RequestEnd::Served(response) => (response, None),
+        RequestEnd::Rejected { retry_after } => (UpstreamResponse::default(), retry_after),
+        _ => (UpstreamResponse::default(), None),
+    };
+    let UpstreamResponse { data, rest, room } = response;
+    let mut reply = Response::new(ResponseBody { data, rest, record: Some(record), _room: room });
     *reply.status_mut() = status;
     if status == StatusCode::REQUEST_TIMEOUT {
         reply = closing(reply);
     }
-    let seconds = wait.map(|d| format!("{:.3}", d.as_secs_f64()));
+    let seconds = retry_after.map(|delay| format!("{:.3}", delay.as_secs_f64()));
     if let Some(value) = seconds.and_then(|s| HeaderValue::try_from(s).ok()) {
         reply.headers_mut().insert(RETRY_AFTER, value);
     }
--- a/src/bin/proxy/engine/act.rs
+++ b/src/bin/proxy/engine/act.rs
@@ -1,66 +1,75 @@
-//! Tells the module what happened and carries out what it decides.
+//! Hands events to the decision module and carries out the actions that it returns.
+//!
+//! Runs whenever something happens on a socket, a timer fires or the list of endpoints changes. Owns no state; the queue of
+//! events that wait for the module is in [`State`].
 
 use super::Engine;
 use super::clock::millis;
-use super::request::Answer;
+use super::request::RequestEnd;
 use super::state::State;
-use load_balancer::interface::{Action, Event};
+use load_balancer::interface::{Action, AttemptNo, Event, RequestId};
 use std::rc::Rc;
+use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
 impl Engine {
-    /// Tells the module of an event and carries out what it decides, and so on until all is quiet.
-    pub(super) fn tell(self: &Rc<Self>, event: Event) {
+    /// Hands an event to the module and carries out its actions; then the events that those actions caused, until the queue
+    /// is empty. Events are queued and not handled in place, so that the module is never entered twice.
+    pub(super) fn handle_event(self: &Rc<Self>, event: Event) {
         let s = &mut *self.state.borrow_mut();
         s.events.push_back(event);
         while let Some(event) = s.events.pop_front() {
             let mut actions = std::mem::take(&mut s.actions);
             s.balancer.handle(self.clock.at(Instant::now()), event, &mut actions);
             for action in actions.drain(..) {
-                self.act(s, action);
+                self.perform(s, action);
             }
             s.actions = actions;
         }
     }
 
-    fn act(self: &Rc<Self>, s: &mut State, action: Action) {
+    fn perform(self: &Rc<Self>, s: &mut State, action: Action) {
         match action {
-            Action::Send { request, backend, deadline_ms: not_past } => {
-                self.send(s, request, backend, not_past)
+            Action::Send { request, backend, deadline_ms } => {
+                self.start_attempt(s, request, backend, deadline_ms);
             }
-            Action::Reject { request, retry_after_ms: retry_after } => {
-                let retry_after = Some(millis(retry_after)).filter(|d| !d.is_zero());
-                s.answer(request, Answer::Refused { retry_after });
-            }
-            Action::Fail { request } => s.answer(request, Answer::Failed),
-            Action::Cancel { request, attempt } => {
-                let open = s.requests.get_mut(&request);
-                let out = open.and_then(|r| r.attempts.get_mut(usize::from(attempt))?.as_mut());
-                if let Some(cancel) = out.and_then(|o| o.cancel.take()) {
-                    // One that has just ended needs no cancel.
-                    let _ = cancel.send(());
-                }
-            }
-            Action::SetTimer { delay_ms: delay, token } => {
-                let engine = self.clone();
-                tokio::task::spawn_local(async move {
-                    sleep(millis(delay)).await;
-                    engine.tell(Event::TimerFired { token });
-                });
+            Action::Reject { request, retry_after_ms } => {
+                let retry_after = Some(millis(retry_after_ms)).filter(|d| !d.is_zero());
+                s.end_request(request, RequestEnd::Rejected { retry_after });
             }
+            Action::Fail { request } => s.end_request(request, RequestEnd::UpstreamFailed),
+            Action::Cancel { request, attempt } => cancel_attempt(s, request, attempt),
+            Action::SetTimer { delay_ms, token } => self.set_timer(millis(delay_ms), token),
             Action::CloseIdle { backend } => {
                 if let Some(target) = s.targets.get(&backend) {
-                    self.pool.close(target.dial);
+                    self.pool.close_idle(target.address);
                 }
             }
             Action::Watch { on } => {
-                self.watching.send_replace(on);
+                self.watch_wanted.send_replace(on);
             }
             Action::Withdraw { backend } => s.withdraw(backend, &self.pool),
             Action::Resync => {
-                self.relist.set(true);
-                self.watching.send_replace(true);
+                self.resync_requested.set(true);
+                self.watch_wanted.send_replace(true);
             }
         }
     }
+
+    fn set_timer(self: &Rc<Self>, delay: Duration, token: u64) {
+        let engine = self.clone();
+        tokio::task::spawn_local(async move {
+            sleep(delay).await;
+            engine.handle_event(Event::TimerFired { token });
+        });
+    }
+}
+
+fn cancel_attempt(s: &mut State, request: RequestId, attempt: AttemptNo) {
+    let pending = s.requests.get_mut(&request);
+    let in_flight = pending.and_then(|r| r.attempts.get_mut(usize::from(attempt))?.as_mut());
+    if let Some(cancel) = in_flight.and_then(|attempt| attempt.cancel.take()) {
+        // The receiver is gone when the attempt ended at this moment; then there is nothing to cancel.
+        let _ = cancel.send(());
+    }
 }
--- a/src/bin/proxy/engine/attempts.rs
+++ b/src/bin/proxy/engine/attempts.rs
@@ -1,73 +1,92 @@
-//! Attempts: each one's send and end is here and nowhere else.
+//! Attempts: the phase `select_endpoint`, and the end of each attempt, after which the module retries or the client is
+//! answered.
+//!
+//! Acts when the module selects an endpoint and when an attempt ends. Owns no state: attempts in flight are kept in their
+//! [`PendingRequest`], each under its number.
 
 use super::Engine;
-use super::request::{Answer, Life, Open, Out};
+use super::request::{AnswerState, InFlightAttempt, PendingRequest, RequestEnd};
 use super::state::State;
 use crate::body::Flow;
-use crate::upstream::{Attempt, End};
+use crate::upstream::{Attempt, AttemptEnd, Target};
 use load_balancer::interface::{BackendId, Event, Outcome, RequestId, Resolved};
 use std::rc::Rc;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
 impl Engine {
-    pub(super) fn send(
+    /// Starts an attempt at the endpoint that the module selected; where it may not start, it ends as not sent.
+    pub(super) fn start_attempt(
         self: &Rc<Self>,
         s: &mut State,
         request: RequestId,
         backend: BackendId,
-        not_past: f64,
+        deadline_ms: f64,
     ) {
-        let Some(open) = s.requests.get_mut(&request) else { return };
-        let number = open.attempts.len();
-        if matches!(open.life, Life::Owed(_)) && open.call.left() {
-            open.answer(Answer::Broken);
-            s.events.push_back(Event::ClientGone { request });
-        }
-        let sent = Instant::now();
-        let target = s.targets.get(&backend);
-        let within = number < self.facts.settings.caps.max_attempts as usize;
-        let Some(target) = target.filter(|_| within && matches!(open.life, Life::Owed(_))) else {
-            open.attempts.push(None);
-            s.events.push_back(resolved(request, number, backend, Outcome::NotSent, 0.0, open));
-            self.observe_moot(request, number, backend);
+        let Some(number) = s.requests.get(&request).map(|pending| pending.attempts.len()) else { return };
+        let target = self.select_endpoint(s, request, backend);
+        let sent_at = Instant::now();
+        let Some(pending) = s.requests.get_mut(&request) else { return };
+        let Some(target) = target else {
+            pending.attempts.push(None);
+            s.events.push_back(resolved(request, number, backend, Outcome::NotSent, 0.0, pending));
+            self.observe_not_sent(request, number, backend);
             return;
         };
         self.observe_send(request, backend);
         let (cancel, cancelled) = oneshot::channel();
-        let begin_by = open.begin_by();
-        open.attempts.push(Some(Out { backend, sent, cancel: Some(cancel) }));
-        let (call, target, not_past) = (open.call.clone(), target.clone(), self.clock.instant(not_past));
-        let attempt = Attempt { call, target, not_past, begin_by, cancelled };
-        let (engine, pool) = (self.clone(), self.pool.clone());
-        tokio::task::spawn_local(attempt.run(pool, move |end| engine.ended(request, number, end)));
+        let begin_by = pending.begin_by();
+        pending.attempts.push(Some(InFlightAttempt { backend, sent_at, cancel: Some(cancel) }));
+        let call = pending.call.clone();
+        let deadline = self.clock.instant(deadline_ms);
+        let attempt = Attempt { call, target, deadline, begin_by, cancelled };
+        let engine = self.clone();
+        let report = move |end| engine.attempt_ended(request, number, end);
+        tokio::task::spawn_local(attempt.run(self.pool.clone(), report));
+    }
+
+    /// The phase `select_endpoint`: where the backend that the module selected is reached. `None` where the attempt must not
+    /// start: the client has gone, the request has ended, the backend is unknown here, or too many attempts were made.
+    fn select_endpoint(&self, s: &mut State, request: RequestId, backend: BackendId) -> Option<Rc<Target>> {
+        let pending = s.requests.get_mut(&request)?;
+        // Guards against work for a client that left while this process stood still: its end then lies unread on the
+        // socket, and an attempt that begins later than 0.1 s after it is a break of the protocol.
+        if pending.is_unanswered() && pending.call.client_gone() {
+            pending.end(RequestEnd::ClientGone);
+            s.events.push_back(Event::ClientGone { request });
+        }
+        let may_start = pending.attempts.len() < self.settings.settings.caps.max_attempts as usize;
+        let target = s.targets.get(&backend)?;
+        (may_start && pending.is_unanswered()).then(|| target.clone())
     }
 
-    /// An attempt ended. The first served answer goes to the caller by itself.
-    fn ended(self: &Rc<Self>, request: RequestId, number: usize, end: End) {
+    /// An attempt has ended. A response that can be passed on goes to the client at once; whether to retry any other end is
+    /// the module's decision.
+    fn attempt_ended(self: &Rc<Self>, request: RequestId, number: usize, end: AttemptEnd) {
         let event = {
             let s = &mut *self.state.borrow_mut();
-            let Some(open) = s.requests.get_mut(&request) else { return };
-            let Some(out) = open.attempts.get_mut(number).and_then(Option::take) else { return };
+            let Some(pending) = s.requests.get_mut(&request) else { return };
+            let Some(attempt) = pending.attempts.get_mut(number).and_then(Option::take) else { return };
             let outcome = end.outcome();
             if !outcome.never_ran() {
-                open.ran = Some(open.ran.map_or(out.sent, |ran| ran.min(out.sent)));
+                let first = pending.first_sent_at.map_or(attempt.sent_at, |first| first.min(attempt.sent_at));
+                pending.first_sent_at = Some(first);
             }
-            if let End::Served(body) = end {
-                open.answer(Answer::Served(body));
+            if let AttemptEnd::Response(response) = end {
+                pending.end(RequestEnd::Served(response));
             }
-            // A backend begins with the last byte.
-            let begun = match open.call.rest.as_ref().map(|r| r.state()) {
-                Some(Flow::Whole(at)) => at.max(out.sent),
-                _ => out.sent,
+            // A backend begins its work with the last byte of a request.
+            let begun_at = match pending.call.rest.as_ref().map(|r| r.state()) {
+                Some(Flow::Whole(at)) => at.max(attempt.sent_at),
+                _ => attempt.sent_at,
             };
-            let wait = begun.elapsed().as_secs_f64() * 1000.0;
-            self.observe_reply(request, number, out.backend, outcome);
-            let event = resolved(request, number, out.backend, outcome, wait, open);
-            s.forget(request);
+            let latency_ms = begun_at.elapsed().as_secs_f64() * 1000.0;
+            self.observe_reply(request, number, attempt.backend, outcome);
+            let event = resolved(request, number, attempt.backend, outcome, latency_ms, pending);
+            s.remove_if_done(request);
             event
         };
-        self.tell(event);
+        self.handle_event(event);
     }
 }
 
@@ -76,18 +95,16 @@
     number: usize,
     backend: BackendId,
     outcome: Outcome,
-    wait: f64,
-    open: &Open,
+    latency_ms: f64,
+    pending: &PendingRequest,
 ) -> Event {
-    let (attempt, closed) = (number as u8, matches!(open.life, Life::Over));
-    let spent = open.call.rest.as_ref().is_some_and(|r| r.passed());
     Event::Resolved(Resolved {
         request,
-        attempt,
+        attempt: number as u8,
         backend,
         outcome,
-        latency_ms: wait,
-        request_ended: closed,
-        body_consumed: spent,
+        latency_ms,
+        request_ended: matches!(pending.answer, AnswerState::Sent),
+        body_consumed: pending.call.rest.as_ref().is_some_and(|r| r.passed()),
     })
 }
--- a/src/bin/proxy/engine/list.rs
+++ b/src/bin/proxy/engine/list.rs
@@ -1,45 +1,48 @@
-//! The list of backends as the engine takes it.
+//! Takes lists of backends from discovery's client and hands them to the decision module.
+//!
+//! Acts when a list or a change of it arrives, and when a call to discovery fails. Owns no state of its own: the backends'
+//! addresses are in [`State`], and what counts as in service is the module's decision.
 
 use super::Engine;
 use super::state::State;
 use crate::upstream::Target;
 use load_balancer::client::discovery::Listener;
 use load_balancer::client::list::{Health, Host};
-use load_balancer::interface::{Census, Entry, Event, ListKind, Phase};
+use load_balancer::interface::{BackendId, Census, Entry, Event, ListKind, Phase};
 use std::cell::Cell;
 use std::rc::Rc;
 use tracing::{info, warn};
 
-/// The engine as discovery's client knows it.
+/// The engine as the receiver of discovery's lists.
 pub struct ListedEngine(pub Rc<Engine>);
 
 impl Listener for ListedEngine {
     fn list(&self, kind: ListKind, version: u64, hosts: Vec<Host>) {
-        self.0.list(kind, version, hosts);
+        self.0.apply_list(kind, version, hosts);
     }
 
     fn list_failed(&self) {
-        self.0.list_failed();
+        self.0.discovery_failed();
     }
 
     fn wants_whole_list(&self) -> bool {
-        self.0.wants_whole_list()
+        self.0.take_resync_request()
     }
 }
 
 impl Engine {
     /// A list of backends, or changes to it, and the version that it leads to.
-    pub fn list(self: &Rc<Self>, kind: ListKind, version: u64, hosts: Vec<Host>) {
+    pub fn apply_list(self: &Rc<Self>, kind: ListKind, version: u64, hosts: Vec<Host>) {
         let entries = {
             let s = &mut *self.state.borrow_mut();
-            hosts.into_iter().filter_map(|h| self.entry(s, h)).collect()
+            hosts.into_iter().filter_map(|host| self.list_entry(s, host)).collect()
         };
-        let before = self.unlisted();
-        self.weigh_newcomers();
-        self.tell(Event::List { kind, entries });
-        self.state.borrow_mut().forget_gone(kind);
+        let unlisted_before = self.unlisted();
+        self.apply_new_weights();
+        self.handle_event(Event::List { kind, entries });
+        self.state.borrow_mut().remove_unknown(kind);
         self.observe_list(version);
-        if (before == 0) == (self.unlisted() == 0) {
+        if (unlisted_before == 0) == (self.unlisted() == 0) {
             return;
         }
         let Census { listed, unlisted, .. } = self.census();
@@ -55,52 +58,79 @@
         self.state.borrow().balancer.unlisted()
     }
 
-    /// Whether the whole list is wanted anew; asked once.
-    pub fn wants_whole_list(&self) -> bool {
-        self.relist.take()
+    /// Whether the module wants the full list again; the request is cleared by this.
+    pub fn take_resync_request(&self) -> bool {
+        self.resync_requested.take()
     }
 
     /// A call to discovery failed.
-    pub fn list_failed(self: &Rc<Self>) {
-        self.watching.send_replace(false);
-        self.tell(Event::List { kind: ListKind::Failed, entries: Vec::new() });
+    pub fn discovery_failed(self: &Rc<Self>) {
+        self.watch_wanted.send_replace(false);
+        self.handle_event(Event::List { kind: ListKind::Failed, entries: Vec::new() });
     }
 
-    fn entry(&self, s: &mut State, h: Host) -> Option<Entry> {
-        let backend = s.id(&h.host);
-        s.leaving.insert(backend);
-        let phase = match h.health {
+    /// A backend of the list as the module knows it; `None` where its zone is unknown. A backend that takes work is
+    /// reachable from here on.
+    fn list_entry(&self, s: &mut State, host: Host) -> Option<Entry> {
+        let backend = s.id_of(&host.host);
+        s.removal_candidates.insert(backend);
+        let phase = match host.health {
             Health::Serving => Phase::Ready,
             Health::Draining => Phase::Draining,
             Health::Deleted => Phase::Gone,
         };
-        let zones = &self.facts.site.zones;
-        // Without zones every backend is near.
-        let alike = zones.is_empty().then_some(usize::from(self.facts.settings.zone));
-        let Some(zone) = alike.or_else(|| zones.iter().position(|z| *z == h.site)) else {
+        let Some(zone) = self.zone_of(&host) else {
             if phase != Phase::Ready {
                 // Wherever it is, it takes nothing new.
                 return Some(Entry { backend, phase, ..Entry::default() });
             }
-            warn!("discovery: {}: zone {:?} is unknown, passed over", h.host, h.site);
+            warn!("discovery: {}: zone {:?} is unknown, passed over", host.host, host.site);
             return None;
         };
         if let (Some(observer), Phase::Ready | Phase::Draining) = (&self.observer, phase) {
-            observer.listed(backend, &h);
+            observer.backend_listed(backend, &host);
         }
-        // The module says what becomes of those that the list has drain or gone.
-        if let (Phase::Ready, Some(dial)) = (phase, h.dial) {
-            // A new process knows nothing of the old one's connections. Where its machine fell silent
-            // they look open still, and a request on one would end as a reset, which may have run.
-            let born_ms = h.born_ms;
-            let same = |t: &Rc<Target>| t.dial == dial && t.born_ms == born_ms && t.drained.get().is_none();
-            if !s.targets.get(&backend).is_some_and(same) {
-                s.withdraw(backend, &self.pool);
-                let target = Target { dial, born_ms, drained: Cell::new(None) };
-                s.targets.insert(backend, Rc::new(target));
-            }
+        // For those that drain or are gone the module decides what becomes of their connections.
+        if phase == Phase::Ready {
+            self.update_target(s, backend, &host);
+        }
+        Some(Entry {
+            backend,
+            phase,
+            zone: zone as u16,
+            started_at_ms: host.born_ms.max(0.0),
+            weight: host.share.max(0.0),
+            cell: host.block,
+        })
+    }
+
+    /// Index of a backend's zone. Without zones every backend is in this proxy's own.
+    fn zone_of(&self, host: &Host) -> Option<usize> {
+        let zones = &self.settings.site.zones;
+        if zones.is_empty() {
+            return Some(usize::from(self.settings.settings.zone));
+        }
+        zones.iter().position(|zone| *zone == host.site)
+    }
+
+    /// Where a backend that takes work is reached.
+    ///
+    /// Guards against a request that is sent on a connection of the backend's previous process: where its machine fell silent
+    /// such a connection still looks open, and the request would end as a reset, which may have run. So another address or
+    /// start time makes another target, and closes the idle connections of the old one.
+    fn update_target(&self, s: &mut State, backend: BackendId, host: &Host) {
+        let Some(address) = host.dial else { return };
+        let started_at_ms = host.born_ms;
+        let unchanged = |target: &Rc<Target>| {
+            target.address == address
+                && target.started_at_ms == started_at_ms
+                && target.drained_at.get().is_none()
+        };
+        if s.targets.get(&backend).is_some_and(unchanged) {
+            return;
         }
-        let (zone, started_at, weight, cell) = (zone as u16, h.born_ms.max(0.0), h.share.max(0.0), h.block);
-        Some(Entry { backend, phase, zone, started_at_ms: started_at, weight, cell })
+        s.withdraw(backend, &self.pool);
+        let target = Target { address, started_at_ms, drained_at: Cell::new(None) };
+        s.targets.insert(backend, Rc::new(target));
     }
 }
--- a/src/bin/proxy/engine/mod.rs
+++ b/src/bin/proxy/engine/mod.rs
@@ -1,18 +1,22 @@
-//! The only owner of the decision module: turns what happens on the sockets into its events, in order, and
-//! carries out its actions. Keeps the ids, the clock, the timers and each request's life.
+//! The engine is the only owner of the decision module: it turns what happens on the sockets into the module's events, in
+//! order, and carries out the module's actions.
+//!
+//! It owns the ids, the clock, the timers and each request from its admission to its end. Everything runs on one thread, so
+//! that events have one order. Of the phases of a request `admit` and `select_endpoint` are here.
 
 mod act;
+mod admit;
 mod attempts;
 mod clock;
-mod decide;
 mod list;
 mod observe;
 mod request;
 mod state;
 
+pub use admit::AdmittedRequest;
 pub use clock::millis;
 pub use list::ListedEngine;
-pub use request::{Answer, Incoming};
+pub use request::{ParsedRequest, RequestEnd};
 
 use crate::observer::Observer;
 use crate::upstream::Pool;
@@ -20,7 +24,6 @@
 use load_balancer::Balancer;
 use load_balancer::interface::{Census, Event, RequestId, SettingsError};
 use load_balancer::platform_settings::PlatformSettings;
-use request::Life;
 use state::State;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -28,48 +31,57 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until};
 
-/// The proxy's middle. Everything runs on one thread, so that events have one order.
+/// The decision module and what it needs to act on sockets.
 pub struct Engine {
     state: RefCell<State>,
     pool: Rc<Pool>,
     clock: Clock,
-    facts: PlatformSettings,
-    watching: watch::Sender<bool>,
-    /// The module wants the whole list anew.
-    relist: Cell<bool>,
-    /// From when on nothing is awaited any more; set by a planned stop.
-    last: Cell<Option<Instant>>,
-    /// Is told of calls, where something asks for it.
+    settings: PlatformSettings,
+    /// Whether the module wants discovery to push changes.
+    watch_wanted: watch::Sender<bool>,
+    /// Whether the module wants the full list again.
+    resync_requested: Cell<bool>,
+    /// When the last answer must have been given; set by a planned stop.
+    last_answer_at: Cell<Option<Instant>>,
+    /// Notified of calls, where route reports or recordings are configured.
     observer: Option<Rc<Observer>>,
 }
 
 impl Engine {
-    /// Starts the module. What it asks of discovery comes through `watching`.
+    /// Starts the module. What it wants of discovery goes to `watch_wanted`.
     pub fn new(
-        facts: PlatformSettings,
+        settings: PlatformSettings,
         seed: u64,
         pool: Rc<Pool>,
-        watching: watch::Sender<bool>,
+        watch_wanted: watch::Sender<bool>,
         observer: Option<Rc<Observer>>,
     ) -> Result<Rc<Self>, SettingsError> {
         let state = State {
-            balancer: Balancer::new(facts.settings.clone(), seed)?,
-            ids: HashMap::new(),
-            names: HashMap::new(),
-            leaving: HashSet::new(),
+            balancer: Balancer::new(settings.settings.clone(), seed)?,
+            id_by_host: HashMap::new(),
+            host_by_id: HashMap::new(),
+            removal_candidates: HashSet::new(),
             targets: HashMap::new(),
             requests: HashMap::new(),
-            next: 1,
+            next_request_id: 1,
             events: VecDeque::new(),
             actions: Vec::new(),
         };
-        let (state, clock, last) = (RefCell::new(state), Clock::new(), Cell::new(None));
-        Ok(Rc::new(Engine { state, pool, clock, facts, watching, relist: Cell::default(), last, observer }))
+        Ok(Rc::new(Engine {
+            state: RefCell::new(state),
+            pool,
+            clock: Clock::new(),
+            settings,
+            watch_wanted,
+            resync_requested: Cell::new(false),
+            last_answer_at: Cell::new(None),
+            observer,
+        }))
     }
 
-    /// Whether requests can be decided: some backend takes work.
-    pub fn ready(&self) -> bool {
-        self.state.borrow().targets.values().any(|t| t.drained.get().is_none())
+    /// Whether requests can be served: some backend takes work.
+    pub fn is_ready(&self) -> bool {
+        self.state.borrow().targets.values().any(|target| target.drained_at.get().is_none())
     }
 
     /// The backends in the list, as the module sees them.
@@ -77,38 +89,44 @@
         self.state.borrow().balancer.census()
     }
 
-    /// How many requests are owed an answer.
-    pub fn owed(&self) -> usize {
-        self.state.borrow().requests.values().filter(|r| matches!(r.life, Life::Owed(_))).count()
+    /// How many requests await their answer.
+    pub fn unanswered_requests(&self) -> usize {
+        self.state.borrow().requests.values().filter(|pending| pending.is_unanswered()).count()
     }
 
-    /// So many processes stand for this copy.
-    pub fn processes(self: &Rc<Self>, processes: u32) {
-        self.tell(Event::LocalProcesses { processes });
+    /// So many processes of this proxy instance run at this address.
+    pub fn set_local_processes(self: &Rc<Self>, processes: u32) {
+        self.handle_event(Event::LocalProcesses { processes });
     }
 
-    /// So many proxies of the tier are present, as the members tell each other.
-    pub fn peers(self: &Rc<Self>, alive: u32, known: u32, rank: Option<u32>) {
-        self.tell(Event::Peers { alive, known, rank });
+    /// So many proxies of the tier are alive, by the membership protocol.
+    pub fn set_peers(self: &Rc<Self>, alive: u32, known: u32, rank: Option<u32>) {
+        self.handle_event(Event::Peers { alive, known, rank });
     }
 
-    /// The part that this process takes of what the tier's proxies share.
-    pub fn share(&self) -> f64 {
+    /// The part that this process takes of the budgets that the tier's proxies share.
+    pub fn fleet_share(&self) -> f64 {
         self.state.borrow().balancer.share()
     }
 
-    /// Answers what is still open by then, and takes nothing that would last longer.
-    pub fn end_by(self: &Rc<Self>, last: Instant) {
-        self.last.set(Some(last));
+    /// Answers all that is open at `last_answer_at`, and from now on admits nothing that would last longer.
+    pub fn answer_all_by(self: &Rc<Self>, last_answer_at: Instant) {
+        self.last_answer_at.set(Some(last_answer_at));
         let engine = self.clone();
         tokio::task::spawn_local(async move {
-            sleep_until(last).await;
-            let open: Vec<RequestId> = {
-                let s = &mut *engine.state.borrow_mut();
-                s.requests.values_mut().for_each(|r| r.answer(Answer::TimedOut));
-                s.requests.keys().copied().collect()
-            };
-            open.into_iter().for_each(|request| engine.tell(Event::ClientGone { request }));
+            sleep_until(last_answer_at).await;
+            for request in engine.end_all_requests() {
+                engine.handle_event(Event::ClientGone { request });
+            }
         });
     }
+
+    /// Ends all open requests towards their clients; their ids.
+    fn end_all_requests(&self) -> Vec<RequestId> {
+        let s = &mut *self.state.borrow_mut();
+        for pending in s.requests.values_mut() {
+            pending.end(RequestEnd::DeadlineExceeded);
+        }
+        s.requests.keys().copied().collect()
+    }
 }
--- a/src/bin/proxy/engine/observe.rs
+++ b/src/bin/proxy/engine/observe.rs
@@ -1,4 +1,6 @@
-//! What the engine tells the observer, where there is one, and the weights that come back.
+//! What the engine reports to the observer, where there is one, and the weights of the route table that come back.
+//!
+//! Acts at each arrival, send and end, and where a table or a list changes. Owns no state.
 
 use super::Engine;
 use hyper::header::HeaderValue;
@@ -10,22 +12,22 @@
 use tokio::time::Instant;
 
 impl Engine {
-    /// Another table: each backend that is listed is weighed by it, now and after each change of the list.
-    pub fn weigh(self: &Rc<Self>, revision: Revision, table: Weights) {
+    /// Applies a new route table to the backends in the list, now and after each change of the list.
+    pub fn apply_route_table(self: &Rc<Self>, revision: Revision, table: Weights) {
         if let Some(observer) = &self.observer {
-            let weights = observer.weigh(self.now(), revision, table);
-            self.tell(Event::RouteWeights { weights });
+            let weights = observer.apply_table(self.now_ms(), revision, table);
+            self.handle_event(Event::RouteWeights { weights });
         }
     }
 
-    /// Each backend's weight, as the module has it.
-    pub fn in_force(&self) -> Vec<(BackendId, f64)> {
+    /// Each backend's weight as the module applies it.
+    pub fn weights_in_force(&self) -> Vec<(BackendId, f64)> {
         self.state.borrow().balancer.weights().collect()
     }
 
-    /// All that are listed, and why one gets less than its weight says.
-    pub fn standings(&self) -> Vec<(BackendId, Option<LeftOut>)> {
-        let why = |standing| match standing {
+    /// All backends in the list, each with the reason why it gets less traffic than its weight says.
+    pub fn left_out(&self) -> Vec<(BackendId, Option<LeftOut>)> {
+        let reason = |share| match share {
             TrafficShare::Full => None,
             TrafficShare::Ejected => Some(LeftOut::Ejected),
             TrafficShare::WarmingUp => Some(LeftOut::Cold),
@@ -34,43 +36,50 @@
             TrafficShare::Slow => Some(LeftOut::Slow),
         };
         let state = self.state.borrow();
-        state.balancer.standings(self.now()).map(|(backend, standing)| (backend, why(standing))).collect()
+        state.balancer.standings(self.now_ms()).map(|(backend, share)| (backend, reason(share))).collect()
     }
 
     /// Milliseconds of Unix time on a clock that only goes forward.
-    pub fn now(&self) -> f64 {
+    pub fn now_ms(&self) -> f64 {
         self.clock.at(Instant::now())
     }
 
-    /// Those that a list names have their weights before the module hears of them.
-    pub(super) fn weigh_newcomers(self: &Rc<Self>) {
-        if let Some(observer) = self.observer.as_ref().filter(|observer| observer.untold()) {
-            self.tell(Event::RouteWeights { weights: observer.weights() });
+    /// Gives the module the weights of backends that a list names for the first time, before the list itself: none takes
+    /// traffic by a weight that the table does not give it.
+    pub(super) fn apply_new_weights(self: &Rc<Self>) {
+        if let Some(observer) = self.observer.as_ref().filter(|observer| observer.has_unapplied_weights()) {
+            self.handle_event(Event::RouteWeights { weights: observer.weights() });
         }
     }
 
+    /// The module has applied a list.
     pub(super) fn observe_list(&self, version: u64) {
         let Some(observer) = &self.observer else { return };
         let state = self.state.borrow();
-        observer.keep(self.now(), version, |backend| state.balancer.lists(backend));
+        observer.list_applied(self.now_ms(), version, |backend| state.balancer.lists(backend));
     }
 
-    pub(super) fn observe_arrival(&self, id: Option<HeaderValue>, arrival: &Arrival, patience: Duration) {
+    pub(super) fn observe_arrival(
+        &self,
+        id: Option<HeaderValue>,
+        arrival: &Arrival,
+        client_timeout: Duration,
+    ) {
         if let (Some(observer), Some(id)) = (&self.observer, id) {
-            observer.arrived(self.now(), id.as_bytes(), arrival, patience);
+            observer.request_arrived(self.now_ms(), id.as_bytes(), arrival, client_timeout);
         }
     }
 
     pub(super) fn observe_send(&self, request: RequestId, backend: BackendId) {
         if let Some(observer) = &self.observer {
-            observer.sent(self.now(), request, backend);
+            observer.attempt_sent(self.now_ms(), request, backend);
         }
     }
 
-    /// An attempt that was never sent has its number all the same.
-    pub(super) fn observe_moot(&self, request: RequestId, number: usize, backend: BackendId) {
+    /// An attempt was not sent. It has a number, and counts in the recording under it.
+    pub(super) fn observe_not_sent(&self, request: RequestId, number: usize, backend: BackendId) {
         if let Some(observer) = &self.observer {
-            observer.moot(self.now(), request, number as u8, backend);
+            observer.not_sent(self.now_ms(), request, number as u8, backend);
         }
     }
 
@@ -82,13 +91,14 @@
         outcome: Outcome,
     ) {
         if let Some(observer) = &self.observer {
-            observer.replied(self.now(), request, number as u8, backend, outcome);
+            observer.attempt_ended(self.now_ms(), request, number as u8, backend, outcome);
         }
     }
 
+    /// The phase `account` for the recording: the request is over for its client.
     pub(super) fn observe_end(&self, request: RequestId, ending: Ending) {
         if let Some(observer) = &self.observer {
-            observer.ended(self.now(), request, ending);
+            observer.request_ended(self.now_ms(), request, ending);
         }
     }
 }
--- a/src/bin/proxy/engine/request.rs
+++ b/src/bin/proxy/engine/request.rs
@@ -1,7 +1,9 @@
-//! A request's life: taken, owed one answer, answered.
+//! A request while it is in the engine, from its admission to its end.
+//!
+//! [`ParsedRequest`] is what the client asks for, [`PendingRequest`] what the engine keeps of it, [`RequestEnd`] how it ended.
 
 use super::Engine;
-use crate::upstream::{Call, Served};
+use crate::upstream::{UpstreamRequest, UpstreamResponse};
 use load_balancer::interface::{BackendId, Event, RequestId};
 use load_balancer::replay::Ending;
 use std::cell::Cell;
@@ -10,131 +12,142 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// A request still without an answer so long before the caller's deadline is failed whatever the module says.
+/// A request without an answer is failed so long before its client's deadline, whatever the module does.
 const BACKSTOP: Duration = Duration::from_millis(10);
-/// Of a short wait it takes this part at the most: less than the margin of the module's own deadline.
+/// Of a short client timeout the backstop takes at most this part: less than the margin of the module's own deadline.
 const BACKSTOP_PART: u32 = 10;
 
-/// How long before the end of a caller's wait its request is failed whatever the module says.
-pub(super) fn backstop(wait: Duration) -> Duration {
-    BACKSTOP.min(wait / BACKSTOP_PART)
+/// How long before the end of a client's timeout its request is failed, whatever the module does.
+pub(super) fn backstop(client_timeout: Duration) -> Duration {
+    BACKSTOP.min(client_timeout / BACKSTOP_PART)
 }
 
-/// A request's final answer.
-pub enum Answer {
-    /// A backend's answer.
-    Served(Served),
-    /// Turned away; a further try is harmless.
-    Refused {
-        /// How long the caller should stay away, where that is told.
+/// How a request ended. `downstream/respond.rs` maps each end to what is written to the client.
+pub enum RequestEnd {
+    /// With a backend's response.
+    Served(UpstreamResponse),
+    /// Rejected before any backend ran it; the client may send it again without harm.
+    Rejected {
+        /// How long the client should wait before that, where the module says so.
         retry_after: Option<Duration>,
     },
-    /// Failed; nothing is promised.
-    Failed,
-    /// No answer in time; nothing is promised.
-    TimedOut,
-    /// Its caller stopped half-way.
-    Broken,
+    /// Every attempt that was allowed failed; it may have run.
+    UpstreamFailed,
+    /// No response before the client's deadline; it may have run.
+    DeadlineExceeded,
+    /// Its client closed its connection, or stopped in the middle of the body.
+    ClientGone,
 }
 
-/// A request as it came in, its names resolved.
-pub struct Incoming {
+/// A request that was read and checked, its class and tenant resolved.
+pub struct ParsedRequest {
     /// What is sent to backends.
-    pub call: Call,
-    /// Place of its class in the settings.
+    pub call: UpstreamRequest,
+    /// Index of its class in the settings.
     pub class: u16,
-    /// Place of its tenant.
+    /// Index of its tenant.
     pub tenant: u16,
-    /// What it is about.
+    /// Its ordering key.
     pub key: Option<String>,
-    /// When all of it had come that is held.
-    pub received: Instant,
-    /// How long its caller waits from its last byte on.
-    pub patience: Duration,
+    /// When the part of it arrived that is buffered.
+    pub received_at: Instant,
+    /// How long its client waits, from its last byte on.
+    pub client_timeout: Duration,
 }
 
-/// What a request is owed. The way to the caller is spent by its one answer.
-pub(super) enum Life {
-    Owed(oneshot::Sender<Answer>),
-    Over,
+/// Whether the request has its one answer. The channel to the client is used up by it.
+pub(super) enum AnswerState {
+    Pending(oneshot::Sender<RequestEnd>),
+    Sent,
 }
 
-pub(super) struct Out {
+/// An attempt that has not ended.
+pub(super) struct InFlightAttempt {
     pub(super) backend: BackendId,
-    pub(super) sent: Instant,
+    pub(super) sent_at: Instant,
     pub(super) cancel: Option<oneshot::Sender<()>>,
 }
 
-pub(super) struct Open {
-    pub(super) call: Rc<Call>,
-    pub(super) life: Life,
-    /// Attempts by number; `None` once resolved.
-    pub(super) attempts: Vec<Option<Out>>,
-    /// For how long backends drop its repeats, where they do.
-    pub(super) window: Option<Duration>,
-    /// When the first of the resolved attempts was sent that may have run.
-    pub(super) ran: Option<Instant>,
+/// A request that awaits its answer, or the end of its last attempt.
+pub(super) struct PendingRequest {
+    pub(super) call: Rc<UpstreamRequest>,
+    pub(super) answer: AnswerState,
+    /// Attempts by number; `None` once ended.
+    pub(super) attempts: Vec<Option<InFlightAttempt>>,
+    /// For how long backends recognise its repeats, where they do.
+    pub(super) dedup_window: Option<Duration>,
+    /// When the first of the ended attempts was sent that may have run.
+    pub(super) first_sent_at: Option<Instant>,
 }
 
-impl Open {
-    /// Until when a further attempt may begin: past that, backends run a repeat again. One that is out may run.
+impl PendingRequest {
+    pub(super) fn is_unanswered(&self) -> bool {
+        matches!(self.answer, AnswerState::Pending(_))
+    }
+
+    /// Until when a further attempt may begin. Guards against a request that runs twice: past the window, backends no longer
+    /// recognise a repeat. It counts from the first attempt that may have run, and one in flight may.
     pub(super) fn begin_by(&self) -> Option<Instant> {
-        let out = self.attempts.iter().flatten().map(|out| out.sent);
-        Some(out.chain(self.ran).min()? + self.window?)
+        let in_flight = self.attempts.iter().flatten().map(|attempt| attempt.sent_at);
+        Some(in_flight.chain(self.first_sent_at).min()? + self.dedup_window?)
     }
 
-    /// Gives the answer if one is still owed.
-    pub(super) fn answer(&mut self, answer: Answer) {
-        if let Life::Owed(caller) = std::mem::replace(&mut self.life, Life::Over) {
-            // A caller that has just left takes no answer; its hang-up says so.
-            let _ = caller.send(answer);
+    /// Ends it towards the client, unless it has ended.
+    pub(super) fn end(&mut self, end: RequestEnd) {
+        if let AnswerState::Pending(client) = std::mem::replace(&mut self.answer, AnswerState::Sent) {
+            // The receiver is gone when the client has just left; its `CallerGuard` reports that.
+            let _ = client.send(end);
         }
     }
-    /// Its caller has left: what of its body is not written yet never is.
-    pub(super) fn leave(&mut self) {
-        self.life = Life::Over;
-        if let Some(rest) = &self.call.rest {
-            rest.withdraw();
+
+    /// Its client has gone: what of its body was not written is never written.
+    pub(super) fn abandon(&mut self) {
+        self.answer = AnswerState::Sent;
+        if let Some(body) = &self.call.rest {
+            body.withdraw();
         }
     }
-    pub(super) fn done(&self) -> bool {
-        matches!(self.life, Life::Over) && self.attempts.iter().all(Option::is_none)
+
+    pub(super) fn is_done(&self) -> bool {
+        !self.is_unanswered() && self.attempts.iter().all(Option::is_none)
     }
 }
 
-/// A caller that waits. When it is gone without an answer, the module is told.
-pub(super) struct Here {
+/// Held by the task that serves the client. Dropped without an end, the client has gone: the module is notified, so that no
+/// request stays open. Its drop is also the phase `account` for the observer.
+pub(super) struct CallerGuard {
     pub(super) engine: Rc<Engine>,
     pub(super) request: RequestId,
-    /// How it ends, unless it leaves.
+    /// How it ends, unless the client leaves before.
     pub(super) ending: Cell<Ending>,
 }
 
-impl Here {
-    /// Notes the end that an answer is.
-    pub(super) fn ends(&self, answer: Answer) -> Answer {
-        self.ending.set(match answer {
-            Answer::Served(_) => Ending::Served,
-            Answer::Refused { .. } => Ending::Refused,
-            Answer::Failed | Answer::TimedOut => Ending::Failed,
-            Answer::Broken => Ending::Left,
+impl CallerGuard {
+    /// Notes the end for the observer, and passes it on.
+    pub(super) fn note(&self, end: RequestEnd) -> RequestEnd {
+        self.ending.set(match end {
+            RequestEnd::Served(_) => Ending::Served,
+            RequestEnd::Rejected { .. } => Ending::Refused,
+            RequestEnd::UpstreamFailed | RequestEnd::DeadlineExceeded => Ending::Failed,
+            RequestEnd::ClientGone => Ending::Left,
         });
-        answer
+        end
+    }
+
+    /// Takes the request from its client; whether it was unanswered.
+    fn abandon_unanswered(&self) -> bool {
+        let s = &mut *self.engine.state.borrow_mut();
+        let pending = s.requests.get_mut(&self.request).filter(|pending| pending.is_unanswered());
+        let was_unanswered = pending.map(PendingRequest::abandon).is_some();
+        s.remove_if_done(self.request);
+        was_unanswered
     }
 }
 
-impl Drop for Here {
+impl Drop for CallerGuard {
     fn drop(&mut self) {
-        let left = {
-            let s = &mut *self.engine.state.borrow_mut();
-            let open = s.requests.get_mut(&self.request);
-            let owed = open.filter(|r| matches!(r.life, Life::Owed(_)));
-            let left = owed.map(|r| r.leave()).is_some();
-            s.forget(self.request);
-            left
-        };
-        if left {
-            self.engine.tell(Event::ClientGone { request: self.request });
+        if self.abandon_unanswered() {
+            self.engine.handle_event(Event::ClientGone { request: self.request });
         }
         self.engine.observe_end(self.request, self.ending.get());
     }
--- a/src/bin/proxy/engine/state.rs
+++ b/src/bin/proxy/engine/state.rs
@@ -1,6 +1,8 @@
-//! What the engine holds: the module, the backends by number, and the open requests.
+//! What the engine owns: the decision module, the backends by their ids, and the open requests.
+//!
+//! Borrowed by the engine for one event at a time. Backends that the module no longer knows are removed here.
 
-use super::request::{Answer, Open};
+use super::request::{PendingRequest, RequestEnd};
 use crate::upstream::{Pool, Target};
 use load_balancer::interface::{Action, BackendId, Event, ListKind, RequestId};
 use load_balancer::{Balancer, backend_id};
@@ -11,15 +13,17 @@
 
 pub(super) struct State {
     pub(super) balancer: Balancer,
-    pub(super) ids: HashMap<String, BackendId>,
-    /// The same the other way round.
-    pub(super) names: HashMap<BackendId, String>,
-    /// Those that the module may come to know no longer.
-    pub(super) leaving: HashSet<BackendId>,
+    pub(super) id_by_host: HashMap<String, BackendId>,
+    /// The inverse of `id_by_host`.
+    pub(super) host_by_id: HashMap<BackendId, String>,
+    /// Backends that the module may soon no longer know; the next change of the list looks at these.
+    pub(super) removal_candidates: HashSet<BackendId>,
     pub(super) targets: HashMap<BackendId, Rc<Target>>,
-    pub(super) requests: HashMap<RequestId, Open>,
-    pub(super) next: RequestId,
+    pub(super) requests: HashMap<RequestId, PendingRequest>,
+    pub(super) next_request_id: RequestId,
+    /// Events that wait for the module.
     pub(super) events: VecDeque<Event>,
+    /// The module's actions, empty between events; kept for its allocation.
     pub(super) actions: Vec<Action>,
 }
 
@@ -30,65 +34,66 @@
 }
 
 impl State {
-    /// The module's number for a backend. It is made from the name, since every copy orders the backends by it:
-    /// the copies' subsets are to overlap evenly.
-    pub(super) fn id(&mut self, host: &str) -> BackendId {
-        if let Some(&id) = self.ids.get(host) {
+    /// The module's id of a backend. It is made from the name, since every proxy instance orders the backends by it: the
+    /// subsets of the instances then overlap evenly.
+    pub(super) fn id_of(&mut self, host: &str) -> BackendId {
+        if let Some(&id) = self.id_by_host.get(host) {
             return id;
         }
         let mut id = backend_id(host);
-        while self.names.contains_key(&id) {
+        while self.host_by_id.contains_key(&id) {
             id = id.wrapping_add(1);
         }
-        self.ids.insert(host.to_string(), id);
-        self.names.insert(id, host.to_string());
+        self.id_by_host.insert(host.to_string(), id);
+        self.host_by_id.insert(id, host.to_string());
         id
     }
 
-    /// Lets go of backends that the module knows no longer: machines come under new names for as long as the
-    /// process runs. One that comes back gets its number anew, from its name. After changes it is enough to look at
-    /// those that were leaving, after a whole list at all.
-    pub(super) fn forget_gone(&mut self, kind: ListKind) {
+    /// Removes the backends that the module no longer knows. Guards against memory that grows without end: machines come
+    /// under new names for as long as the process runs. A backend that comes back gets its id anew, from its name.
+    ///
+    /// After a change it is enough to look at the candidates; after a full list, at all.
+    pub(super) fn remove_unknown(&mut self, kind: ListKind) {
         if kind != ListKind::Delta {
-            self.leaving.extend(self.names.keys());
+            self.removal_candidates.extend(self.host_by_id.keys());
         }
-        for id in std::mem::take(&mut self.leaving) {
+        for id in std::mem::take(&mut self.removal_candidates) {
             if self.balancer.knows(id) {
-                // Only what may end without any further word of it is looked at again.
-                if !self.balancer.lists(id) || self.drained(id) {
-                    self.leaving.insert(id);
+                // One that the module may drop without a further list entry stays a candidate.
+                if !self.balancer.lists(id) || self.is_draining(id) {
+                    self.removal_candidates.insert(id);
                 }
                 continue;
             }
             self.targets.remove(&id);
-            if let Some(name) = self.names.remove(&id) {
-                self.ids.remove(&name);
+            if let Some(host) = self.host_by_id.remove(&id) {
+                self.id_by_host.remove(&host);
             }
         }
     }
 
-    fn drained(&self, id: BackendId) -> bool {
-        self.targets.get(&id).is_none_or(|target| target.drained.get().is_some())
+    fn is_draining(&self, id: BackendId) -> bool {
+        self.targets.get(&id).is_none_or(|target| target.drained_at.get().is_some())
     }
 
     /// Nothing new goes to a backend from now on.
     pub(super) fn withdraw(&mut self, backend: BackendId, pool: &Pool) {
-        self.leaving.insert(backend);
-        if let Some(target) = self.targets.get(&backend).filter(|t| t.drained.get().is_none()) {
-            target.drained.set(Some(Instant::now()));
-            pool.close(target.dial);
+        self.removal_candidates.insert(backend);
+        if let Some(target) = self.targets.get(&backend).filter(|t| t.drained_at.get().is_none()) {
+            target.drained_at.set(Some(Instant::now()));
+            pool.close_idle(target.address);
         }
     }
 
-    pub(super) fn answer(&mut self, request: RequestId, answer: Answer) {
-        if let Some(open) = self.requests.get_mut(&request) {
-            open.answer(answer);
+    pub(super) fn end_request(&mut self, request: RequestId, end: RequestEnd) {
+        if let Some(pending) = self.requests.get_mut(&request) {
+            pending.end(end);
         }
-        self.forget(request);
+        self.remove_if_done(request);
     }
 
-    pub(super) fn forget(&mut self, request: RequestId) {
-        if self.requests.get(&request).is_some_and(Open::done) {
+    pub(super) fn remove_if_done(&mut self, request: RequestId) {
+        if self.requests.get(&request).is_some_and(PendingRequest::is_done) {
             self.requests.remove(&request);
         }
     }
--- a/src/bin/proxy/handover.rs
+++ b/src/bin/proxy/handover.rs
@@ -1,5 +1,8 @@
-//! The processes that stand at one address while one replaces another: how many there are. What the platform
-//! gives to a proxy is then theirs together.
+//! Counts the processes that listen at one address while one replaces another.
+//!
+//! During a replacement two processes share a port; what the platform gives to a proxy (descriptors, budgets) is then divided
+//! between them. Each process holds the lock on one file per address, which the system releases when the process ends,
+//! however it ends. Owns that lock; looks at the others' every [`POLL_INTERVAL`].
 
 use std::fs::{File, TryLockError};
 use std::net::SocketAddr;
@@ -8,12 +11,12 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Most that are told apart; one more goes uncounted.
-const MOST: usize = 8;
+/// Most processes that are counted at one address; one more goes uncounted.
+const MAX_PROCESSES: usize = 8;
 /// How often they look for each other.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Why a process has no place.
+/// Why a process cannot be counted.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// There are too many.
@@ -29,51 +32,57 @@
     },
 }
 
-/// This process's place among them. The system frees it when the process ends, however it ends.
-pub struct Siblings {
-    files: Vec<PathBuf>,
-    own: usize,
+/// The listeners at one address, counted by their lock files; this process holds one of them.
+pub struct SharedListeners {
+    lock_files: Vec<PathBuf>,
+    own_index: usize,
     _lock: File,
 }
 
-impl Siblings {
-    /// Takes the first free place at an address.
+impl SharedListeners {
+    /// Takes the first free lock file of an address.
     pub fn join(folder: &Path, address: SocketAddr) -> Result<Self, Error> {
-        let name = |n| folder.join(format!("heathroad-{}-{}.{n}.lock", address.ip(), address.port()));
-        let files: Vec<PathBuf> = (0..MOST).map(name).collect();
-        let mut last = Error::Full;
-        for (own, path) in files.iter().enumerate() {
+        let lock_files: Vec<PathBuf> = (0..MAX_PROCESSES).map(|n| lock_file(folder, address, n)).collect();
+        let mut last_error = Error::Full;
+        for (own_index, path) in lock_files.iter().enumerate() {
             let opened = File::options().create(true).truncate(false).write(true).open(path);
             match opened.map(|file| file.try_lock().map(|()| file)) {
-                Ok(Ok(lock)) => return Ok(Siblings { files, own, _lock: lock }),
+                Ok(Ok(lock)) => return Ok(SharedListeners { lock_files, own_index, _lock: lock }),
                 Ok(Err(TryLockError::WouldBlock)) => {}
                 Ok(Err(TryLockError::Error(e))) | Err(e) => {
-                    last = Error::Unusable { path: path.clone(), source: e };
+                    last_error = Error::Unusable { path: path.clone(), source: e };
                 }
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
     /// How many processes there are, this one included.
     pub fn count(&self) -> u32 {
-        let others = self.files.iter().enumerate().filter(|(n, path)| *n != self.own && taken(path));
+        let files = self.lock_files.iter().enumerate();
+        let others = files.filter(|(index, path)| *index != self.own_index && is_locked(path));
         1 + others.count() as u32
     }
 
-    /// Tells their number whenever it changes, for ever.
-    pub async fn follow(self, told: watch::Sender<u32>) {
+    /// Publishes the number of processes whenever it changes, for as long as this process runs.
+    pub async fn publish_count(self, processes: watch::Sender<u32>) {
         loop {
             let now = self.count();
-            told.send_if_modified(|was| std::mem::replace(was, now) != now);
-            sleep(LOOK).await;
+            processes.send_if_modified(|before| std::mem::replace(before, now) != now);
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-/// Whether a process holds the place. Asked by a lock that may be shared, so that two who look at once do not
-/// take each other for its holder.
-fn taken(path: &Path) -> bool {
+/// A lock file of an address. The name is kept from the program's earlier name: a process of an earlier version that is
+/// replaced, or replaces this one, counts processes by the same files.
+fn lock_file(folder: &Path, address: SocketAddr, index: usize) -> PathBuf {
+    folder.join(format!("heathroad-{}-{}.{index}.lock", address.ip(), address.port()))
+}
+
+/// Whether a process holds the lock. Guards against a process that counts one too many: two that look at once would take
+/// each other for the holder, if the lock by which they look were not a shared one.
+fn is_locked(path: &Path) -> bool {
     let Ok(file) = File::open(path) else { return false };
     matches!(file.try_lock_shared(), Err(TryLockError::WouldBlock))
 }
--- a/src/bin/proxy/lifecycle.rs
+++ b/src/bin/proxy/lifecycle.rs
@@ -1,27 +1,31 @@
-//! Whether this process takes clients: one state, changed by the ops address and by SIGTERM, watched by the
-//! listener and by each client's connection.
+//! Whether this process accepts clients: one state, changed by the ops address and by SIGTERM.
+//!
+//! Watched by the listener and by each client's connection. Owns the phase of the process and the time of its stop; the times
+//! that the platform sets for a stop are the constants below.
 
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep};
 
-/// New connections go on coming for so long after a no; and a connection at rest gets so much time for a last
-/// request, whose answer closes it, before it is closed between requests. The platform sends new ones for 0.4 s at the
-/// most and a kill comes no sooner than 0.7 s, whatever the deadlines.
-pub const LINGER: Duration = Duration::from_millis(500);
-
-/// A kill comes 0.7 s after the longest time that a client waits from SIGTERM on, of which no more than this counts ...
-const LONGEST: Duration = Duration::from_secs(3);
-/// ... and so long after that time all that was taken must be answered.
-const LAST: Duration = Duration::from_millis(300);
-/// So much longer long answers may take.
-pub const FLOWS: Duration = Duration::from_secs(60);
-
-/// How long after SIGTERM all must be answered, where a client waits for `longest` at most. Where nothing is told of
-/// that, it waits long.
-pub fn last_answer(longest: Duration) -> Duration {
-    Some(longest).filter(|d| !d.is_zero()).map_or(LONGEST, |d| d.min(LONGEST)) + LAST
+/// New connections are accepted for so long after readiness says no, and an idle connection is kept for so long, for a last
+/// request whose response closes it. The platform sends new connections for 0.4 s at the most, and kills no sooner than 0.7 s
+/// after SIGTERM, whatever the deadlines.
+pub const DRAIN_DELAY: Duration = Duration::from_millis(500);
+
+/// The platform kills 0.7 s after the longest client timeout from SIGTERM on, of which no more than this counts.
+const MAX_CLIENT_TIMEOUT_AT_STOP: Duration = Duration::from_secs(3);
+/// So long after that client timeout all that was admitted must be answered: before the kill, with 0.4 s to spare.
+const ANSWER_GRACE: Duration = Duration::from_millis(300);
+/// Responses that flow may take so much longer before the process ends.
+pub const STREAMING_GRACE: Duration = Duration::from_secs(60);
+
+/// How long after SIGTERM all must be answered, where clients wait for `longest_client_timeout` at most. Zero stands for a
+/// timeout that the settings do not tell, and counts as a long one.
+pub fn time_to_last_answer(longest_client_timeout: Duration) -> Duration {
+    let told = Some(longest_client_timeout).filter(|timeout| !timeout.is_zero());
+    let counted = told.map_or(MAX_CLIENT_TIMEOUT_AT_STOP, |timeout| timeout.min(MAX_CLIENT_TIMEOUT_AT_STOP));
+    counted + ANSWER_GRACE
 }
 
 /// What the process does about clients.
@@ -29,22 +33,22 @@
 pub enum Phase {
     /// Does not listen yet.
     Starting,
-    /// Takes them.
+    /// Accepts clients.
     Serving,
-    /// Serves those that still come and lets them go.
+    /// Serves the clients that still come, and closes their connections.
     Draining,
     /// The same, for good.
     Stopping,
 }
 
 impl Phase {
-    /// Whether clients are taken and kept.
-    pub fn takes(self) -> bool {
+    /// Whether clients are accepted and their connections kept.
+    pub fn accepts_clients(self) -> bool {
         self == Phase::Serving
     }
 
-    /// Whether clients are let go.
-    fn lets_go(self) -> bool {
+    /// Whether clients' connections are closed.
+    fn closes_connections(self) -> bool {
         matches!(self, Phase::Draining | Phase::Stopping)
     }
 
@@ -60,68 +64,73 @@
 }
 
 /// The state of this process.
-pub struct Lifecycle(watch::Sender<Phase>, Cell<Option<Instant>>);
+pub struct Lifecycle {
+    phase: watch::Sender<Phase>,
+    stopped_at: Cell<Option<Instant>>,
+}
 
 impl Lifecycle {
     /// A process that has just started.
     pub fn new() -> Self {
-        Lifecycle(watch::Sender::new(Phase::Starting), Cell::default())
+        Lifecycle { phase: watch::Sender::new(Phase::Starting), stopped_at: Cell::new(None) }
     }
 
-    /// It listens now.
+    /// The process listens now.
     pub fn begin(&self) {
-        self.0.send_replace(Phase::Serving);
+        self.phase.send_replace(Phase::Serving);
     }
 
-    /// What it does now.
+    /// What the process does now.
     pub fn phase(&self) -> Phase {
-        *self.0.borrow()
+        *self.phase.borrow()
     }
 
-    /// Empties the proxy; whether it does so now.
+    /// Drains the proxy; whether it drains now.
     pub fn quiesce(&self) -> bool {
-        self.turn(Phase::Draining)
+        self.change_to(Phase::Draining)
     }
 
-    /// Takes clients again; whether it does so now.
+    /// Accepts clients again; whether it does so now.
     pub fn resume(&self) -> bool {
-        self.turn(Phase::Serving)
+        self.change_to(Phase::Serving)
     }
 
-    /// Ends the taking of clients. Nothing undoes it.
+    /// Stops accepting clients, for good.
     pub fn stop(&self) {
-        self.1.set(Some(Instant::now()));
-        self.0.send_replace(Phase::Stopping);
+        self.stopped_at.set(Some(Instant::now()));
+        self.phase.send_replace(Phase::Stopping);
     }
 
-    fn turn(&self, to: Phase) -> bool {
-        let settled = |now: Phase| matches!(now, Phase::Starting | Phase::Stopping);
-        self.0.send_if_modified(|now| !settled(*now) && std::mem::replace(now, to) != to);
+    /// Changes between serving and draining; before the start and after a stop nothing changes.
+    fn change_to(&self, to: Phase) -> bool {
+        let is_fixed = |now: Phase| matches!(now, Phase::Starting | Phase::Stopping);
+        self.phase.send_if_modified(|now| !is_fixed(*now) && std::mem::replace(now, to) != to);
         self.phase() == to
     }
 
-    /// Whether a request that came whole at this time came so long after the stop began that a kill may lose what
-    /// is not answered of it by then.
-    pub fn late(&self, whole: Instant) -> bool {
-        self.1.get().is_some_and(|stopped| whole > stopped + LINGER)
+    /// Whether a request that was complete at this time came so long after the stop began that the kill may come before a
+    /// response that flows has ended.
+    pub fn is_late_request(&self, complete_at: Instant) -> bool {
+        self.stopped_at.get().is_some_and(|stopped_at| complete_at > stopped_at + DRAIN_DELAY)
     }
 
-    /// Waits until clients have been let go for [`LINGER`]: from then on a connection at rest is to be closed.
+    /// Waits until the process has drained for [`DRAIN_DELAY`]: from then on an idle connection is to be closed. A resume
+    /// before that starts the wait anew.
     pub async fn released(&self) {
-        let mut phase = self.0.subscribe();
+        let mut phase = self.phase.subscribe();
         loop {
-            // The sender is this one's own and is not gone.
-            let _ = phase.wait_for(|p| p.lets_go()).await;
+            // An error would mean that the sender is gone; it is a field of this one.
+            let _ = phase.wait_for(|phase| phase.closes_connections()).await;
             tokio::select! {
-                () = sleep(LINGER) => return,
-                _ = phase.wait_for(|p| !p.lets_go()) => {}
+                () = sleep(DRAIN_DELAY) => return,
+                _ = phase.wait_for(|phase| !phase.closes_connections()) => {}
             }
         }
     }
 
     /// Waits until the process stops.
     pub async fn stopped(&self) {
-        let _ = self.0.subscribe().wait_for(|p| *p == Phase::Stopping).await;
+        let _ = self.phase.subscribe().wait_for(|phase| *phase == Phase::Stopping).await;
     }
 }
 
--- a/src/bin/proxy/main.rs
+++ b/src/bin/proxy/main.rs
@@ -23,11 +23,11 @@
 use config::Config;
 use counters::Counters;
 use descriptors::Descriptors;
-use downstream::Front;
+use downstream::Downstream;
 use engine::{Engine, ListedEngine, millis};
 use error::Error;
-use handover::Siblings;
-use lifecycle::{FLOWS, LINGER, Lifecycle};
+use handover::SharedListeners;
+use lifecycle::{DRAIN_DELAY, Lifecycle, STREAMING_GRACE};
 use load_balancer::client::discovery;
 use load_balancer::client::membership::Membership;
 use load_balancer::client::traffic::Traffic;
@@ -99,7 +99,7 @@
     let observer = (config.routes.is_some() || config.record.is_some()).then(Observer::new);
     let engine = Engine::new(config.facts.clone(), config.seed, pool.clone(), watching, observer.clone())?;
     let known = config.known.take().map(|page| (page.seq, page.entries().0)).unwrap_or_default();
-    engine.list(ListKind::Cached, known.0, known.1);
+    engine.apply_list(ListKind::Cached, known.0, known.1);
     let lifecycle = Rc::new(Lifecycle::new());
     let traffic = Traffic::default();
     let membership = match &config.membership {
@@ -113,7 +113,7 @@
             spawn_local(async move {
                 while count.changed().await.is_ok() {
                     let now = *count.borrow_and_update();
-                    told.peers(now.alive, now.known, Some(now.rank));
+                    told.set_peers(now.alive, now.known, Some(now.rank));
                 }
             });
             Some(membership)
@@ -143,7 +143,7 @@
         while siblings.changed().await.is_ok() {
             let processes = *siblings.borrow_and_update();
             info!("{processes} processes at this address");
-            told.processes(processes);
+            told.set_local_processes(processes);
         }
     });
     let (listed, first) = oneshot::channel();
@@ -187,26 +187,26 @@
     spawn_local(async move {
         loop {
             sleep(SWEEP).await;
-            pool.sweep();
+            pool.close_expired();
         }
     });
     let connections = usable - usable / 2;
-    let last = lifecycle::last_answer(millis(config.facts.site.longest_client_timeout_ms));
+    let last = lifecycle::time_to_last_answer(millis(config.facts.site.longest_client_timeout_ms));
     let bound = listener.local_addr();
     let bound =
         bound.map_err(|source| Error::Listen { what: "listening", address: config.listen, source })?;
     if config.ops.is_some() {
         // Where they cannot find each other they go on as if alone.
-        match Siblings::join(&std::env::temp_dir(), bound) {
-            Ok(place) => drop(spawn_local(place.follow(processes.clone()))),
+        match SharedListeners::join(&std::env::temp_dir(), bound) {
+            Ok(place) => drop(spawn_local(place.publish_count(processes.clone()))),
             Err(e) => warn!("no place among the processes here: {e}"),
         }
     }
     lifecycle.begin();
     let (facts, life) = (config.facts, lifecycle.clone());
-    let front = Front {
+    let front = Downstream {
         engine: engine.clone(),
-        facts,
+        settings: facts,
         counters,
         lifecycle: life,
         connections,
@@ -217,13 +217,13 @@
     };
     let serving = spawn_local(Rc::new(front).serve(listener));
     terminated.recv().await;
-    info!("stopping, {} requests open", engine.owed());
+    info!("stopping, {} requests open", engine.unanswered_requests());
     lifecycle.stop();
     membership.inspect(Membership::leave);
-    engine.end_by(Instant::now() + last);
+    engine.answer_all_by(Instant::now() + last);
     // All is answered by `last`, but long answers flow on as long as the platform lets them; a caller that does not
     // take its answer must not keep the program.
-    let ended = timeout(LINGER + last + FLOWS, serving).await;
+    let ended = timeout(DRAIN_DELAY + last + STREAMING_GRACE, serving).await;
     ended.map_or(Ok(()), |served| Ok(served?))
 }
 
--- a/src/bin/proxy/observer.rs
+++ b/src/bin/proxy/observer.rs
@@ -53,7 +53,7 @@
     }
 
     /// The list names a backend.
-    pub fn listed(&self, id: BackendId, host: &Host) {
+    pub fn backend_listed(&self, id: BackendId, host: &Host) {
         let (class, zone, share) = (host.class.clone(), host.site.clone(), host.share.max(0.0));
         let listed = Listed { host: host.host.clone(), class, zone, share };
         let mut places = self.places.borrow_mut();
@@ -73,7 +73,7 @@
     }
 
     /// A list has been taken: what the module no longer has is forgotten once its calls are over.
-    pub fn keep(&self, now: f64, version: u64, known: impl Fn(BackendId) -> bool) {
+    pub fn list_applied(&self, now: f64, version: u64, known: impl Fn(BackendId) -> bool) {
         self.list_version.set(version);
         let gone =
             |id: BackendId, place: &Place| !known(id) && place.in_flight == 0 && place.tally.calls == 0;
@@ -86,7 +86,7 @@
     }
 
     /// Another table; each backend's weight by it.
-    pub fn weigh(&self, now: f64, revision: Revision, table: Weights) -> Vec<(BackendId, f64)> {
+    pub fn apply_table(&self, now: f64, revision: Revision, table: Weights) -> Vec<(BackendId, f64)> {
         if let Some(recording) = self.recording.get() {
             recording.table(now, revision);
         }
@@ -107,7 +107,7 @@
     }
 
     /// Whether the module has yet to hear of a weight that a list or a table brought.
-    pub fn untold(&self) -> bool {
+    pub fn has_unapplied_weights(&self) -> bool {
         self.untold.get() && self.table.borrow().iter().next().is_some()
     }
 
@@ -134,14 +134,14 @@
     }
 
     /// A request came.
-    pub fn arrived(&self, now: f64, id: &[u8], arrival: &Arrival, patience: Duration) {
+    pub fn request_arrived(&self, now: f64, id: &[u8], arrival: &Arrival, client_timeout: Duration) {
         if let Some(recording) = self.recording.get() {
-            recording.arrived(now, id, arrival, patience);
+            recording.arrived(now, id, arrival, client_timeout);
         }
     }
 
     /// A call goes out.
-    pub fn sent(&self, now: f64, request: RequestId, backend: BackendId) {
+    pub fn attempt_sent(&self, now: f64, request: RequestId, backend: BackendId) {
         let mut places = self.places.borrow_mut();
         let place = places.get_mut(&backend);
         if let Some(recording) = self.recording.get() {
@@ -154,7 +154,7 @@
     }
 
     /// A call that had a number was not sent.
-    pub fn moot(&self, now: f64, request: RequestId, number: AttemptNo, backend: BackendId) {
+    pub fn not_sent(&self, now: f64, request: RequestId, number: AttemptNo, backend: BackendId) {
         if let Some(recording) = self.recording.get() {
             recording.sent(now, request, backend, 0);
             recording.replied(now, request, number, Outcome::NotSent);
@@ -162,7 +162,7 @@
     }
 
     /// A call is over.
-    pub fn replied(
+    pub fn attempt_ended(
         &self,
         now: f64,
         request: RequestId,
@@ -181,7 +181,7 @@
     }
 
     /// A request is over for its client.
-    pub fn ended(&self, now: f64, request: RequestId, ending: Ending) {
+    pub fn request_ended(&self, now: f64, request: RequestId, ending: Ending) {
         if let Some(recording) = self.recording.get() {
             recording.ended(now, request, ending);
         }
--- a/src/bin/proxy/ops.rs
+++ b/src/bin/proxy/ops.rs
@@ -105,17 +105,17 @@
 
     fn answer(&self, call: &str) -> String {
         let say = |yes: bool| {
-            let state = if self.engine.ready() { self.lifecycle.phase().name() } else { "no backend" };
+            let state = if self.engine.is_ready() { self.lifecycle.phase().name() } else { "no backend" };
             format!("{} {state}", if yes { "ACK" } else { "NAK" })
         };
         let can_serve = || matches!(self.lifecycle.phase(), Phase::Serving | Phase::Draining);
         match call {
-            "health" => say(self.engine.ready() && can_serve()),
+            "health" => say(self.engine.is_ready() && can_serve()),
             "counters" => format!("{}\n--", self.counters.page(self.engine.census())),
             "members" => match &self.membership {
                 Some(membership) => {
                     let mut page = membership.page();
-                    page["share"] = self.engine.share().into();
+                    page["share"] = self.engine.fleet_share().into();
                     format!("{page}\n--")
                 }
                 None => "NAK no membership".to_string(),
--- a/src/bin/proxy/route_table/proxy.rs
+++ b/src/bin/proxy/route_table/proxy.rs
@@ -17,22 +17,22 @@
 
 impl RoutedProxy for ObservedEngine {
     fn put_in_force(&self, revision: Revision, weights: Weights) {
-        self.engine.weigh(revision, weights);
+        self.engine.apply_route_table(revision, weights);
     }
 
     fn weights(&self) -> BTreeMap<String, f64> {
         let names = self.observer.names();
-        let in_force = self.engine.in_force().into_iter();
+        let in_force = self.engine.weights_in_force().into_iter();
         in_force.filter_map(|(id, weight)| Some((names.get(&id)?.clone(), weight))).collect()
     }
 
     fn digest(&self) -> String {
-        self.observer.digest(&self.engine.in_force())
+        self.observer.digest(&self.engine.weights_in_force())
     }
 
     fn left_out(&self) -> BTreeMap<String, LeftOut> {
         let names = self.observer.names();
-        let standings = self.engine.standings().into_iter();
+        let standings = self.engine.left_out().into_iter();
         standings.filter_map(|(id, why)| Some((names.get(&id)?.clone(), why?))).collect()
     }
 
--- a/src/bin/proxy/route_table/start.rs
+++ b/src/bin/proxy/route_table/start.rs
@@ -45,10 +45,10 @@
     let registries = named.map_or_else(|| parts.discovery.clone(), |all| watch::channel(all).1);
     let recording = config.record.as_ref().map(|settings| {
         let recording =
-            Recording::new(settings, &who, config.text.clone(), engine.now(), parts.traffic.clone());
-        observer.record(engine.now(), recording.clone());
+            Recording::new(settings, &who, config.text.clone(), engine.now_ms(), parts.traffic.clone());
+        observer.record(engine.now_ms(), recording.clone());
         let clock = engine.clone();
-        spawn_local(recording.clone().cut(move || clock.now()));
+        spawn_local(recording.clone().cut(move || clock.now_ms()));
         spawn_local(recording.clone().ship(registries.clone()));
         recording
     });
--- a/src/bin/proxy/upstream/mod.rs
+++ b/src/bin/proxy/upstream/mod.rs
@@ -1,12 +1,16 @@
-//! The backends' side: kept connections, and attempts with what each ending means.
+//! The backends' side: a pool of connections, and attempts on them.
+//!
+//! Of the phases of a request `connect`, `forward` and `await_response` are here, in `attempt.rs`. How an attempt ended is
+//! reported to the engine as an [`AttemptEnd`]; nothing here decides on a retry.
 
 mod attempt;
-mod call;
 mod pool;
+mod request;
+mod response;
 
 pub use attempt::Attempt;
-pub use call::{Call, MARGIN, margin};
 pub use pool::{Limits, Pool};
+pub use request::{DEADLINE_MARGIN, UpstreamRequest, deadline_margin};
 
 use crate::body::{Held, Paced};
 use bytes::Bytes;
@@ -15,40 +19,41 @@
 use std::net::SocketAddr;
 use tokio::time::Instant;
 
-/// A backend's answer to pass on.
-pub struct Served {
+/// A backend's response to pass on.
+#[derive(Default)]
+pub struct UpstreamResponse {
     /// Its body, or the first part of it.
     pub data: Bytes,
     /// What follows that.
     pub rest: Option<Paced>,
-    /// What the held part takes up.
+    /// The part of the buffer budget that `data` takes up.
     pub room: Option<Held>,
 }
 
-/// Where a backend is reached, and since when it is known to drain or be gone.
+/// Where a backend is reached, and since when it takes nothing new.
 pub struct Target {
     /// Its address.
-    pub dial: SocketAddr,
-    /// When its process started, as discovery tells it.
-    pub born_ms: f64,
-    /// When this proxy was told that it takes nothing new.
-    pub drained: Cell<Option<Instant>>,
+    pub address: SocketAddr,
+    /// When its process started, by discovery.
+    pub started_at_ms: f64,
+    /// When this proxy learned that it drains or is gone.
+    pub drained_at: Cell<Option<Instant>>,
 }
 
 /// How an attempt ended.
-pub enum End {
-    /// With an answer to pass on.
-    Served(Served),
-    /// Otherwise.
-    Unserved(Outcome),
+pub enum AttemptEnd {
+    /// With a response to pass on.
+    Response(UpstreamResponse),
+    /// With none.
+    Failed(Outcome),
 }
 
-impl End {
-    /// The module's word for it.
+impl AttemptEnd {
+    /// The same for the decision module.
     pub fn outcome(&self) -> Outcome {
         match self {
-            End::Served(_) => Outcome::Ok,
-            End::Unserved(outcome) => *outcome,
+            AttemptEnd::Response(_) => Outcome::Ok,
+            AttemptEnd::Failed(outcome) => *outcome,
         }
     }
 }
--- a/src/bin/proxy/upstream/pool.rs
+++ b/src/bin/proxy/upstream/pool.rs
@@ -1,4 +1,6 @@
-//! The connections to all backends: made, kept, and closed in time.
+//! The pool of connections to all backends: established, kept idle, and closed before the backends close them.
+//!
+//! Acts at each attempt, and once a second in `close_expired`. Owns the idle connections and the counts of the open ones.
 
 use super::Target;
 use crate::body::{self, Room};
@@ -18,10 +20,10 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout};
 
-/// Kept connections are given up at this share of the time after which backends close them (`caps.connIdle`).
-const RETIRE: f64 = 0.5;
+/// Idle connections are closed at this part of the time after which backends close them (`caps.connIdle`).
+const MAX_IDLE_PART: f64 = 0.5;
 
-/// What the pool keeps to.
+/// The limits that the pool keeps.
 pub struct Limits {
     /// Most connections at once, of all processes together.
     pub connections: usize,
@@ -33,7 +35,7 @@
     pub idle: Duration,
     /// Nothing is sent later than this after the notice of a drain.
     pub drain_grace: Duration,
-    /// Whether an overtaken attempt may stay open beside the next one.
+    /// Whether a superseded attempt may stay open while the next one is.
     pub may_duplicate: bool,
 }
 
@@ -42,7 +44,9 @@
     pub(super) limits: Limits,
     idle: RefCell<HashMap<SocketAddr, Vec<Idle>>>,
     open: Rc<Cell<usize>>,
-    pub(super) draining: Rc<Cell<usize>>,
+    /// Connections on which the response of a superseded attempt is awaited.
+    pub(super) superseded: Rc<Cell<usize>>,
+    /// Attempts that were written completely.
     attempts: Rc<Cell<u64>>,
     pub(super) room: Rc<Room>,
 }
@@ -58,19 +62,20 @@
     pub(super) progress: Rc<Progress>,
 }
 
-/// One of a limited number of places; given back when dropped.
-pub(super) struct Place(Rc<Cell<usize>>);
+/// One of a limited number of permits; released when dropped.
+pub(super) struct Permit(Rc<Cell<usize>>);
 
-impl Place {
-    pub(super) fn take(count: &Rc<Cell<usize>>, most: usize) -> Option<Place> {
+impl Permit {
+    /// One more of `count`, where that is below `most`.
+    pub(super) fn acquire(count: &Rc<Cell<usize>>, most: usize) -> Option<Permit> {
         (count.get() < most).then(|| {
             count.set(count.get() + 1);
-            Place(count.clone())
+            Permit(count.clone())
         })
     }
 }
 
-impl Drop for Place {
+impl Drop for Permit {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -78,83 +83,91 @@
 
 impl Limits {
     /// Most connections of this process.
-    pub(super) fn own(&self) -> usize {
+    pub(super) fn own_connections(&self) -> usize {
         (self.connections / *self.processes.borrow() as usize).max(1)
     }
 }
 
 impl Pool {
-    /// An empty pool; attempts that it has written whole are counted in `attempts`, answers held in `room`.
+    /// An empty pool; attempts that it has written completely are counted in `attempts`, responses buffered in `room`.
     pub fn new(limits: Limits, attempts: Rc<Cell<u64>>, room: Rc<Room>) -> Self {
-        let (open, draining) = (Rc::default(), Rc::default());
-        Pool { limits, idle: RefCell::default(), open, draining, attempts, room }
+        Pool {
+            limits,
+            idle: RefCell::default(),
+            open: Rc::default(),
+            superseded: Rc::default(),
+            attempts,
+            room,
+        }
     }
 
-    /// Closes what is idle to an address.
-    pub fn close(&self, dial: SocketAddr) {
-        self.idle.borrow_mut().remove(&dial);
+    /// Closes the idle connections to an address.
+    pub fn close_idle(&self, address: SocketAddr) {
+        self.idle.borrow_mut().remove(&address);
     }
 
-    /// Closes what has been idle for long. A backend closes idle connections too, and a request that crosses
-    /// its close would end as a reset, which may have run: ours go clearly earlier.
-    pub fn sweep(&self) {
-        let age = self.limits.idle.mul_f64(RETIRE);
-        // Past the limit once another process has come: what is idle makes room.
-        for _ in self.limits.own()..self.open.get() {
-            self.evict();
+    /// Closes connections that have been idle for long. Guards against a request that crosses the backend's own close of an
+    /// idle connection: it would end as a reset, which may have run. Ours close clearly earlier.
+    pub fn close_expired(&self) {
+        let max_age = self.limits.idle.mul_f64(MAX_IDLE_PART);
+        // Over the limit once another process has started here: idle connections are closed first.
+        for _ in self.limits.own_connections()..self.open.get() {
+            self.close_oldest_idle();
         }
         self.idle.borrow_mut().retain(|_, links| {
-            links.retain(|i| !i.link.sender.is_closed() && i.since.elapsed() < age);
+            links.retain(|i| !i.link.sender.is_closed() && i.since.elapsed() < max_age);
             !links.is_empty()
         });
     }
 
-    /// The most recently used of those still open: the others may then grow old and be closed.
-    pub(super) fn reuse(&self, dial: SocketAddr) -> Option<Link> {
-        let age = self.limits.idle.mul_f64(RETIRE);
+    /// The most recently used idle connection that is still open: the others may then expire and be closed.
+    pub(super) fn reuse(&self, address: SocketAddr) -> Option<Link> {
+        let max_age = self.limits.idle.mul_f64(MAX_IDLE_PART);
         let mut idle = self.idle.borrow_mut();
-        let links = idle.get_mut(&dial)?;
+        let links = idle.get_mut(&address)?;
         while let Some(Idle { link, since }) = links.pop() {
-            if link.sender.is_ready() && since.elapsed() < age {
+            if link.sender.is_ready() && since.elapsed() < max_age {
                 return Some(link);
             }
         }
         None
     }
 
+    /// Keeps a connection idle, unless its backend takes nothing new.
     pub(super) fn keep(&self, target: &Target, link: Link) {
-        if target.drained.get().is_none() && !link.sender.is_closed() {
+        if target.drained_at.get().is_none() && !link.sender.is_closed() {
             let idle = Idle { link, since: Instant::now() };
-            self.idle.borrow_mut().entry(target.dial).or_default().push(idle);
+            self.idle.borrow_mut().entry(target.address).or_default().push(idle);
         }
     }
 
-    /// Closes the connection that has been idle longest, whosoever it is.
-    fn evict(&self) {
+    /// Closes the connection that has been idle longest, to whichever backend.
+    fn close_oldest_idle(&self) {
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle.iter().filter_map(|(dial, links)| Some((links.first()?.since, *dial))).min();
-        if let Some(links) = oldest.and_then(|(_, dial)| idle.get_mut(&dial)) {
+        let oldest = idle.iter().filter_map(|(address, links)| Some((links.first()?.since, *address))).min();
+        if let Some(links) = oldest.and_then(|(_, address)| idle.get_mut(&address)) {
             links.remove(0);
         }
     }
 
-    pub(super) async fn connect(&self, dial: SocketAddr) -> Result<Link, Outcome> {
-        let most = self.limits.own();
-        let Some(place) = Place::take(&self.open, most) else {
-            // No descriptor to spare: that says nothing of the backend, and the request was never sent.
-            self.evict();
+    /// Establishes a connection.
+    pub(super) async fn connect(&self, address: SocketAddr) -> Result<Link, Outcome> {
+        let most = self.limits.own_connections();
+        let Some(permit) = Permit::acquire(&self.open, most) else {
+            // At the limit of connections: that says nothing of the backend, and the request was not sent.
+            self.close_oldest_idle();
             return Err(Outcome::NotSent);
         };
         if self.open.get() >= most {
-            self.evict();
+            self.close_oldest_idle();
         }
-        let stream = match timeout(self.limits.connect, TcpStream::connect(dial)).await {
+        let stream = match timeout(self.limits.connect, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(e)) if out_of_descriptors(&e) => return Err(Outcome::NotSent),
             Ok(Err(_)) | Err(_) => return Err(Outcome::ConnectFailed),
         };
         stream.set_nodelay(true).map_err(|_| Outcome::ConnectFailed)?;
-        let watched = Watched::counting(TokioIo::new(stream), self.attempts.clone(), quiet);
+        let watched = Watched::counting(TokioIo::new(stream), self.attempts.clone(), is_quiet);
         let progress = watched.progress();
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(body::BUFFER)
@@ -162,17 +175,18 @@
             .await
             .map_err(|_| Outcome::ConnectFailed)?;
         tokio::task::spawn_local(async move {
-            let _place = place;
-            // Its end shows at the sender, where it has a meaning.
+            let _permit = permit;
+            // Its end shows at the sender, where it is handled.
             let _ = connection.await;
         });
         Ok(Link { sender, progress })
     }
 }
 
-/// Whether a connection is open with nothing to read on it. The system is asked: the reactor tells of what came only at
-/// its next turn, and a request written before that would end as a reset, or get what came for its answer.
-fn quiet(stream: &TokioIo<TcpStream>) -> bool {
+/// Whether a connection is open with nothing to read on it. Guards against a request on a connection that the backend has
+/// closed or written to: it would end as a reset, or take those bytes for its response. The system is asked, since the
+/// reactor reports what arrived only when it is next polled.
+fn is_quiet(stream: &TokioIo<TcpStream>) -> bool {
     // What is read is lost with the connection.
     let read = SockRef::from(stream.inner()).recv(&mut [MaybeUninit::uninit()]);
     read.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
--- a/tests/unit/proxy/downstream.rs
+++ b/tests/unit/proxy/downstream.rs
@@ -1,18 +1,23 @@
 //! Unit tests of `src/bin/proxy/downstream/mod.rs`, which names this file.
 
+use super::accept::take_queued;
+use super::connection::IdleCloseReason;
 use super::*;
 use crate::paused::rig::settings;
 use crate::upstream::{Limits, Pool};
 use std::io::Write;
+use std::time::Duration;
 use tokio::io::AsyncReadExt;
+use tokio::net::{TcpListener, TcpStream};
 use tokio::task::LocalSet;
+use tokio::time::Instant;
 
 /// Longest that a peer may stand open without a request, as callers are promised.
 const SILENT_PEER: Duration = Duration::from_secs(3);
 
-fn front() -> Rc<Front> {
-    let facts = load_balancer::platform_settings::parse(settings().to_string().as_bytes()).expect("sound");
-    let (counters, room) = (Counters::new(facts.site.classes.clone()), Room::new(1 << 20));
+fn downstream() -> Rc<Downstream> {
+    let settings = load_balancer::platform_settings::parse(settings().to_string().as_bytes()).expect("sound");
+    let (counters, room) = (Counters::new(settings.site.classes.clone()), Room::new(1 << 20));
     let processes = watch::Sender::new(1);
     let limits = Limits {
         connections: 8,
@@ -23,10 +28,20 @@
         may_duplicate: true,
     };
     let pool = Rc::new(Pool::new(limits, counters.attempts(), room.clone()));
-    let engine = Engine::new(facts.clone(), 1, pool, watch::Sender::new(false), None).expect("sound");
+    let engine = Engine::new(settings.clone(), 1, pool, watch::Sender::new(false), None).expect("sound");
     let (lifecycle, open) = (Rc::new(Lifecycle::new()), Cell::new(0));
     lifecycle.begin();
-    Rc::new(Front { engine, facts, counters, lifecycle, connections: 8, spare: 1, room, processes, open })
+    Rc::new(Downstream {
+        engine,
+        settings,
+        counters,
+        lifecycle,
+        connections: 8,
+        spare: 1,
+        room,
+        processes,
+        open,
+    })
 }
 
 /// On the program's own clock, which is paused here and moves on only when nothing is left to do: a busy machine cannot
@@ -41,8 +56,8 @@
         peer.set_nonblocking(true).expect("open");
         let mut peer = TcpStream::from_std(peer).expect("open");
         let (stream, _) = listener.accept().await.expect("a connection");
-        let (connected, crowd) = (Instant::now(), watch::Sender::new(Crowd::Full));
-        let serving = front().connection(stream, crowd.subscribe(), false);
+        let (connected, idle_close) = (Instant::now(), watch::Sender::new(IdleCloseReason::LimitReached));
+        let serving = downstream().serve_connection(stream, idle_close.subscribe(), false);
         let let_go = async {
             peer.read_to_end(&mut Vec::new()).await.expect("closed, not reset");
             connected.elapsed()
@@ -59,7 +74,7 @@
     let address = listener.local_addr().expect("bound");
     let connect = |_| std::net::TcpStream::connect(address).expect("the queue takes it");
     let clients: Vec<_> = (0..5).map(connect).collect();
-    let (taken, left) = queued(listener.into_std().expect("sound"));
+    let (taken, left) = take_queued(listener.into_std().expect("sound"));
     assert!(left.is_none(), "nothing is left in it");
     let mut peers: Vec<_> = taken.iter().map(|s| s.peer_addr().expect("open")).collect();
     let mut expected: Vec<_> = clients.iter().map(|c| c.local_addr().expect("open")).collect();
--- a/tests/unit/proxy/engine/state.rs
+++ b/tests/unit/proxy/engine/state.rs
@@ -13,12 +13,12 @@
     };
     State {
         balancer: Balancer::new(settings, 1).expect("sound settings"),
-        ids: HashMap::new(),
-        names: HashMap::new(),
-        leaving: HashSet::new(),
+        id_by_host: HashMap::new(),
+        host_by_id: HashMap::new(),
+        removal_candidates: HashSet::new(),
         targets: HashMap::new(),
         requests: HashMap::new(),
-        next: 1,
+        next_request_id: 1,
         events: VecDeque::new(),
         actions: Vec::new(),
     }
@@ -29,11 +29,14 @@
     fn list(&mut self, kind: ListKind, hosts: &[(&str, Phase)]) {
         let mut entries = Vec::new();
         for (host, phase) in hosts {
-            let backend = self.id(host);
-            self.leaving.insert(backend);
+            let backend = self.id_of(host);
+            self.removal_candidates.insert(backend);
             if *phase == Phase::Ready {
-                let target =
-                    Target { dial: ([127, 0, 0, 1], 1).into(), born_ms: 0.0, drained: Cell::default() };
+                let target = Target {
+                    address: ([127, 0, 0, 1], 1).into(),
+                    started_at_ms: 0.0,
+                    drained_at: Cell::default(),
+                };
                 self.targets.insert(backend, Rc::new(target));
             }
             entries.push(Entry { backend, phase: *phase, weight: 1.0, ..Entry::default() });
@@ -42,17 +45,17 @@
         self.balancer.handle(0.0, Event::List { kind, entries }, &mut actions);
         for action in actions {
             if let Action::Withdraw { backend } = action {
-                self.leaving.insert(backend);
-                self.targets[&backend].drained.set(Some(Instant::now()));
+                self.removal_candidates.insert(backend);
+                self.targets[&backend].drained_at.set(Some(Instant::now()));
             }
         }
-        self.forget_gone(kind);
+        self.remove_unknown(kind);
     }
 
     fn held(&self) -> Vec<&str> {
-        assert_eq!(self.ids.len(), self.names.len());
-        assert!(self.ids.iter().all(|(name, id)| self.names[id] == *name), "both ways alike");
-        let mut held: Vec<&str> = self.ids.keys().map(String::as_str).collect();
+        assert_eq!(self.id_by_host.len(), self.host_by_id.len());
+        assert!(self.id_by_host.iter().all(|(name, id)| self.host_by_id[id] == *name), "both ways alike");
+        let mut held: Vec<&str> = self.id_by_host.keys().map(String::as_str).collect();
         held.sort_unstable();
         held
     }
@@ -88,20 +91,20 @@
     let hosts: Vec<String> = (0..500).map(|n| format!("host-{n}")).collect();
     let all: Vec<(&str, Phase)> = hosts.iter().map(|host| (host.as_str(), Phase::Ready)).collect();
     state.list(ListKind::Full, &all);
-    assert!(state.leaving.is_empty(), "{} of 500", state.leaving.len());
+    assert!(state.removal_candidates.is_empty(), "{} of 500", state.removal_candidates.len());
     state.list(ListKind::Delta, &[("host-1", Phase::Draining), ("host-2", Phase::Ready)]);
-    assert_eq!(state.leaving.len(), 1);
+    assert_eq!(state.removal_candidates.len(), 1);
     state.list(ListKind::Delta, &[("host-1", Phase::Ready)]);
-    assert!(state.leaving.is_empty());
+    assert!(state.removal_candidates.is_empty());
 }
 
 #[test]
 fn two_names_never_have_one_number() {
     let mut state = state();
     let taken = backend_id("a");
-    state.names.insert(taken, "another".into());
-    state.ids.insert("another".into(), taken);
-    assert_eq!(state.id("a"), taken.wrapping_add(1));
-    assert_eq!(state.id("a"), taken.wrapping_add(1));
-    assert_eq!(state.id("another"), taken);
+    state.host_by_id.insert(taken, "another".into());
+    state.id_by_host.insert("another".into(), taken);
+    assert_eq!(state.id_of("a"), taken.wrapping_add(1));
+    assert_eq!(state.id_of("a"), taken.wrapping_add(1));
+    assert_eq!(state.id_of("another"), taken);
 }
