--- a/src/bin/proxy/config/check.rs
+++ b/src/bin/proxy/config/check.rs
@@ -1,16 +1,17 @@
-//! What is wrong with settings that can be read: each key by its name in the file, and what it may be.
+//! Checks settings that could be read. Each error names the key as it is in the file, and what it may be.
 
 use load_balancer::platform_settings::PlatformSettings;
 use std::collections::HashSet;
 
-/// Fewer descriptors than this leave no room for work.
+/// Fewer descriptors than this leave too few for connections.
 const MIN_SOCKETS: usize = 64;
-/// Shorter aims cannot be told from none, ms.
-const MIN_AIM: f64 = 1e-3;
+/// A shorter latency objective counts as missing, ms.
+const MIN_LATENCY_OBJECTIVE_MS: f64 = 1e-3;
 
-/// What is wrong first.
-pub(super) fn wrong(sockets: usize, facts: &PlatformSettings) -> Option<String> {
-    let (site, s) = (&facts.site, &facts.settings);
+/// The first error.
+pub(super) fn first_error(sockets: usize, platform: &PlatformSettings) -> Option<String> {
+    let site = &platform.site;
+    let s = &platform.settings;
     let caps = [
         (sockets < MIN_SOCKETS, "limits.sockets: too few to work with, from 64 on"),
         (s.instance_count == 0, "settings: peersTotal: is 0, and this proxy is one; from 1 on"),
@@ -25,13 +26,13 @@
         (site.connect_timeout_ms <= 0.0, "settings: caps.connectTimeout: is missing or 0"),
         (site.drain_grace_ms <= 0.0, "settings: guarantees.stopSendingWithin: is missing or 0"),
     ];
-    let cap = || caps.iter().find(|(bad, _)| *bad).map(|(_, what)| (*what).to_string());
-    cap().or_else(|| names(facts)).or_else(|| aims(facts))
+    let cap_error = || caps.iter().find(|(bad, _)| *bad).map(|(_, what)| (*what).to_string());
+    cap_error().or_else(|| name_error(platform)).or_else(|| objective_error(platform))
 }
 
-/// Names are what requests and lists are told apart by.
-fn names(facts: &PlatformSettings) -> Option<String> {
-    let site = &facts.site;
+/// Names must be unique: requests and lists refer to classes, tenants and zones by them.
+fn name_error(platform: &PlatformSettings) -> Option<String> {
+    let site = &platform.site;
     let lists = [("classes", &site.classes), ("tenants", &site.tenants), ("localities", &site.zones)];
     for (key, names) in lists {
         let mut seen = HashSet::new();
@@ -45,13 +46,15 @@
             return Some(format!("settings: {key}: one has no name"));
         }
     }
-    // Without zones every place is alike.
-    let (own, zones) = (usize::from(facts.settings.zone), site.zones.len());
+    // Without zones every backend is in this proxy's own.
+    let own = usize::from(platform.settings.zone);
+    let zones = site.zones.len();
     (zones > 0 && own >= zones)
         .then(|| format!("settings: locality: {own} is no place in localities, from 0 to {}", zones - 1))
 }
 
-fn aims(facts: &PlatformSettings) -> Option<String> {
-    let none = facts.settings.classes.iter().position(|c| c.latency_objective_ms < MIN_AIM)?;
-    Some(format!("settings: classes[{none}].aim: is 0; give the time to answer in, ms"))
+fn objective_error(platform: &PlatformSettings) -> Option<String> {
+    let missing =
+        platform.settings.classes.iter().position(|c| c.latency_objective_ms < MIN_LATENCY_OBJECTIVE_MS)?;
+    Some(format!("settings: classes[{missing}].aim: is 0; give the time to answer in, ms"))
 }
--- a/src/bin/proxy/config/discovery.rs
+++ b/src/bin/proxy/config/discovery.rs
@@ -1,4 +1,4 @@
-//! How the configuration has discovery asked.
+//! The settings of discovery's client, from the configuration.
 
 use super::Config;
 use crate::engine::millis;
@@ -6,9 +6,10 @@
 use load_balancer::client::traffic::Traffic;
 
 impl Config {
-    /// How discovery is asked; what is said and heard is counted in `traffic`.
+    /// How discovery is called; the bytes sent and received are counted in `traffic`.
     pub fn discovery_settings(&self, traffic: Traffic) -> Settings {
-        let pace = Pace::new(self.facts.settings.must_subscribe, millis(self.facts.site.drain_grace_ms));
+        let pace =
+            Pace::new(self.platform.settings.must_subscribe, millis(self.platform.site.drain_grace_ms));
         let pace = self.discovery_backoff.map_or(pace, |backoff| pace.with_backoff(backoff));
         Settings { service: self.service.clone(), ..Settings::new(pace, traffic) }
     }
--- a/src/bin/proxy/config/file.rs
+++ b/src/bin/proxy/config/file.rs
@@ -1,4 +1,4 @@
-//! What the configuration file may hold.
+//! The keys of the configuration file, in its two forms.
 
 use crate::recorder;
 use load_balancer::client::discovery::Backoff;
@@ -6,7 +6,7 @@
 use load_balancer::client::{membership, route_table};
 use serde::Deserialize;
 
-/// The platform's file has keys that nothing here needs; they are passed over.
+/// The platform's JSON file. It has keys that nothing here needs; unknown ones are ignored.
 #[derive(Deserialize)]
 pub(super) struct File {
     pub(super) listen: Option<String>,
@@ -24,10 +24,10 @@
     pub(super) record: Option<recorder::Settings>,
 }
 
-/// The operators' own file: a key that is not known is a slip of the pen.
+/// The operators' TOML file. An unknown key is taken for a typing error, and refused.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct OwnFile {
+pub(super) struct OperatorFile {
     pub(super) listen: Option<String>,
     pub(super) discovery: Option<Addresses>,
     pub(super) service: Option<String>,
@@ -44,7 +44,7 @@
     pub(super) record: Option<recorder::Settings>,
 }
 
-/// One address, several parted by commas, or a list of them.
+/// One address, several separated by commas, or a list of them.
 #[derive(Deserialize)]
 #[serde(untagged)]
 pub(super) enum Addresses {
@@ -58,7 +58,7 @@
     pub(super) memory_mb: usize,
 }
 
-/// When a list is too bad to be believed at once.
+/// When removals in a list are withheld until they are confirmed.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(super) struct Guard {
--- a/src/bin/proxy/config/mod.rs
+++ b/src/bin/proxy/config/mod.rs
@@ -1,4 +1,7 @@
-//! What the proxy is told at its start: the environment and the configuration file, checked.
+//! The configuration: command line, environment and file, in this order of precedence, read and checked.
+//!
+//! Acts once, at the start, and at each SIGHUP for discovery's addresses. Keys, flags and variables are the operators' and the
+//! platform's, and do not change.
 
 mod check;
 mod discovery;
@@ -25,41 +28,41 @@
 
 /// All that a start needs.
 pub struct Config {
-    /// Where callers connect.
+    /// Where clients connect.
     pub listen: SocketAddr,
-    /// Where discovery, or its agent, answers; the preferred one first.
+    /// Addresses of discovery, or of its agent; the preferred one first.
     pub discovery: Vec<SocketAddr>,
-    /// The service whose backends it calls, where registries tell services apart.
+    /// The service whose backends are called, where the registries have several services.
     pub service: Option<ServiceName>,
-    /// How seldom discovery is asked while it cannot be reached; without it, and under the platform's protocol, often.
+    /// Backoff of calls to discovery while it cannot be reached; without it, and under the platform's protocol, a short one.
     pub discovery_backoff: Option<Backoff>,
-    /// Where operators call, if anywhere.
+    /// The operators' address, if there is one.
     pub ops: Option<SocketAddr>,
     /// Seed of the module's random numbers.
     pub seed: u64,
     /// How many descriptors the process may hold.
     pub sockets: usize,
-    /// How much memory it may hold.
+    /// How much memory the process may hold, bytes.
     pub memory: usize,
-    /// The list of backends as this proxy last had it.
-    pub known: Option<Page>,
-    /// The settings.
-    pub facts: PlatformSettings,
-    /// How it takes part among the proxies of its tier, if it does.
+    /// The list of backends that this proxy had before its start.
+    pub cached_list: Option<Page>,
+    /// The platform's settings.
+    pub platform: PlatformSettings,
+    /// Membership among the proxies of the tier, where configured.
     pub membership: Option<membership::Settings>,
-    /// How it has its picks weighed by the route table, if it does.
+    /// The route table, where configured.
     pub routes: Option<route_table::Settings>,
-    /// What it records, if anything.
+    /// The recorder, where configured.
     pub record: Option<recorder::Settings>,
-    /// The name that it goes by in either.
+    /// This proxy's name in route reports and recordings; empty without them.
     pub name: String,
-    /// The settings as they were read, for what is recorded.
-    pub text: String,
-    /// Where all this was read, for a reload.
+    /// The settings as they were read, for recordings.
+    pub settings_text: String,
+    /// Where the file was read, for a reload.
     pub origin: Origin,
 }
 
-/// The command line. What it names goes before the environment, and that before the file.
+/// The command line. It takes precedence over the environment, and that over the file.
 #[derive(Parser)]
 #[command(name = "proxy", version, about = "A load-balancing proxy for one tier of services")]
 pub struct Args {
@@ -89,16 +92,18 @@
     load_from(Origin::find(&args)?, args)
 }
 
-/// Reads the configuration at `origin`, before which goes what the command line and the environment tell.
+/// Reads the configuration at `origin`; the command line and the environment take precedence.
 pub fn load_from(origin: Origin, args: Args) -> Result<Config, Error> {
-    let told = |flag: Option<String>, name| flag.or_else(|| env::var(name).ok());
+    let flag_or_variable = |flag: Option<String>, name| flag.or_else(|| env::var(name).ok());
     let mut file = origin.read()?;
     file.service = args.service.or(file.service);
-    let discovery = told(args.discovery, "RELAY_DISCOVERY").map(Addresses::One);
-    checked(file, origin, told(args.listen, "RELAY_LISTEN"), discovery, told(args.ops, "RELAY_OPS"))
+    let discovery = flag_or_variable(args.discovery, "RELAY_DISCOVERY").map(Addresses::One);
+    let listen = flag_or_variable(args.listen, "RELAY_LISTEN");
+    let ops = flag_or_variable(args.ops, "RELAY_OPS");
+    checked(file, origin, listen, discovery, ops)
 }
 
-/// What goes before the file stands beside it.
+/// Checks the file's values; `listen`, `discovery` and `ops` take precedence over them.
 fn checked(
     file: File,
     origin: Origin,
@@ -106,14 +111,14 @@
     discovery: Option<Addresses>,
     ops: Option<String>,
 ) -> Result<Config, Error> {
-    let text = file.record.as_ref().map_or_else(String::new, |_| file.settings.to_string());
-    let mut facts = platform_settings::read(file.settings)?;
-    // Under the platform's protocol a change that was told binds at once: there the guard is off unless asked for.
-    facts.settings.list_guard = file.list_guard.map_or(ListGuard::default(), |g| ListGuard {
+    let settings_text = file.record.as_ref().map_or_else(String::new, |_| file.settings.to_string());
+    let mut platform = platform_settings::read(file.settings)?;
+    // Under the platform's protocol a change must be applied at once: there the guard is off unless it is configured.
+    platform.settings.list_guard = file.list_guard.map_or(ListGuard::default(), |g| ListGuard {
         panic_threshold: g.panic_threshold,
         confirm_after_ms: g.hold_ms,
     });
-    if let Some(what) = check::wrong(file.limits.sockets, &facts) {
+    if let Some(what) = check::first_error(file.limits.sockets, &platform) {
         return Err(Error::Value(what));
     }
     if let Some(why) = file.discovery_backoff.as_ref().and_then(Backoff::invalid) {
@@ -148,27 +153,27 @@
         seed: u64::from_str_radix(&file.seed, 16)?,
         sockets: file.limits.sockets,
         memory: file.limits.memory_mb.saturating_mul(1 << 20),
-        known: file.known,
-        facts,
+        cached_list: file.known,
+        platform,
         membership: file.membership,
         routes: file.routes,
         record: file.record,
         name,
-        text,
+        settings_text,
         origin,
     })
 }
 
 /// Discovery's addresses, the preferred one first.
-fn addresses(told: Option<Addresses>) -> Result<Vec<SocketAddr>, Error> {
-    let told = match told {
+fn addresses(configured: Option<Addresses>) -> Result<Vec<SocketAddr>, Error> {
+    let texts = match configured {
         None => Vec::new(),
         Some(Addresses::One(text)) => text.split(',').map(|part| part.trim().to_string()).collect(),
         Some(Addresses::Many(texts)) => texts,
     };
-    match told.len() {
+    match texts.len() {
         0 => Err(Error::Missing("discovery")),
-        1..=MAX_REGISTRIES => told.into_iter().map(|text| address("discovery", Some(text))).collect(),
+        1..=MAX_REGISTRIES => texts.into_iter().map(|text| address("discovery", Some(text))).collect(),
         _ => Err(Error::ManyRegistries(MAX_REGISTRIES)),
     }
 }
--- a/src/bin/proxy/config/origin.rs
+++ b/src/bin/proxy/config/origin.rs
@@ -1,6 +1,8 @@
-//! Where the configuration stands, and how it is read from there.
+//! Where the configuration file is, and how it is read from there.
+//!
+//! Kept for the life of the process: a SIGHUP reads the same file again.
 
-use super::file::{Addresses, File, OwnFile};
+use super::file::{Addresses, File, OperatorFile};
 use super::{Args, Error, addresses};
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
@@ -8,13 +10,13 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Where the configuration stands.
+/// Where the configuration is.
 #[derive(Clone)]
 pub enum Origin {
     /// The JSON file that the platform names in RELAY_CONFIG.
     Platform(PathBuf),
     /// The TOML file of `--config`.
-    Own(PathBuf),
+    Operator(PathBuf),
     /// The TOML text of `--local`.
     Local,
 }
@@ -25,25 +27,25 @@
             return Ok(Origin::Local);
         }
         let platforms = || env::var_os("RELAY_CONFIG").map(|path| Origin::Platform(path.into()));
-        let found = args.config.clone().map(Origin::Own).or_else(platforms);
+        let found = args.config.clone().map(Origin::Operator).or_else(platforms);
         found.ok_or(Error::Nowhere)
     }
 
-    /// Where discovery answers by the file as it is now: it may have been replaced since the start, which the
-    /// environment does not show. Nothing else of the file is looked at.
+    /// Discovery's addresses in the file as it is now; it may have been replaced since the start. The command line and the
+    /// environment cannot change, and are not consulted. Nothing else in the file is read.
     pub fn discovery(&self) -> Result<Vec<SocketAddr>, Error> {
         #[derive(Deserialize)]
-        struct Moved {
+        struct DiscoveryOnly {
             discovery: Option<Addresses>,
         }
-        addresses(self.parse::<Moved>()?.discovery)
+        addresses(self.parse::<DiscoveryOnly>()?.discovery)
     }
 
     pub(super) fn read(&self) -> Result<File, Error> {
         if let Origin::Platform(_) = self {
             return self.parse();
         }
-        let own: OwnFile = self.parse()?;
+        let own: OperatorFile = self.parse()?;
         Ok(File {
             listen: own.listen,
             discovery: own.discovery,
@@ -61,7 +63,7 @@
         })
     }
 
-    /// Parses the text in the form that it has where it stands; an error names the key.
+    /// Parses the text, JSON or TOML by where it is; an error names the key.
     fn parse<T: DeserializeOwned>(&self) -> Result<T, Error> {
         let read = |by, path: &Path| {
             std::fs::read_to_string(path).map_err(|source| Error::Unreadable {
@@ -72,7 +74,7 @@
         };
         let (text, place) = match self {
             Origin::Platform(path) => (read("RELAY_CONFIG", path)?, path.display().to_string()),
-            Origin::Own(path) => (read("--config", path)?, path.display().to_string()),
+            Origin::Operator(path) => (read("--config", path)?, path.display().to_string()),
             Origin::Local => {
                 (include_str!("../../../../deploy/local.toml").into(), "deploy/local.toml".into())
             }
@@ -82,7 +84,7 @@
             return serde_path_to_error::deserialize(json)
                 .map_err(|e| Error::Text { what: e.to_string(), place });
         }
-        // TOML's own message has several lines, and what is logged has one.
+        // TOML's own message has several lines; a log line is one.
         let wrong = |key: &str, e: &toml::de::Error| Error::Text {
             what: format!("{key}: {}", e.message().replace('\n', "; ")),
             place: place.clone(),
--- a/src/bin/proxy/counters.rs
+++ b/src/bin/proxy/counters.rs
@@ -1,4 +1,7 @@
-//! What operators are told in figures. Each request and each attempt is counted once, where it ends.
+//! The figures for operators: the phase `account` of a request.
+//!
+//! Each request and each attempt is counted once, where it ends: a request when its [`RequestRecord`] is dropped. Owns the
+//! counts of this process. Their JSON keys are read by operators' scripts and do not change.
 
 use load_balancer::client::route_table::Totals;
 use load_balancer::interface::Census;
@@ -6,13 +9,13 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// How a request ended.
+/// What a request counts as. The order is that of the counts of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
-    /// Its client has a backend's answer.
+pub enum CountedAs {
+    /// Its client has a backend's response.
     Served,
-    /// Turned away; a further try is harmless.
-    Refused,
+    /// Rejected; the client may send it again without harm.
+    Rejected,
     /// Anything else.
     Failed,
 }
@@ -20,7 +23,7 @@
 /// The figures of this process, from its start on.
 pub struct Counters {
     classes: Vec<String>,
-    /// Served, refused and failed, for each class.
+    /// Served, rejected and failed, for each class.
     ended: RefCell<Vec<[u64; 3]>>,
     in_flight: Cell<u64>,
     attempts: Rc<Cell<u64>>,
@@ -33,69 +36,70 @@
         Rc::new(Counters { classes, ended, in_flight: Cell::default(), attempts: Rc::default() })
     }
 
-    /// How many attempts have been written whole; whoever writes them counts here.
+    /// How many attempts were written completely; the connections that write them count here.
     pub fn attempts(&self) -> Rc<Cell<u64>> {
         self.attempts.clone()
     }
 
-    /// A request of a class has come as far as its head.
-    pub fn record(self: &Rc<Self>, class: usize) -> Record {
-        Record { counters: self.clone(), class, taken: false, ending: None }
+    /// A request of a class whose head was read.
+    pub fn record(self: &Rc<Self>, class: usize) -> RequestRecord {
+        RequestRecord { counters: self.clone(), class, is_complete: false, counted_as: None }
     }
 
     /// Of all classes together.
     pub fn totals(&self) -> Totals {
         let ended = self.ended.borrow();
-        let of = |ending: Ending| ended.iter().map(|n| n[ending as usize]).sum();
-        let (refused, failed) = (of(Ending::Refused), of(Ending::Failed));
-        Totals { requests: of(Ending::Served) + refused + failed, refused, failed }
+        let of = |counted_as: CountedAs| ended.iter().map(|n| n[counted_as as usize]).sum();
+        let rejected = of(CountedAs::Rejected);
+        let failed = of(CountedAs::Failed);
+        Totals { requests: of(CountedAs::Served) + rejected + failed, refused: rejected, failed }
     }
 
-    /// The figures as they are read out.
+    /// The figures as operators read them.
     pub fn page(&self, census: Census) -> Value {
         let ended = self.ended.borrow();
-        let of = |ending: Ending| -> Map<String, Value> {
-            let counts = ended.iter().map(|n| n[ending as usize].into());
+        let of = |counted_as: CountedAs| -> Map<String, Value> {
+            let counts = ended.iter().map(|n| n[counted_as as usize].into());
             self.classes.iter().cloned().zip(counts).collect()
         };
         json!({
-            "served": of(Ending::Served), "refused": of(Ending::Refused), "failed": of(Ending::Failed),
+            "served": of(CountedAs::Served), "refused": of(CountedAs::Rejected), "failed": of(CountedAs::Failed),
             "attempts": self.attempts.get(), "in_flight": self.in_flight.get(),
             "backends_known": census.listed, "backends_excluded": census.excluded,
         })
     }
 }
 
-/// A request; its end is counted when this is dropped. Unless told otherwise one that was taken has failed; one
-/// that never came whole and was not answered is none.
-pub struct Record {
+/// A request, counted when this is dropped. Without a response one that was complete counts as failed; one that was not, and
+/// had no response, is not counted.
+pub struct RequestRecord {
     counters: Rc<Counters>,
     class: usize,
-    taken: bool,
-    ending: Option<Ending>,
+    is_complete: bool,
+    counted_as: Option<CountedAs>,
 }
 
-impl Record {
-    /// Its last byte has come: an answer is owed.
-    pub fn taken(&mut self) {
-        if !std::mem::replace(&mut self.taken, true) {
+impl RequestRecord {
+    /// Its last byte has arrived: a response is owed.
+    pub fn complete(&mut self) {
+        if !std::mem::replace(&mut self.is_complete, true) {
             self.counters.in_flight.update(|n| n + 1);
         }
     }
 
-    /// What its end will be.
-    pub fn ends(&mut self, ending: Ending) {
-        self.ending = Some(ending);
+    /// What it counts as from now on.
+    pub fn count_as(&mut self, counted_as: CountedAs) {
+        self.counted_as = Some(counted_as);
     }
 }
 
-impl Drop for Record {
+impl Drop for RequestRecord {
     fn drop(&mut self) {
-        if self.taken {
+        if self.is_complete {
             self.counters.in_flight.update(|n| n - 1);
         }
-        if let Some(ending) = self.ending.or(self.taken.then_some(Ending::Failed)) {
-            self.counters.ended.borrow_mut()[self.class][ending as usize] += 1;
+        if let Some(counted_as) = self.counted_as.or(self.is_complete.then_some(CountedAs::Failed)) {
+            self.counters.ended.borrow_mut()[self.class][counted_as as usize] += 1;
         }
     }
 }
--- a/src/bin/proxy/descriptors.rs
+++ b/src/bin/proxy/descriptors.rs
@@ -1,47 +1,52 @@
-//! What the process's descriptors are for: however many callers come, those that the rest needs stay aside for it.
+//! Shares out the process's descriptors: clients and backends get what the rest does not need.
+//!
+//! Acts once, at the start, and raises the process's limit where the system allows. Owns nothing afterwards. Guards against a
+//! proxy that cannot reach discovery, or answer its operators, because clients hold every descriptor.
 
 use crate::config::Error;
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use tracing::warn;
 
-/// Descriptors that are neither callers' nor backends' connections: standard streams, the listener, the reactor, a file
-/// that is read anew, and discovery, of which two calls may be out while one that is left is still being closed.
+/// Descriptors that are neither clients' nor backends' connections: standard streams, the listener, the reactor, a file that is
+/// read again, and discovery, of which two calls may be in flight while the connection of a third is being closed.
 const RESERVED: usize = 16;
-/// Most connections that are taken only to be refused at once.
-const SPARE: usize = 32;
+/// Most connections that are accepted only to have their requests rejected at once.
+const MAX_SPARE: usize = 32;
 
 /// Descriptors for connections.
 pub struct Descriptors {
-    /// For callers past the limit, who are refused at once.
+    /// For clients beyond the limit, whose requests are rejected at once.
     pub spare: usize,
-    /// For callers and backends: each request in work holds a connection on either side; kept ones fill what is left.
+    /// For clients and backends, half each: a request that is being served holds a connection on either side.
     pub usable: usize,
 }
 
 impl Descriptors {
-    /// Shares out so many, or as many as the system allows; `kept` are aside for what is configured beside the proxy.
-    pub fn share_out(configured: usize, kept: usize) -> Result<Self, Error> {
-        let (aside, allowed) = (RESERVED + kept, allowed(configured));
-        let mut spare = SPARE;
+    /// Shares out so many, or as many as the system allows; `optional_parts` are reserved for what is configured besides.
+    pub fn share_out(configured: usize, optional_parts: usize) -> Result<Self, Error> {
+        let reserved = RESERVED + optional_parts;
+        let allowed = raise_limit(configured);
+        let mut spare = MAX_SPARE;
         if allowed < configured {
             warn!(
                 "limits.sockets is {configured}, but the system allows {allowed}; raise its limit (ulimit -n)"
             );
-            spare = SPARE.min(allowed.saturating_sub(aside) / 2);
+            spare = MAX_SPARE.min(allowed.saturating_sub(reserved) / 2);
         }
-        let usable = allowed.checked_sub(aside + spare).filter(|n| *n > 1);
-        let least = aside + SPARE + 2;
+        let usable = allowed.checked_sub(reserved + spare).filter(|n| *n > 1);
+        let least = reserved + MAX_SPARE + 2;
         let usable =
             usable.ok_or_else(|| Error::Value(format!("limits.sockets: too few, from {least} on")))?;
         Ok(Descriptors { spare, usable })
     }
 }
 
-/// As many as are wanted, or as the system allows: what it allows by default is raised up to its limit.
-fn allowed(wanted: usize) -> usize {
-    let (Rlimit { current, maximum }, most) = (getrlimit(Resource::Nofile), wanted as u64);
-    let raised = most.min(maximum.unwrap_or(most));
-    let Some(low) = current.filter(|current| *current < raised) else { return raised as usize };
+/// Raises the soft limit up to the hard one, where so many are wanted; how many the process then has.
+fn raise_limit(wanted: usize) -> usize {
+    let Rlimit { current, maximum } = getrlimit(Resource::Nofile);
+    let wanted = wanted as u64;
+    let raised = wanted.min(maximum.unwrap_or(wanted));
+    let Some(unraised) = current.filter(|current| *current < raised) else { return raised as usize };
     let limit = Rlimit { current: Some(raised), maximum };
-    if setrlimit(Resource::Nofile, limit).is_ok() { raised as usize } else { low as usize }
+    if setrlimit(Resource::Nofile, limit).is_ok() { raised as usize } else { unraised as usize }
 }
--- a/src/bin/proxy/downstream/handle.rs
+++ b/src/bin/proxy/downstream/handle.rs
@@ -6,7 +6,7 @@
 use super::Downstream;
 use super::respond::{Reply, closing, plain, respond};
 use crate::body::{Flow, Rest};
-use crate::counters::Record;
+use crate::counters::RequestRecord;
 use crate::engine::{AdmittedRequest, ParsedRequest, RequestEnd};
 use crate::io::{Client, Progress};
 use crate::upstream::UpstreamResponse;
@@ -88,7 +88,7 @@
     async fn serve_request(
         &self,
         request: ParsedRequest,
-        mut record: Record,
+        mut record: RequestRecord,
         announced: Announced,
         source: RequestSource<'_>,
     ) -> Reply {
@@ -146,11 +146,11 @@
 }
 
 /// The body that flowed is complete or broken off. When complete, an answer is owed, and the next bytes are another head's.
-fn body_settled(flow: Flow, record: &mut Record, source: RequestSource<'_>) {
+fn body_settled(flow: Flow, record: &mut RequestRecord, source: RequestSource<'_>) {
     if flow != Flow::Broken {
         source.client.is_at(true);
         source.progress.await_head();
-        record.taken();
+        record.complete();
     }
 }
 
@@ -158,7 +158,12 @@
 ///
 /// Guards against a response that is lost: closed over unread bytes, the client's connection would be reset. So the body is
 /// read to its end and dropped; where the client awaits a `100 Continue` it may never send it, and the connection closes.
-fn respond_with_unread_body(end: RequestEnd, record: Record, body: &Rest, announced: Announced) -> Reply {
+fn respond_with_unread_body(
+    end: RequestEnd,
+    record: RequestRecord,
+    body: &Rest,
+    announced: Announced,
+) -> Reply {
     let unread = if matches!(end, RequestEnd::Served(_)) { None } else { body.withdraw() };
     match unread {
         Some(_) if announced.expects_continue && !body.passed() => closing(respond(end, record)),
--- a/src/bin/proxy/downstream/mod.rs
+++ b/src/bin/proxy/downstream/mod.rs
@@ -23,8 +23,8 @@
 pub struct Downstream {
     /// Decides what becomes of requests.
     pub engine: Rc<Engine>,
-    /// The settings.
-    pub settings: PlatformSettings,
+    /// The platform's settings.
+    pub platform: PlatformSettings,
     /// Counts requests.
     pub counters: Rc<Counters>,
     /// Whether clients are accepted.
--- a/src/bin/proxy/downstream/read_request.rs
+++ b/src/bin/proxy/downstream/read_request.rs
@@ -6,7 +6,7 @@
 use super::handle::RequestSource;
 use super::respond::{Reply, plain};
 use crate::body::{self, Held, Paced, Rest};
-use crate::counters::Record;
+use crate::counters::RequestRecord;
 use crate::engine::{ParsedRequest, millis};
 use crate::upstream::UpstreamRequest;
 use bytes::{Bytes, BytesMut};
@@ -51,7 +51,7 @@
         &self,
         request: Request<Incoming>,
         source: RequestSource<'_>,
-    ) -> Result<(ParsedRequest, Record), ErrorReply> {
+    ) -> Result<(ParsedRequest, RequestRecord), ErrorReply> {
         let (head, body) = request.into_parts();
         let checked = self.check_head(&head.method, &head.uri, &head.headers, body.is_end_stream())?;
         let BufferedBody { held, rest, room } = self.buffer_body(body, &head.headers).await?;
@@ -62,7 +62,7 @@
         let mut record = self.counters.record(checked.class);
         if is_complete {
             source.progress.await_head();
-            record.taken();
+            record.complete();
         }
         let path = head.uri.path_and_query().cloned().map(Uri::from);
         let call = UpstreamRequest {
@@ -96,13 +96,13 @@
         headers: &HeaderMap,
         has_no_body: bool,
     ) -> Result<CheckedHead, ErrorReply> {
-        let class = class_of(&self.settings.site.classes, uri.path());
+        let class = class_of(&self.platform.site.classes, uri.path());
         let class = class.ok_or_else(|| status(StatusCode::NOT_FOUND))?;
         let id = single_value(headers, "req-id").ok_or_else(bad_request)?.clone();
         let tenant = self.tenant_of(headers).ok_or_else(bad_request)?;
         let client_timeout = self.client_timeout(headers).ok_or_else(bad_request)?;
         let idempotency_key = single_value(headers, "idempotency-key").cloned();
-        let (allowed, needs_key) = match self.settings.settings.classes[class].idempotency {
+        let (allowed, needs_key) = match self.platform.settings.classes[class].idempotency {
             Idempotency::Idempotent => (Method::GET, None),
             Idempotency::Keyed { .. } => (Method::POST, Some(true)),
             Idempotency::NonIdempotent => (Method::POST, Some(false)),
@@ -122,7 +122,7 @@
 
     /// Index of the tenant that the headers name. A name may have letters beyond ASCII.
     fn tenant_of(&self, headers: &HeaderMap) -> Option<usize> {
-        let tenants = &self.settings.site.tenants;
+        let tenants = &self.platform.site.tenants;
         if tenants.is_empty() {
             return Some(0);
         }
@@ -133,7 +133,7 @@
     /// How long the client waits, by its headers.
     fn client_timeout(&self, headers: &HeaderMap) -> Option<Duration> {
         let timeout_ms = single_value(headers, "req-deadline-ms")?.to_str().ok()?.parse().ok()?;
-        let longest = MAX_CLIENT_TIMEOUT.max(millis(self.settings.site.longest_client_timeout_ms));
+        let longest = MAX_CLIENT_TIMEOUT.max(millis(self.platform.site.longest_client_timeout_ms));
         Some(Duration::from_millis(timeout_ms).min(longest))
     }
 
--- a/src/bin/proxy/downstream/respond.rs
+++ b/src/bin/proxy/downstream/respond.rs
@@ -3,7 +3,7 @@
 //! Owns the response's body, and with it the request's record: the phase `account` is the drop of both.
 
 use crate::body::{Held, Paced};
-use crate::counters::{Ending, Record};
+use crate::counters::{CountedAs, RequestRecord};
 use crate::engine::RequestEnd;
 use crate::upstream::UpstreamResponse;
 use bytes::Bytes;
@@ -21,7 +21,7 @@
 pub struct ResponseBody {
     data: Bytes,
     rest: Option<Paced>,
-    record: Option<Record>,
+    record: Option<RequestRecord>,
     _room: Option<Held>,
 }
 
@@ -41,7 +41,7 @@
         };
         if let (Err(_), Some(record)) = (&next, &mut self.record) {
             // The client notices: its connection closes before the announced end.
-            record.ends(Ending::Failed);
+            record.count_as(CountedAs::Failed);
         }
         Poll::Ready(next.transpose().map(|piece| piece.map(Frame::data)))
     }
@@ -74,20 +74,20 @@
 }
 
 /// The status of each end, and what it counts as.
-fn status_of(end: &RequestEnd) -> (StatusCode, Ending) {
+fn status_of(end: &RequestEnd) -> (StatusCode, CountedAs) {
     match end {
-        RequestEnd::Served(_) => (StatusCode::OK, Ending::Served),
-        RequestEnd::Rejected { .. } => (StatusCode::SERVICE_UNAVAILABLE, Ending::Refused),
-        RequestEnd::UpstreamFailed => (StatusCode::BAD_GATEWAY, Ending::Failed),
-        RequestEnd::DeadlineExceeded => (StatusCode::GATEWAY_TIMEOUT, Ending::Failed),
-        RequestEnd::ClientGone => (StatusCode::REQUEST_TIMEOUT, Ending::Failed),
+        RequestEnd::Served(_) => (StatusCode::OK, CountedAs::Served),
+        RequestEnd::Rejected { .. } => (StatusCode::SERVICE_UNAVAILABLE, CountedAs::Rejected),
+        RequestEnd::UpstreamFailed => (StatusCode::BAD_GATEWAY, CountedAs::Failed),
+        RequestEnd::DeadlineExceeded => (StatusCode::GATEWAY_TIMEOUT, CountedAs::Failed),
+        RequestEnd::ClientGone => (StatusCode::REQUEST_TIMEOUT, CountedAs::Failed),
     }
 }
 
 /// The response to a request that ended so.
-pub(super) fn respond(end: RequestEnd, mut record: Record) -> Reply {
-    let (status, ending) = status_of(&end);
-    record.ends(ending);
+pub(super) fn respond(end: RequestEnd, mut record: RequestRecord) -> Reply {
+    let (status, counted_as) = status_of(&end);
+    record.count_as(counted_as);
     let (response, retry_after) = match end {
         RequestEnd::Served(response) => (response, None),
         RequestEnd::Rejected { retry_after } => (UpstreamResponse::default(), retry_after),
--- a/src/bin/proxy/engine/admit.rs
+++ b/src/bin/proxy/engine/admit.rs
@@ -46,7 +46,7 @@
         let (answer, end) = oneshot::channel();
         let request = {
             let s = &mut *self.state.borrow_mut();
-            if s.requests.len() >= self.settings.site.max_open_requests {
+            if s.requests.len() >= self.platform.site.max_open_requests {
                 return Err(RequestEnd::Rejected { retry_after: None });
             }
             let id = s.next_request_id;
@@ -90,9 +90,9 @@
     /// For how long backends recognise repeats of a class by their key. One tick less than the settings say: the module
     /// looks at its deadlines once a tick.
     fn dedup_window(&self, class: u16) -> Option<Duration> {
-        match self.settings.settings.classes[usize::from(class)].idempotency {
+        match self.platform.settings.classes[usize::from(class)].idempotency {
             Idempotency::Keyed { dedup_window_ms, .. } => {
-                Some(millis(dedup_window_ms - self.settings.settings.tick_ms))
+                Some(millis(dedup_window_ms - self.platform.settings.tick_ms))
             }
             Idempotency::Idempotent | Idempotency::NonIdempotent => None,
         }
--- a/src/bin/proxy/engine/attempts.rs
+++ b/src/bin/proxy/engine/attempts.rs
@@ -55,7 +55,7 @@
             pending.end(RequestEnd::ClientGone);
             s.events.push_back(Event::ClientGone { request });
         }
-        let may_start = pending.attempts.len() < self.settings.settings.caps.max_attempts as usize;
+        let may_start = pending.attempts.len() < self.platform.settings.caps.max_attempts as usize;
         let target = s.targets.get(&backend)?;
         (may_start && pending.is_unanswered()).then(|| target.clone())
     }
--- a/src/bin/proxy/engine/list.rs
+++ b/src/bin/proxy/engine/list.rs
@@ -106,9 +106,9 @@
 
     /// Index of a backend's zone. Without zones every backend is in this proxy's own.
     fn zone_of(&self, host: &Host) -> Option<usize> {
-        let zones = &self.settings.site.zones;
+        let zones = &self.platform.site.zones;
         if zones.is_empty() {
-            return Some(usize::from(self.settings.settings.zone));
+            return Some(usize::from(self.platform.settings.zone));
         }
         zones.iter().position(|zone| *zone == host.site)
     }
--- a/src/bin/proxy/engine/mod.rs
+++ b/src/bin/proxy/engine/mod.rs
@@ -36,7 +36,7 @@
     state: RefCell<State>,
     pool: Rc<Pool>,
     clock: Clock,
-    settings: PlatformSettings,
+    platform: PlatformSettings,
     /// Whether the module wants discovery to push changes.
     watch_wanted: watch::Sender<bool>,
     /// Whether the module wants the full list again.
@@ -50,14 +50,14 @@
 impl Engine {
     /// Starts the module. What it wants of discovery goes to `watch_wanted`.
     pub fn new(
-        settings: PlatformSettings,
+        platform: PlatformSettings,
         seed: u64,
         pool: Rc<Pool>,
         watch_wanted: watch::Sender<bool>,
         observer: Option<Rc<Observer>>,
     ) -> Result<Rc<Self>, SettingsError> {
         let state = State {
-            balancer: Balancer::new(settings.settings.clone(), seed)?,
+            balancer: Balancer::new(platform.settings.clone(), seed)?,
             id_by_host: HashMap::new(),
             host_by_id: HashMap::new(),
             removal_candidates: HashSet::new(),
@@ -71,7 +71,7 @@
             state: RefCell::new(state),
             pool,
             clock: Clock::new(),
-            settings,
+            platform,
             watch_wanted,
             resync_requested: Cell::new(false),
             last_answer_at: Cell::new(None),
--- a/src/bin/proxy/error.rs
+++ b/src/bin/proxy/error.rs
@@ -1,4 +1,4 @@
-//! Why the program ends.
+//! Why the program ends. Each error is one line that says what an operator can do.
 
 use crate::config;
 use load_balancer::client::membership;
@@ -12,13 +12,13 @@
     /// The configuration cannot be used.
     #[error(transparent)]
     Config(#[from] config::Error),
-    /// The decision module turns the settings down.
+    /// The decision module rejects the settings.
     #[error("{0}; mend this key in the configuration file")]
     Settings(#[from] SettingsError),
-    /// Membership has no socket.
+    /// Membership cannot bind its socket.
     #[error(transparent)]
     Membership(#[from] membership::Error),
-    /// The system gives no reactor.
+    /// The event loop cannot be created.
     #[error("runtime: {0}; raise the limit of open files (ulimit -n)")]
     Runtime(io::Error),
     /// A signal cannot be awaited.
@@ -29,7 +29,7 @@
         /// What is wrong with it.
         source: io::Error,
     },
-    /// An address cannot be listened on.
+    /// A listener cannot be bound.
     #[error("{what}: {address}: {source}; end the program that holds it, or change the address")]
     Listen {
         /// What was to listen.
@@ -39,7 +39,7 @@
         /// What is wrong with it.
         source: io::Error,
     },
-    /// The part that serves callers ended by itself.
+    /// The task that serves clients has panicked.
     #[error("front: {0}; a defect: keep the log, and start anew")]
-    Front(#[from] tokio::task::JoinError),
+    Serving(#[from] tokio::task::JoinError),
 }
--- a/src/bin/proxy/log.rs
+++ b/src/bin/proxy/log.rs
@@ -1,4 +1,6 @@
-//! The log: one line to each thing that operators should know, on standard error.
+//! The log: one line for each thing that operators should know, on standard error.
+//!
+//! Set up once, before the configuration is read. RUST_LOG selects the levels.
 
 use std::fmt;
 use tracing::{Event, Subscriber, level_filters::LevelFilter};
@@ -22,10 +24,10 @@
     }
 }
 
-/// Logs from now on what RUST_LOG asks for; without it all but details.
+/// Logs from now on what RUST_LOG selects; without it everything from `info` on.
 pub fn begin() {
     let wanted = EnvFilter::builder().with_default_directive(LevelFilter::INFO.into()).from_env_lossy();
-    // A log that nobody reads any more must not end the program.
+    // Guards against a process that ends when the reader of its log does: errors in writing are dropped.
     let lines = tracing_subscriber::fmt().with_ansi(false).log_internal_errors(false);
     lines.event_format(Line).with_writer(std::io::stderr).with_env_filter(wanted).init();
 }
--- a/src/bin/proxy/observer.rs
+++ b/src/bin/proxy/observer.rs
@@ -1,4 +1,7 @@
-//! What the engine tells of its backends and calls, counted where they pass: for the reports, and for the recorder.
+//! Observes the engine's backends and calls, for the route reports and for the recorder.
+//!
+//! Made only where `routes` or `record` is configured; the engine notifies it of each list, arrival, send and end. Owns the
+//! route table in force, the calls counted since the last report, and the recording.
 
 use crate::recorder::Recording;
 use load_balancer::client::list::Host;
@@ -12,16 +15,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A backend as the list names it, and what went to it.
-struct Place {
+/// A backend as the list names it, and its calls.
+struct ObservedBackend {
     listed: Listed,
     tally: Tally,
     in_flight: u32,
-    /// The weight that the module was told.
-    told: Option<f64>,
+    /// The weight that the module has.
+    applied_weight: Option<f64>,
 }
 
-impl Place {
+impl ObservedBackend {
     fn weight(&self, table: &Weights) -> f64 {
         table.of(&self.listed.host, &self.listed.class, &self.listed.zone)
     }
@@ -29,66 +32,82 @@
 
 /// Made only where something asks for it.
 pub struct Observer {
-    places: RefCell<HashMap<BackendId, Place>>,
+    backends: RefCell<HashMap<BackendId, ObservedBackend>>,
     table: RefCell<Weights>,
     list_version: Cell<u64>,
-    untold: Cell<bool>,
+    has_unapplied: Cell<bool>,
     recording: OnceCell<Rc<Recording>>,
 }
 
 impl Observer {
     /// Knows no backend yet.
     pub fn new() -> Rc<Self> {
-        let (places, table, list_version) = (RefCell::default(), RefCell::default(), Cell::default());
-        let (untold, recording) = (Cell::default(), OnceCell::new());
-        Rc::new(Observer { places, table, list_version, untold, recording })
-    }
-
-    /// From now on all is recorded, too.
-    pub fn record(&self, now: f64, recording: Rc<Recording>) {
-        let places = self.places.borrow();
-        recording.list(now, self.list_version.get(), places.iter().map(|(id, p)| (*id, p.listed.clone())));
-        // It is asked for once.
+        Rc::new(Observer {
+            backends: RefCell::default(),
+            table: RefCell::default(),
+            list_version: Cell::default(),
+            has_unapplied: Cell::default(),
+            recording: OnceCell::new(),
+        })
+    }
+
+    /// From now on everything is recorded as well.
+    pub fn start_recording(&self, now_ms: f64, recording: Rc<Recording>) {
+        let backends = self.backends.borrow();
+        recording.list_applied(
+            now_ms,
+            self.list_version.get(),
+            backends.iter().map(|(id, p)| (*id, p.listed.clone())),
+        );
+        // Set once: there is one recording.
         let _ = self.recording.set(recording);
     }
 
     /// The list names a backend.
     pub fn backend_listed(&self, id: BackendId, host: &Host) {
-        let (class, zone, share) = (host.class.clone(), host.site.clone(), host.share.max(0.0));
-        let listed = Listed { host: host.host.clone(), class, zone, share };
-        let mut places = self.places.borrow_mut();
-        let place = match places.entry(id) {
-            Entry::Occupied(place) => {
-                let place = place.into_mut();
-                place.listed = listed;
-                place
-            }
-            Entry::Vacant(none) => {
-                none.insert(Place { listed, tally: Tally::default(), in_flight: 0, told: None })
+        let listed = Listed {
+            host: host.host.clone(),
+            class: host.class.clone(),
+            zone: host.site.clone(),
+            share: host.share.max(0.0),
+        };
+        let mut backends = self.backends.borrow_mut();
+        let backend = match backends.entry(id) {
+            Entry::Occupied(backend) => {
+                let backend = backend.into_mut();
+                backend.listed = listed;
+                backend
             }
+            Entry::Vacant(none) => none.insert(ObservedBackend {
+                listed,
+                tally: Tally::default(),
+                in_flight: 0,
+                applied_weight: None,
+            }),
         };
-        if place.told != Some(place.weight(&self.table.borrow())) {
-            self.untold.set(true);
+        if backend.applied_weight != Some(backend.weight(&self.table.borrow())) {
+            self.has_unapplied.set(true);
         }
     }
 
-    /// A list has been taken: what the module no longer has is forgotten once its calls are over.
-    pub fn list_applied(&self, now: f64, version: u64, known: impl Fn(BackendId) -> bool) {
+    /// The module has applied a list. A backend that it no longer knows is forgotten once its calls are over and reported.
+    pub fn list_applied(&self, now_ms: f64, version: u64, known: impl Fn(BackendId) -> bool) {
         self.list_version.set(version);
-        let gone =
-            |id: BackendId, place: &Place| !known(id) && place.in_flight == 0 && place.tally.calls == 0;
-        self.places.borrow_mut().retain(|id, place| !gone(*id, place));
+        let gone = |id: BackendId, backend: &ObservedBackend| {
+            !known(id) && backend.in_flight == 0 && backend.tally.calls == 0
+        };
+        self.backends.borrow_mut().retain(|id, backend| !gone(*id, backend));
         if let Some(recording) = self.recording.get() {
-            let places = self.places.borrow();
-            let known = places.iter().filter(|(id, _)| known(**id));
-            recording.list(now, version, known.map(|(id, place)| (*id, place.listed.clone())));
+            let backends = self.backends.borrow();
+            let known = backends.iter().filter(|(id, _)| known(**id));
+            recording.list_applied(now_ms, version, known.map(|(id, backend)| (*id, backend.listed.clone())));
         }
     }
 
-    /// Another table; each backend's weight by it.
-    pub fn apply_table(&self, now: f64, revision: Revision, table: Weights) -> Vec<(BackendId, f64)> {
+    /// Applies a new table; each backend's weight by it.
+    pub fn apply_table(&self, now_ms: f64, revision: Revision, table: Weights) -> Vec<(BackendId, f64)> {
         if let Some(recording) = self.recording.get() {
-            recording.table(now, revision);
+            recording.table_applied(now_ms, revision);
         }
         *self.table.borrow_mut() = table;
         self.weights()
@@ -96,25 +115,25 @@
 
     /// Each backend's weight by the table.
     pub fn weights(&self) -> Vec<(BackendId, f64)> {
-        let (mut places, table) = (self.places.borrow_mut(), self.table.borrow());
-        self.untold.set(false);
-        let weigh = |(id, place): (&BackendId, &mut Place)| {
-            let weight = place.weight(&table);
-            place.told = Some(weight);
+        let (mut backends, table) = (self.backends.borrow_mut(), self.table.borrow());
+        self.has_unapplied.set(false);
+        let weigh = |(id, backend): (&BackendId, &mut ObservedBackend)| {
+            let weight = backend.weight(&table);
+            backend.applied_weight = Some(weight);
             (*id, weight)
         };
-        places.iter_mut().map(weigh).collect()
+        backends.iter_mut().map(weigh).collect()
     }
 
-    /// Whether the module has yet to hear of a weight that a list or a table brought.
+    /// Whether a list or a table brought a weight that the module does not have yet.
     pub fn has_unapplied_weights(&self) -> bool {
-        self.untold.get() && self.table.borrow().iter().next().is_some()
+        self.has_unapplied.get() && self.table.borrow().iter().next().is_some()
     }
 
-    /// Digest of the weights in force: the table's if they are the table's.
+    /// Digest of the weights in force: the table's own where they all agree with it.
     pub fn digest(&self, in_force: &[(BackendId, f64)]) -> String {
-        let (places, table) = (self.places.borrow(), self.table.borrow());
-        let of = |id: &BackendId| places.get(id);
+        let (backends, table) = (self.backends.borrow(), self.table.borrow());
+        let of = |id: &BackendId| backends.get(id);
         let same = |(id, weight): &(BackendId, f64)| of(id).is_none_or(|p| p.weight(&table) == *weight);
         if in_force.iter().all(same) {
             return table.digest();
@@ -124,75 +143,76 @@
     }
 
     /// The backends' names.
-    pub fn names(&self) -> HashMap<BackendId, String> {
-        self.places.borrow().iter().map(|(id, place)| (*id, place.listed.host.clone())).collect()
+    pub fn hosts(&self) -> HashMap<BackendId, String> {
+        self.backends.borrow().iter().map(|(id, backend)| (*id, backend.listed.host.clone())).collect()
     }
 
-    /// Version of the list that is held.
+    /// Version of the list in use.
     pub fn list_version(&self) -> u64 {
         self.list_version.get()
     }
 
-    /// A request came.
-    pub fn request_arrived(&self, now: f64, id: &[u8], arrival: &Arrival, client_timeout: Duration) {
+    /// A request was admitted.
+    pub fn request_arrived(&self, now_ms: f64, id: &[u8], arrival: &Arrival, client_timeout: Duration) {
         if let Some(recording) = self.recording.get() {
-            recording.arrived(now, id, arrival, client_timeout);
+            recording.request_arrived(now_ms, id, arrival, client_timeout);
         }
     }
 
-    /// A call goes out.
-    pub fn attempt_sent(&self, now: f64, request: RequestId, backend: BackendId) {
-        let mut places = self.places.borrow_mut();
-        let place = places.get_mut(&backend);
+    /// An attempt starts.
+    pub fn attempt_sent(&self, now_ms: f64, request: RequestId, backend: BackendId) {
+        let mut backends = self.backends.borrow_mut();
+        let observed = backends.get_mut(&backend);
         if let Some(recording) = self.recording.get() {
-            recording.sent(now, request, backend, place.as_ref().map_or(0, |p| p.in_flight));
+            let in_flight = observed.as_ref().map_or(0, |observed| observed.in_flight);
+            recording.attempt_sent(now_ms, request, backend, in_flight);
         }
-        if let Some(place) = place {
-            place.tally.calls += 1;
-            place.in_flight += 1;
+        if let Some(observed) = observed {
+            observed.tally.calls += 1;
+            observed.in_flight += 1;
         }
     }
 
-    /// A call that had a number was not sent.
-    pub fn not_sent(&self, now: f64, request: RequestId, number: AttemptNo, backend: BackendId) {
+    /// An attempt that has a number was not sent.
+    pub fn not_sent(&self, now_ms: f64, request: RequestId, number: AttemptNo, backend: BackendId) {
         if let Some(recording) = self.recording.get() {
-            recording.sent(now, request, backend, 0);
-            recording.replied(now, request, number, Outcome::NotSent);
+            recording.attempt_sent(now_ms, request, backend, 0);
+            recording.attempt_ended(now_ms, request, number, Outcome::NotSent);
         }
     }
 
-    /// A call is over.
+    /// An attempt has ended.
     pub fn attempt_ended(
         &self,
-        now: f64,
+        now_ms: f64,
         request: RequestId,
         number: AttemptNo,
         backend: BackendId,
         outcome: Outcome,
     ) {
         if let Some(recording) = self.recording.get() {
-            recording.replied(now, request, number, outcome);
+            recording.attempt_ended(now_ms, request, number, outcome);
         }
-        if let Some(place) = self.places.borrow_mut().get_mut(&backend) {
-            place.in_flight = place.in_flight.saturating_sub(1);
-            let wrong = [Outcome::Error, Outcome::Timeout, Outcome::ConnectFailed, Outcome::Reset];
-            place.tally.errors += u64::from(wrong.contains(&outcome));
+        if let Some(observed) = self.backends.borrow_mut().get_mut(&backend) {
+            observed.in_flight = observed.in_flight.saturating_sub(1);
+            let errors = [Outcome::Error, Outcome::Timeout, Outcome::ConnectFailed, Outcome::Reset];
+            observed.tally.errors += u64::from(errors.contains(&outcome));
         }
     }
 
-    /// A request is over for its client.
-    pub fn request_ended(&self, now: f64, request: RequestId, ending: Ending) {
+    /// A request has ended for its client.
+    pub fn request_ended(&self, now_ms: f64, request: RequestId, ending: Ending) {
         if let Some(recording) = self.recording.get() {
-            recording.ended(now, request, ending);
+            recording.request_ended(now_ms, request, ending);
         }
     }
 
     /// The calls counted since the last time, by backend.
-    pub fn drain(&self) -> BTreeMap<String, Tally> {
-        let mut places = self.places.borrow_mut();
-        places
+    pub fn drain_tallies(&self) -> BTreeMap<String, Tally> {
+        let mut backends = self.backends.borrow_mut();
+        backends
             .values_mut()
-            .map(|place| (place.listed.host.clone(), std::mem::take(&mut place.tally)))
+            .map(|backend| (backend.listed.host.clone(), std::mem::take(&mut backend.tally)))
             .collect()
     }
 }
--- a/src/bin/proxy/recorder.rs
+++ b/src/bin/proxy/recorder.rs
@@ -1,5 +1,8 @@
-//! Hosts the library's recorder: gives it the clock, and brings its segments to a registry. Nothing here is awaited by a
-//! request: segments are cut from time to time, encoded on a thread of their own, and the oldest go where none takes them.
+//! Hosts the library's recorder: gives it the clock, and sends its segments to a registry.
+//!
+//! Acts where `record` is configured: at each sampled request, and on a timer that cuts segments. Owns the recorder and the
+//! segments that wait for a registry. No request waits for it: segments are encoded on a thread of their own, and the oldest
+//! are dropped where no registry accepts them.
 
 use hyper::Method;
 use load_balancer::client::registry::{Call, Fault, PAUSES, Rotation, call};
@@ -21,12 +24,12 @@
 use tokio::time::sleep;
 use tracing::{info, warn};
 
-/// How often it is looked whether a segment is due.
-const LOOK: Duration = Duration::from_millis(250);
-/// Segments that wait for a registry. One more and the oldest goes.
-const WAITING: usize = 4;
-/// Longest answer to a segment.
-const MAX_ANSWER: usize = 64 << 10;
+/// How often it is checked whether a segment is due.
+const CUT_INTERVAL: Duration = Duration::from_millis(250);
+/// Most segments that wait for a registry. One more, and the oldest is dropped.
+const MAX_WAITING: usize = 4;
+/// Longest answer to a segment, bytes.
+const MAX_ANSWER_BYTES: usize = 64 << 10;
 
 /// What is recorded.
 #[derive(Deserialize, Clone, Debug)]
@@ -59,16 +62,16 @@
     }
 }
 
-/// What has become of the segments.
+/// What became of the segments.
 #[derive(Default, Clone, Copy)]
 struct Shipped {
     segments: u64,
     bytes: u64,
-    /// Gone for want of a registry, or turned down there: gaps in the numbers say so to whoever reads them.
+    /// Dropped for want of a registry, or rejected there: gaps in the segments' numbers show it to their readers.
     lost: u64,
 }
 
-/// The recorder, and its segments on their way.
+/// The recorder, and the segments that wait for a registry.
 pub struct Recording {
     recorder: RefCell<Recorder>,
     waiting: RefCell<VecDeque<Segment>>,
@@ -78,8 +81,8 @@
 }
 
 impl Recording {
-    /// Records from Unix time `now` on; `text` are the settings in the platform's form.
-    pub fn new(settings: &Settings, who: &Identity, text: String, now: f64, traffic: Traffic) -> Rc<Self> {
+    /// Records from Unix time `now_ms` on; `text` are the settings in the platform's form.
+    pub fn new(settings: &Settings, who: &Identity, text: String, now_ms: f64, traffic: Traffic) -> Rc<Self> {
         let about = About {
             name: who.name().to_string(),
             generation: who.generation(),
@@ -89,45 +92,50 @@
             traces: settings.traces,
             span_ms: settings.segment_ms as f64,
         };
-        let recorder = RefCell::new(Recorder::new(about, now));
-        let (waiting, ready, shipped) = (RefCell::default(), Notify::new(), Cell::default());
-        Rc::new(Recording { recorder, waiting, ready, shipped, traffic })
+        let recorder = RefCell::new(Recorder::new(about, now_ms));
+        Rc::new(Recording {
+            recorder,
+            waiting: RefCell::default(),
+            ready: Notify::new(),
+            shipped: Cell::default(),
+            traffic,
+        })
     }
 
-    /// A request came.
-    pub fn arrived(&self, now: f64, id: &[u8], arrival: &Arrival, patience: Duration) {
+    /// A request was admitted.
+    pub fn request_arrived(&self, now_ms: f64, id: &[u8], arrival: &Arrival, client_timeout: Duration) {
         let recorder = &mut *self.recorder.borrow_mut();
         if let Some(hash) = recorder.sampled(id) {
-            recorder.arrived(now, hash, arrival, patience.as_secs_f64() * 1000.0);
+            recorder.arrived(now_ms, hash, arrival, client_timeout.as_secs_f64() * 1000.0);
         }
     }
 
-    /// A call goes out beside so many others.
-    pub fn sent(&self, now: f64, request: RequestId, backend: BackendId, others: u32) {
-        self.recorder.borrow_mut().sent(now, request, backend, others);
+    /// An attempt starts while so many others are in flight to its backend.
+    pub fn attempt_sent(&self, now_ms: f64, request: RequestId, backend: BackendId, others: u32) {
+        self.recorder.borrow_mut().sent(now_ms, request, backend, others);
     }
 
-    /// A call is over.
-    pub fn replied(&self, now: f64, request: RequestId, number: AttemptNo, outcome: Outcome) {
-        self.recorder.borrow_mut().closed(now, request, number, reply(outcome));
+    /// An attempt has ended.
+    pub fn attempt_ended(&self, now_ms: f64, request: RequestId, number: AttemptNo, outcome: Outcome) {
+        self.recorder.borrow_mut().closed(now_ms, request, number, recorded(outcome));
     }
 
-    /// A request is over for its client.
-    pub fn ended(&self, now: f64, request: RequestId, ending: Ending) {
-        self.recorder.borrow_mut().ended(now, request, ending);
+    /// A request has ended for its client.
+    pub fn request_ended(&self, now_ms: f64, request: RequestId, ending: Ending) {
+        self.recorder.borrow_mut().ended(now_ms, request, ending);
     }
 
-    /// Another table is in force.
-    pub fn table(&self, now: f64, revision: u64) {
-        let cut = self.recorder.borrow_mut().table(now, revision);
-        self.keep(cut);
+    /// A new table is in force.
+    pub fn table_applied(&self, now_ms: f64, revision: u64) {
+        let cut = self.recorder.borrow_mut().table(now_ms, revision);
+        self.enqueue(cut);
     }
 
-    /// Another list is held.
-    pub fn list(&self, now: f64, version: u64, listed: impl Iterator<Item = (BackendId, Listed)>) {
+    /// A new list is in use.
+    pub fn list_applied(&self, now_ms: f64, version: u64, listed: impl Iterator<Item = (BackendId, Listed)>) {
         let recorder = &mut *self.recorder.borrow_mut();
         let before = recorder.left_out();
-        let cut = recorder.list(now, version, listed);
+        let cut = recorder.list(now_ms, version, listed);
         let left_out = recorder.left_out();
         if left_out > 0 && before == 0 {
             warn!(
@@ -135,19 +143,19 @@
                  as dropped; have this proxy's discovery list its own service only"
             );
         }
-        self.keep(cut);
+        self.enqueue(cut);
     }
 
-    /// What has become of the segments, for operators.
+    /// What became of the segments, for operators.
     pub fn page(&self) -> Value {
         let Shipped { segments, bytes, lost } = self.shipped.get();
         json!({"segments": segments, "bytes": bytes, "lost": lost, "waiting": self.waiting.borrow().len()})
     }
 
-    fn keep(&self, segment: Option<Segment>) {
+    fn enqueue(&self, segment: Option<Segment>) {
         let Some(segment) = segment else { return };
         let waiting = &mut *self.waiting.borrow_mut();
-        if waiting.len() >= WAITING {
+        if waiting.len() >= MAX_WAITING {
             waiting.pop_front();
             self.count(|s| s.lost += 1);
         }
@@ -161,17 +169,17 @@
         self.shipped.set(shipped);
     }
 
-    /// Cuts segments for ever.
-    pub async fn cut(self: Rc<Self>, now: impl Fn() -> f64) {
+    /// Cuts segments for as long as the process runs.
+    pub async fn cut_segments(self: Rc<Self>, now: impl Fn() -> f64) {
         loop {
-            sleep(LOOK).await;
+            sleep(CUT_INTERVAL).await;
             let cut = self.recorder.borrow_mut().cut(now());
-            self.keep(cut);
+            self.enqueue(cut);
         }
     }
 
-    /// Brings segments to a registry for ever, wherever the registries move to.
-    pub async fn ship(self: Rc<Self>, mut registries: watch::Receiver<Vec<SocketAddr>>) {
+    /// Sends segments to a registry for as long as the process runs, also when the registries' addresses change.
+    pub async fn ship_segments(self: Rc<Self>, mut registries: watch::Receiver<Vec<SocketAddr>>) {
         loop {
             let at = registries.borrow_and_update().clone();
             tokio::select! {
@@ -182,7 +190,8 @@
     }
 
     async fn ship_to(&self, registries: Vec<SocketAddr>) {
-        let (mut source, mut link) = (Rotation::new("record", registries, PAUSES), None);
+        let mut source = Rotation::new("record", registries, PAUSES);
+        let mut link = None;
         loop {
             let Some(segment) = self.waiting.borrow_mut().pop_front() else {
                 self.ready.notified().await;
@@ -200,15 +209,16 @@
                     path: "/registry/traces",
                     body: bytes.clone(),
                     wait: Duration::ZERO,
-                    max_answer: MAX_ANSWER,
+                    max_answer: MAX_ANSWER_BYTES,
                 };
                 match call(&mut link, source.address(), put, &self.traffic).await {
                     Ok(_) => {
                         if source.answered() {
                             info!("record: {} takes segments, on from {number}", source.address());
                         }
-                        self.count(|s| {
-                            (s.segments, s.bytes) = (s.segments + 1, s.bytes + bytes.len() as u64)
+                        self.count(|shipped| {
+                            shipped.segments += 1;
+                            shipped.bytes += bytes.len() as u64;
                         });
                         break;
                     }
@@ -222,8 +232,8 @@
                     Err(fault) => {
                         link = None;
                         sleep(source.failed(&fault)).await;
-                        // Newer ones are worth more.
-                        if self.waiting.borrow().len() >= WAITING {
+                        // Newer segments are more useful.
+                        if self.waiting.borrow().len() >= MAX_WAITING {
                             self.count(|s| s.lost += 1);
                             break;
                         }
@@ -234,8 +244,8 @@
     }
 }
 
-/// The recorder's word for an outcome.
-fn reply(outcome: Outcome) -> Reply {
+/// An outcome as the recorder knows it.
+fn recorded(outcome: Outcome) -> Reply {
     match outcome {
         Outcome::Ok => Reply::Ok,
         Outcome::Error => Reply::Error,
--- a/src/bin/proxy/route_table/mod.rs
+++ b/src/bin/proxy/route_table/mod.rs
@@ -1,4 +1,6 @@
-//! The route table in this program: the proxy that it acts on, and its start beside the recording's.
+//! The route table in this program: the proxy that it acts on, and the start of its tasks and the recorder's.
+//!
+//! Acts only where `routes` or `record` is configured.
 
 mod proxy;
 mod start;
--- a/src/bin/proxy/route_table/proxy.rs
+++ b/src/bin/proxy/route_table/proxy.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The engine, and what is counted about it.
+/// The engine, and what is counted of its calls.
 pub(super) struct ObservedEngine {
     pub(super) engine: Rc<Engine>,
     pub(super) observer: Rc<Observer>,
@@ -21,9 +21,9 @@
     }
 
     fn weights(&self) -> BTreeMap<String, f64> {
-        let names = self.observer.names();
-        let in_force = self.engine.weights_in_force().into_iter();
-        in_force.filter_map(|(id, weight)| Some((names.get(&id)?.clone(), weight))).collect()
+        let hosts = self.observer.hosts();
+        let weights = self.engine.weights_in_force().into_iter();
+        weights.filter_map(|(id, weight)| Some((hosts.get(&id)?.clone(), weight))).collect()
     }
 
     fn digest(&self) -> String {
@@ -31,9 +31,9 @@
     }
 
     fn left_out(&self) -> BTreeMap<String, LeftOut> {
-        let names = self.observer.names();
-        let standings = self.engine.left_out().into_iter();
-        standings.filter_map(|(id, why)| Some((names.get(&id)?.clone(), why?))).collect()
+        let hosts = self.observer.hosts();
+        let left_out = self.engine.left_out().into_iter();
+        left_out.filter_map(|(id, reason)| Some((hosts.get(&id)?.clone(), reason?))).collect()
     }
 
     fn list_version(&self) -> u64 {
@@ -41,7 +41,7 @@
     }
 
     fn drain_calls(&self) -> BTreeMap<String, Tally> {
-        self.observer.drain()
+        self.observer.drain_tallies()
     }
 
     fn totals(&self) -> Totals {
--- a/src/bin/proxy/route_table/start.rs
+++ b/src/bin/proxy/route_table/start.rs
@@ -1,4 +1,6 @@
-//! Starts what is configured of the routing and the recording.
+//! Starts the tasks of the route table and the recorder, as far as they are configured.
+//!
+//! Acts once, at the start. Owns nothing: the tasks hold what they need.
 
 use super::proxy::ObservedEngine;
 use crate::config::Config;
@@ -14,48 +16,57 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// Connections that these may hold: a watch, a report and a segment, and the next of each.
+/// Descriptors that these tasks may need: connections for a watch, a report and a segment, and for the next of each.
 pub const DESCRIPTORS: usize = 6;
 
-/// What they need of the rest.
+/// What these tasks need of the rest of the program.
 pub struct Parts<'a> {
-    /// Decides.
+    /// Has the weights.
     pub engine: &'a Rc<Engine>,
     /// Counts requests.
     pub counters: &'a Rc<Counters>,
-    /// The tier's proxies, where they tell each other.
+    /// The proxies of the tier, where membership is configured.
     pub membership: &'a Option<Rc<Membership>>,
-    /// Where discovery answers now.
+    /// Discovery's addresses.
     pub discovery: &'a watch::Receiver<Vec<SocketAddr>>,
-    /// Counts what all this says and hears.
+    /// Counts the bytes sent and received.
     pub traffic: &'a Traffic,
 }
 
-/// Starts them.
+/// Starts the tasks.
 pub fn start(
     config: &Config,
     observer: &Rc<Observer>,
     parts: Parts,
 ) -> (Option<Rc<Routes>>, Option<Rc<Recording>>) {
-    let (site, engine) = (&config.facts.site, parts.engine);
-    let zone = site.zones.get(usize::from(config.facts.settings.zone)).cloned().unwrap_or_default();
-    let who = Identity::new(config.name.clone(), zone, parts.membership.clone());
-    let named = config.routes.as_ref().map(|r| r.registries.clone()).filter(|all| !all.is_empty());
-    // Those that the file names stay: no more comes over this channel.
-    let registries = named.map_or_else(|| parts.discovery.clone(), |all| watch::channel(all).1);
+    let site = &config.platform.site;
+    let engine = parts.engine;
+    let zone = site.zones.get(usize::from(config.platform.settings.zone)).cloned().unwrap_or_default();
+    let identity = Identity::new(config.name.clone(), zone, parts.membership.clone());
+    let configured = config.routes.as_ref().map(|r| r.registries.clone()).filter(|all| !all.is_empty());
+    // Configured addresses are fixed: nothing more is sent on this channel.
+    let registries = configured.map_or_else(|| parts.discovery.clone(), |all| watch::channel(all).1);
     let recording = config.record.as_ref().map(|settings| {
-        let recording =
-            Recording::new(settings, &who, config.text.clone(), engine.now_ms(), parts.traffic.clone());
-        observer.record(engine.now_ms(), recording.clone());
+        let recording = Recording::new(
+            settings,
+            &identity,
+            config.settings_text.clone(),
+            engine.now_ms(),
+            parts.traffic.clone(),
+        );
+        observer.start_recording(engine.now_ms(), recording.clone());
         let clock = engine.clone();
-        spawn_local(recording.clone().cut(move || clock.now_ms()));
-        spawn_local(recording.clone().ship(registries.clone()));
+        spawn_local(recording.clone().cut_segments(move || clock.now_ms()));
+        spawn_local(recording.clone().ship_segments(registries.clone()));
         recording
     });
     let routes = config.routes.as_ref().map(|settings| {
-        let (engine, observer, counters) = (engine.clone(), observer.clone(), parts.counters.clone());
-        let proxy = Box::new(ObservedEngine { engine, observer, counters });
-        let routes = Routes::new(settings, who, proxy, parts.traffic.clone());
+        let proxy = Box::new(ObservedEngine {
+            engine: engine.clone(),
+            observer: observer.clone(),
+            counters: parts.counters.clone(),
+        });
+        let routes = Routes::new(settings, identity, proxy, parts.traffic.clone());
         spawn_local(routes.clone().follow(registries));
         spawn_local(routes.clone().report());
         routes
--- /dev/null
+++ b/src/bin/proxy/startup/core_parts.rs
@@ -0,0 +1,75 @@
+//! The parts that live as long as the process, made in the order in which they need each other.
+
+use crate::body::Room;
+use crate::config::Config;
+use crate::counters::Counters;
+use crate::engine::{Engine, millis};
+use crate::error::Error;
+use crate::lifecycle::Lifecycle;
+use crate::observer::Observer;
+use crate::upstream::{Limits, Pool};
+use load_balancer::client::traffic::Traffic;
+use load_balancer::interface::ListKind;
+use std::rc::Rc;
+use tokio::sync::watch;
+
+/// Bodies are buffered in at most this part of the memory; a process that replaces this one needs as much at the same time.
+const BODY_MEMORY_PART: usize = 4;
+
+/// Whether calls are observed, for route reports or recordings.
+pub(super) fn is_observed(config: &Config) -> bool {
+    config.routes.is_some() || config.record.is_some()
+}
+
+/// The parts that all others need.
+pub(super) struct Core {
+    pub(super) counters: Rc<Counters>,
+    /// How many processes serve this address.
+    pub(super) processes: watch::Sender<u32>,
+    /// Budget of the bodies that are buffered.
+    pub(super) room: Rc<Room>,
+    pub(super) pool: Rc<Pool>,
+    pub(super) observer: Option<Rc<Observer>>,
+    pub(super) engine: Rc<Engine>,
+    /// Whether the module wants discovery to push changes.
+    pub(super) watch_wanted: watch::Receiver<bool>,
+    pub(super) lifecycle: Rc<Lifecycle>,
+    pub(super) traffic: Traffic,
+}
+
+impl Core {
+    /// Makes the parts, and gives the engine the list of endpoints that this proxy had before.
+    pub(super) fn new(config: &mut Config, usable_descriptors: usize) -> Result<Self, Error> {
+        let site = &config.platform.site;
+        let counters = Counters::new(site.classes.clone());
+        let processes = watch::Sender::new(1);
+        let limits = Limits {
+            connections: usable_descriptors / 2,
+            processes: processes.subscribe(),
+            connect: millis(site.connect_timeout_ms),
+            idle: millis(site.connection_idle_ms),
+            drain_grace: millis(site.drain_grace_ms),
+            may_duplicate: site.may_hedge,
+        };
+        let room = Room::new(config.memory / BODY_MEMORY_PART);
+        let pool = Rc::new(Pool::new(limits, counters.attempts(), room.clone()));
+        let (watch_wanted_sender, watch_wanted) = watch::channel(false);
+        let observer = is_observed(config).then(Observer::new);
+        let platform = config.platform.clone();
+        let engine = Engine::new(platform, config.seed, pool.clone(), watch_wanted_sender, observer.clone())?;
+        let (version, hosts) =
+            config.cached_list.take().map(|page| (page.seq, page.entries().0)).unwrap_or_default();
+        engine.apply_list(ListKind::Cached, version, hosts);
+        Ok(Core {
+            counters,
+            processes,
+            room,
+            pool,
+            observer,
+            engine,
+            watch_wanted,
+            lifecycle: Rc::new(Lifecycle::new()),
+            traffic: Traffic::default(),
+        })
+    }
+}
--- a/tests/unit/proxy/downstream.rs
+++ b/tests/unit/proxy/downstream.rs
@@ -16,8 +16,8 @@
 const SILENT_PEER: Duration = Duration::from_secs(3);
 
 fn downstream() -> Rc<Downstream> {
-    let settings = load_balancer::platform_settings::parse(settings().to_string().as_bytes()).expect("sound");
-    let (counters, room) = (Counters::new(settings.site.classes.clone()), Room::new(1 << 20));
+    let platform = load_balancer::platform_settings::parse(settings().to_string().as_bytes()).expect("sound");
+    let (counters, room) = (Counters::new(platform.site.classes.clone()), Room::new(1 << 20));
     let processes = watch::Sender::new(1);
     let limits = Limits {
         connections: 8,
@@ -28,12 +28,12 @@
         may_duplicate: true,
     };
     let pool = Rc::new(Pool::new(limits, counters.attempts(), room.clone()));
-    let engine = Engine::new(settings.clone(), 1, pool, watch::Sender::new(false), None).expect("sound");
+    let engine = Engine::new(platform.clone(), 1, pool, watch::Sender::new(false), None).expect("sound");
     let (lifecycle, open) = (Rc::new(Lifecycle::new()), Cell::new(0));
     lifecycle.begin();
     Rc::new(Downstream {
         engine,
-        settings,
+        platform,
         counters,
         lifecycle,
         connections: 8,
--- a/tests/unit/proxy/paused/program.rs
+++ b/tests/unit/proxy/paused/program.rs
@@ -37,7 +37,7 @@
         let args = Args::try_parse_from(args).expect("a command line");
         let loaded = load_from(Origin::Platform(path.clone()), args);
         std::fs::remove_file(&path).expect("it is there");
-        let running = spawn_local(crate::run(loaded.expect("a configuration")));
+        let running = spawn_local(crate::startup::run(loaded.expect("a configuration")));
         while TcpStream::connect(addr).await.is_err() {
             assert!(!running.is_finished(), "it runs");
             yield_now().await;
