--- a/src/bin/proxy/config/mod.rs
+++ b/src/bin/proxy/config/mod.rs
@@ -121,49 +121,71 @@
     if let Some(what) = check::first_error(file.limits.sockets, &platform) {
         return Err(Error::Value(what));
     }
-    if let Some(why) = file.discovery_backoff.as_ref().and_then(Backoff::invalid) {
-        return Err(Error::Value(format!("discovery_backoff.{why}")));
-    }
-    if let Some(why) = file.membership.as_ref().and_then(membership::Settings::invalid) {
-        return Err(Error::Value(format!("membership.{why}")));
-    }
-    if let Some(why) = file.routes.as_ref().and_then(route_table::Settings::invalid) {
-        return Err(Error::Value(format!("routes.{why}")));
-    }
-    if let Some(why) = file.record.as_ref().and_then(recorder::Settings::invalid) {
-        return Err(Error::Value(format!("record.{why}")));
-    }
+    let File { discovery_backoff, membership, routes, record, .. } = file;
+    check_sections(&discovery_backoff, &membership, &routes, &record)?;
     let listen = address("listen", listen.or(file.listen))?;
-    let name = match file.routes.is_some() || file.record.is_some() {
-        true => {
-            let own = file.routes.as_ref().and_then(|r| r.name.as_deref());
-            let member = file.membership.as_ref().and_then(|m| m.name.as_deref());
-            route_table::named(own, member, listen).map_err(|why| Error::Value(format!("routes.{why}")))?
-        }
-        false => String::new(),
-    };
+    let name = proxy_name(&membership, &routes, &record, listen)?;
     let service = file.service.map(service).transpose()?;
     let ops = ops.or(file.ops).map(|text| address("ops", Some(text))).transpose()?;
     Ok(Config {
         ops,
         listen,
         service,
-        discovery_backoff: file.discovery_backoff,
+        discovery_backoff,
         discovery: addresses(discovery.or(file.discovery))?,
         seed: u64::from_str_radix(&file.seed, 16)?,
         sockets: file.limits.sockets,
         memory: file.limits.memory_mb.saturating_mul(1 << 20),
         cached_list: file.known,
         platform,
-        membership: file.membership,
-        routes: file.routes,
-        record: file.record,
+        membership,
+        routes,
+        record,
         name,
         settings_text,
         origin,
     })
 }
 
+/// Checks the sections that check themselves; an error names the section.
+fn check_sections(
+    discovery_backoff: &Option<Backoff>,
+    membership: &Option<membership::Settings>,
+    routes: &Option<route_table::Settings>,
+    record: &Option<recorder::Settings>,
+) -> Result<(), Error> {
+    let invalid = |section, why| Err(Error::Value(format!("{section}.{why}")));
+    if let Some(why) = discovery_backoff.as_ref().and_then(Backoff::invalid) {
+        return invalid("discovery_backoff", why);
+    }
+    if let Some(why) = membership.as_ref().and_then(membership::Settings::invalid) {
+        return invalid("membership", why);
+    }
+    if let Some(why) = routes.as_ref().and_then(route_table::Settings::invalid) {
+        return invalid("routes", why);
+    }
+    if let Some(why) = record.as_ref().and_then(recorder::Settings::invalid) {
+        return invalid("record", why);
+    }
+    Ok(())
+}
+
+/// The name of this proxy in route reports and recordings: that of `routes`, else that of `membership`, else one made of the
+/// address; empty where neither reports nor recordings are configured.
+fn proxy_name(
+    membership: &Option<membership::Settings>,
+    routes: &Option<route_table::Settings>,
+    record: &Option<recorder::Settings>,
+    listen: SocketAddr,
+) -> Result<String, Error> {
+    if routes.is_none() && record.is_none() {
+        return Ok(String::new());
+    }
+    let own = routes.as_ref().and_then(|r| r.name.as_deref());
+    let member = membership.as_ref().and_then(|m| m.name.as_deref());
+    route_table::named(own, member, listen).map_err(|why| Error::Value(format!("routes.{why}")))
+}
+
 /// Discovery's addresses, the preferred one first.
 fn addresses(configured: Option<Addresses>) -> Result<Vec<SocketAddr>, Error> {
     let texts = match configured {
--- a/src/bin/proxy/downstream/connection.rs
+++ b/src/bin/proxy/downstream/connection.rs
@@ -6,16 +6,18 @@
 use super::Downstream;
 use super::handle::RequestSource;
 use super::lingering_close::LingeringClose;
-use super::respond::{closing, plain};
+use super::respond::{Reply, closing, plain};
 use crate::body;
 use crate::io::{ClientStream, Watched};
-use hyper::StatusCode;
+use hyper::body::Incoming;
 use hyper::server::conn::http1;
-use hyper::service::service_fn;
+use hyper::service::{Service, service_fn};
+use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioTimer;
 use std::cell::Cell;
+use std::convert::Infallible;
 use std::future::ready;
-use std::pin::pin;
+use std::pin::{Pin, pin};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpStream;
@@ -34,6 +36,9 @@
 /// A connection that has ended our side and only awaits the client's is dropped after so long: a round trip or two.
 pub(super) const CLOSED_GRACE: Duration = Duration::from_millis(100);
 
+/// A client's connection as the HTTP library serves it.
+type ClientConnection<S> = http1::Connection<Watched<LingeringClose<ClientStream>>, S>;
+
 /// Why idle connections are asked to close.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum IdleCloseReason {
@@ -97,7 +102,7 @@
     pub(super) async fn serve_connection(
         self: Rc<Self>,
         stream: TcpStream,
-        mut idle_close: watch::Receiver<IdleCloseReason>,
+        idle_close: watch::Receiver<IdleCloseReason>,
         over_limit: bool,
     ) {
         if stream.set_nodelay(true).is_err() {
@@ -129,7 +134,18 @@
             .header_read_timeout(HEAD_TIMEOUT)
             .max_buf_size(body::BUFFER)
             .serve_connection(stream, service);
-        let mut connection = pin!(connection);
+        self.drive(pin!(connection), &activity, idle_close).await;
+    }
+
+    /// Drives a connection until it is closed: by the client, by the HTTP library, or because it is idle or the process drains.
+    async fn drive<S>(
+        &self,
+        mut connection: Pin<&mut ClientConnection<S>>,
+        activity: &Activity,
+        mut idle_close: watch::Receiver<IdleCloseReason>,
+    ) where
+        S: Service<Request<Incoming>, Response = Reply, Error = Infallible>,
+    {
         let mut idle_check = pin!(sleep(FIRST_REQUEST_TIMEOUT));
         let mut released = pin!(self.lifecycle.released());
         loop {
--- a/src/bin/proxy/downstream/handle.rs
+++ b/src/bin/proxy/downstream/handle.rs
@@ -7,7 +7,7 @@
 use super::respond::{Reply, closing, plain, respond};
 use crate::body::{Flow, Rest};
 use crate::counters::RequestRecord;
-use crate::engine::{AdmittedRequest, ParsedRequest, RequestEnd};
+use crate::engine::{AdmittedRequest, NotAdmitted, ParsedRequest, RequestEnd};
 use crate::io::{Client, Progress};
 use crate::upstream::UpstreamResponse;
 use hyper::body::{Body, Incoming};
@@ -130,10 +130,10 @@
 }
 
 /// Waits for the end of a request that was or was not admitted.
-async fn ended(admitted: Result<AdmittedRequest, RequestEnd>) -> RequestEnd {
+async fn ended(admitted: Result<AdmittedRequest, NotAdmitted>) -> RequestEnd {
     match admitted {
         Ok(request) => request.ended().await,
-        Err(end) => end,
+        Err(NotAdmitted) => RequestEnd::Rejected { retry_after: None },
     }
 }
 
--- a/src/bin/proxy/engine/admit.rs
+++ b/src/bin/proxy/engine/admit.rs
@@ -7,8 +7,8 @@
 use super::request::{AnswerState, CallerGuard, ParsedRequest, PendingRequest, RequestEnd, backstop};
 use super::state::hash;
 use crate::body::{Flow, Rest};
-use crate::upstream::{DEADLINE_MARGIN, deadline_margin};
-use load_balancer::interface::{Arrival, Event, Idempotency};
+use crate::upstream::{DEADLINE_MARGIN, UpstreamRequest, deadline_margin};
+use load_balancer::interface::{Arrival, Event, Idempotency, RequestId};
 use load_balancer::replay::Ending;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -26,15 +26,20 @@
     remaining_body: Option<Rc<Rest>>,
 }
 
+/// A request that the module never had: too many are open, or the process stops and no time is left for an attempt.
+#[derive(Debug, thiserror::Error)]
+#[error("not admitted")]
+pub struct NotAdmitted;
+
 impl Engine {
-    /// Hands a request to the module, or says why it is not admitted.
-    pub fn admit(self: &Rc<Self>, request: ParsedRequest) -> Result<AdmittedRequest, RequestEnd> {
+    /// Hands a request to the module, unless it must not be admitted.
+    pub fn admit(self: &Rc<Self>, request: ParsedRequest) -> Result<AdmittedRequest, NotAdmitted> {
         let ParsedRequest { call, class, tenant, key, received_at, client_timeout } = request;
         // Guards against requests that are sent and then lost at the kill: with no time left for an attempt it is rejected,
         // and the client may send it to another proxy without harm.
         let too_late = |last: Instant| last.saturating_duration_since(received_at) <= DEADLINE_MARGIN;
         if self.last_answer_at.get().is_some_and(too_late) {
-            return Err(RequestEnd::Rejected { retry_after: None });
+            return Err(NotAdmitted);
         }
         let remaining_body = call.rest.clone();
         let deadline_ms = match &remaining_body {
@@ -44,23 +49,7 @@
         };
         let trace_id = self.observer.as_ref().map(|_| call.id.clone());
         let (answer, end) = oneshot::channel();
-        let request = {
-            let s = &mut *self.state.borrow_mut();
-            if s.requests.len() >= self.platform.site.max_open_requests {
-                return Err(RequestEnd::Rejected { retry_after: None });
-            }
-            let id = s.next_request_id;
-            s.next_request_id += 1;
-            let pending = PendingRequest {
-                call: Rc::new(call),
-                answer: AnswerState::Pending(answer),
-                attempts: Vec::new(),
-                dedup_window: self.dedup_window(class),
-                first_sent_at: None,
-            };
-            s.requests.insert(id, pending);
-            id
-        };
+        let request = self.add_pending(call, class, answer)?;
         let caller = CallerGuard { engine: self.clone(), request, ending: Cell::new(Ending::Left) };
         let arrival = Arrival {
             request,
@@ -75,6 +64,30 @@
         Ok(AdmittedRequest { caller, end, received_at, client_timeout, remaining_body })
     }
 
+    /// Keeps a request until its end; its id. Rejects it where too many are open.
+    fn add_pending(
+        &self,
+        call: UpstreamRequest,
+        class: u16,
+        answer: oneshot::Sender<RequestEnd>,
+    ) -> Result<RequestId, NotAdmitted> {
+        let s = &mut *self.state.borrow_mut();
+        if s.requests.len() >= self.platform.site.max_open_requests {
+            return Err(NotAdmitted);
+        }
+        let id = s.next_request_id;
+        s.next_request_id += 1;
+        let pending = PendingRequest {
+            call: Rc::new(call),
+            answer: AnswerState::Pending(answer),
+            attempts: Vec::new(),
+            dedup_window: self.dedup_window(class),
+            first_sent_at: None,
+        };
+        s.requests.insert(id, pending);
+        Ok(id)
+    }
+
     /// How long a client that waits from `from` on may be kept waiting: its own time, or less where the process stops.
     fn time_allowed(&self, from: Instant, client_timeout: Duration) -> Duration {
         let last_answer_at = self.last_answer_at.get();
--- a/src/bin/proxy/engine/clock.rs
+++ b/src/bin/proxy/engine/clock.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// The longest time that is told apart: a later instant counts as a day from the start, a longer duration as a day.
+/// The longest time that is represented: a later instant counts as a day from the start, a longer duration as a day.
 const LONGEST_MS: f64 = 86_400_000.0;
 
 /// Milliseconds for the module on a monotonic clock. It starts at the Unix time of the process's start, so that start times
--- a/src/bin/proxy/engine/mod.rs
+++ b/src/bin/proxy/engine/mod.rs
@@ -13,7 +13,7 @@
 mod request;
 mod state;
 
-pub use admit::AdmittedRequest;
+pub use admit::{AdmittedRequest, NotAdmitted};
 pub use clock::millis;
 pub use list::ListedEngine;
 pub use request::{ParsedRequest, RequestEnd};
--- a/src/bin/proxy/lifecycle.rs
+++ b/src/bin/proxy/lifecycle.rs
@@ -23,8 +23,8 @@
 /// How long after SIGTERM all must be answered, where clients wait for `longest_client_timeout` at most. Zero stands for a
 /// timeout that the settings do not tell, and counts as a long one.
 pub fn time_to_last_answer(longest_client_timeout: Duration) -> Duration {
-    let told = Some(longest_client_timeout).filter(|timeout| !timeout.is_zero());
-    let counted = told.map_or(MAX_CLIENT_TIMEOUT_AT_STOP, |timeout| timeout.min(MAX_CLIENT_TIMEOUT_AT_STOP));
+    let known = Some(longest_client_timeout).filter(|timeout| !timeout.is_zero());
+    let counted = known.map_or(MAX_CLIENT_TIMEOUT_AT_STOP, |timeout| timeout.min(MAX_CLIENT_TIMEOUT_AT_STOP));
     counted + ANSWER_GRACE
 }
 
--- a/src/bin/proxy/ops.rs
+++ b/src/bin/proxy/ops.rs
@@ -91,7 +91,7 @@
                 "NAK too many callers".to_string()
             }
         };
-        // A caller that has left or does not read has no use for the answer.
+        // An error or a timeout means that the caller has left or does not read: the connection closes in any case.
         let _ = timeout(CALL_TIMEOUT, async {
             stream.write_all(format!("{answer}\n").as_bytes()).await?;
             stream.shutdown().await
