--- a/tests/compatibility/main.rs
+++ b/tests/compatibility/main.rs
@@ -8,6 +8,7 @@
 mod registry_store;
 #[path = "../replay_rig/mod.rs"]
 mod replay_rig;
+mod route_records;
 #[path = "../routes_rig/mod.rs"]
 mod routes_rig;
 mod segments;
