--- a/tests/compatibility/main.rs
+++ b/tests/compatibility/main.rs
@@ -5,6 +5,7 @@
 mod registry_pages;
 #[path = "../registry_rig/mod.rs"]
 mod registry_rig;
+mod registry_settings;
 mod registry_store;
 #[path = "../replay_rig/mod.rs"]
 mod replay_rig;
