--- a/src/balancer/platform_settings.rs
+++ b/src/balancer/platform_settings.rs
@@ -91,11 +91,13 @@
     #[serde(default)]
     name: String,
     #[serde(deserialize_with = "figure")]
-    aim: f64,
+    #[serde(rename = "aim")]
+    latency_objective_ms: f64,
     #[serde(default, deserialize_with = "figure")]
     give_up: f64,
     #[serde(deserialize_with = "figure")]
-    points: f64,
+    #[serde(rename = "points")]
+    priority_weight: f64,
     semantics: Semantics,
     group: DedupScope,
     #[serde(deserialize_with = "figure")]
@@ -135,8 +137,10 @@
     cancelling: bool,
     retry_after: bool,
     #[serde(deserialize_with = "figure")]
-    max_retry_after: f64,
-    try_limit: u32,
+    #[serde(rename = "maxRetryAfter")]
+    max_retry_after_ms: f64,
+    #[serde(rename = "tryLimit")]
+    max_attempts: u32,
     #[serde(default)]
     open_cap: usize,
     #[serde(default)]
@@ -170,7 +174,8 @@
 #[serde(rename_all = "camelCase", default)]
 struct Goal {
     #[serde(deserialize_with = "figure")]
-    worst_class: f64,
+    #[serde(rename = "worstClass")]
+    worst_class_weight: f64,
 }
 
 #[derive(Deserialize, Default)]
@@ -203,8 +208,8 @@
         longest_client_timeout_ms: f.classes.iter().map(|c| c.give_up).fold(0.0, f64::max),
     };
     let class = |c: Class| api::Class {
-        latency_objective_ms: c.aim,
-        priority_weight: c.points,
+        latency_objective_ms: c.latency_objective_ms,
+        priority_weight: c.priority_weight,
         in_order: c.fifo_by_key,
         idempotency: match c.semantics {
             Semantics::Retryable => api::Idempotency::Idempotent,
@@ -232,8 +237,8 @@
         caps: api::Caps {
             cancelling: f.caps.cancelling,
             retry_after: f.caps.retry_after,
-            max_retry_after_ms: f.caps.max_retry_after,
-            max_attempts: f.caps.try_limit,
+            max_retry_after_ms: f.caps.max_retry_after_ms,
+            max_attempts: f.caps.max_attempts,
         },
         rules: api::Rules {
             initial_capacity: f.guarantees.cold_from,
@@ -243,7 +248,10 @@
             idle_close_within_ms: f.guarantees.release_within,
             key_settle_ms: f.guarantees.settle_after_doubt,
         },
-        goal: api::Goal { worst_class_weight: f.goal.worst_class, cross_zone_price: f.prices.cross_zone },
+        goal: api::Goal {
+            worst_class_weight: f.goal.worst_class_weight,
+            cross_zone_price: f.prices.cross_zone,
+        },
         list_guard: api::ListGuard::default(),
     };
     Ok(PlatformSettings { settings, site })
--- a/tests/compatibility/membership_frame.rs
+++ b/tests/compatibility/membership_frame.rs
@@ -6,12 +6,12 @@
 use crate::proxy_golden::{golden_bytes, hex, same};
 use crate::rig::{Discovery, Proxy, settings};
 use crate::waits::soon;
+use load_balancer::client::membership::swim::{Dropped, Id, Standing, Swim, Timing};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
-use turnshift::client::membership::swim::{Dropped, Id, Standing, Swim, Timing};
 
 const GENERATION: u64 = 1_764_633_600_000_000;
 
--- a/tests/compatibility/registry_calls.rs
+++ b/tests/compatibility/registry_calls.rs
@@ -9,10 +9,10 @@
 use crate::proxy_traffic::{Asked, Recorder};
 use crate::rig::{Backend, Do, Orders, Proxy, settings};
 use crate::table_rig::table;
+use load_balancer::route_table::{LeftOut, Report, Witness};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use turnshift::routes::{LeftOut, Report, Witness};
 
 struct Scene {
     registry: Recorder,
--- a/tests/compatibility/route_records.rs
+++ b/tests/compatibility/route_records.rs
@@ -6,11 +6,11 @@
 //! too, as values.
 
 use crate::registry_golden::{compare, text};
+use load_balancer::catalog::{SavedService, Update};
+use load_balancer::replay::{Bounds, Verdict};
+use load_balancer::route_table::{Kind, Proposal, Report, RouteRecord, Weights, list_digest, rank};
 use serde::{Serialize, de::DeserializeOwned};
 use serde_json::json;
-use turnshift::catalog::{SavedService, Update};
-use turnshift::replay::{Bounds, Verdict};
-use turnshift::routes::{Kind, Proposal, Report, RouteRecord, Weights, list_digest, rank};
 
 /// Reads each line as one value, and writes it again.
 fn written_alike<T: Serialize + DeserializeOwned>(file: &str) {
--- a/tests/compatibility/segments.rs
+++ b/tests/compatibility/segments.rs
@@ -3,10 +3,10 @@
 //! what is read is held against a text with every value.
 
 use crate::registry_golden::{compare, golden};
+use load_balancer::replay::Segment;
 use rstest::rstest;
 use std::io::Read;
 use std::time::{SystemTime, UNIX_EPOCH};
-use turnshift::replay::Segment;
 
 /// A golden segment of a later process, as if it had ended so long ago.
 pub fn ended_before(file: &str, ago_ms: u64, process: u64) -> Vec<u8> {
