--- a/src/ordered.rs
+++ b/src/balancer/ordered_sum.rs
@@ -1,6 +1,6 @@
 //! Arithmetic over long ordered rows in few steps.
 
-use crate::api::BackendId;
+use crate::interface::BackendId;
 
 /// Where an id is, or would be, among sorted ones, not before `from`; quick if it is near.
 pub fn place_from(ids: &[BackendId], mut from: usize, id: BackendId) -> usize {
@@ -13,8 +13,8 @@
     from + ids[from..end].partition_point(|other| *other < id)
 }
 
-/// A sum over a row of which all but the added are 1, rounded as if all were added one by one: it is the same whichever
-/// of them are told apart.
+/// A sum over a row of which all but the added are 1, rounded as if all were added one by one: it is the same
+/// whichever of them are told apart.
 #[derive(Default, Clone, Copy)]
 pub struct OrderedSum {
     sum: f64,
@@ -52,5 +52,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/ordered.rs"]
+#[path = "../../tests/unit/balancer/ordered_sum.rs"]
 mod tests;
--- a/src/bin/heathroad/counters.rs
+++ b/src/bin/proxy/counters.rs
@@ -1,10 +1,10 @@
 //! What operators are told in figures. Each request and each attempt is counted once, where it ends.
 
+use load_balancer::client::route_table::Totals;
+use load_balancer::interface::Census;
 use serde_json::{Map, Value, json};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
-use turnshift::api::Census;
-use turnshift::client::routes::Totals;
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -101,5 +101,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../tests/unit/heathroad/counters.rs"]
+#[path = "../../../tests/unit/proxy/counters.rs"]
 mod tests;
--- a/src/bin/registry/http/routes.rs
+++ b/src/bin/registry/http/route_table.rs
@@ -4,16 +4,16 @@
 use super::context::Context;
 use super::query::{Watch, watch};
 use super::written::ordered;
-use crate::routes::{Host, RingError};
+use crate::route_table::{Host, RingError};
 use crate::writer::{Fence, Want};
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
+use load_balancer::replay::{BadSegment, MAX_ENCODED};
+use load_balancer::route_table::{DriftPage, Proposal, Report, Revision, StatePage, Weights};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use tokio::time::{Instant, timeout_at};
-use turnshift::replay::{BadSegment, MAX_ENCODED};
-use turnshift::routes::{DriftPage, Proposal, Report, Revision, StatePage, Weights};
 
 /// Longest report, in bytes.
 const MAX_REPORT: usize = 1 << 20;
--- a/src/replay/play.rs
+++ b/src/replay/play.rs
@@ -5,8 +5,8 @@
 use super::quantiles::Luck;
 use super::records::Records;
 use super::tally::Tally;
-use crate::api::{Action, BackendId, Entry, Event, Outcome, Phase};
-use crate::{Balancer, api::ListKind, backend_id};
+use crate::interface::{Action, BackendId, Entry, Event, Outcome, Phase};
+use crate::{Balancer, backend_id, interface::ListKind};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
@@ -137,7 +137,7 @@
             };
             let entries = numbers.iter().enumerate().filter_map(entry).collect();
             let weights = numbers.iter().copied().zip(weights.iter().copied()).collect();
-            play.tell(0.0, i as u32, Event::Weights { weights });
+            play.tell(0.0, i as u32, Event::RouteWeights { weights });
             play.tell(0.0, i as u32, Event::List { kind: ListKind::Full, entries });
             for (nth, (at, _)) in (0..).zip(&p.peers) {
                 play.plan(*at, What::Peers { copy: i as u32, nth });
--- a/tests/replay_rig/mod.rs
+++ b/tests/replay_rig/mod.rs
@@ -5,12 +5,12 @@
 mod fleet;
 
 use fleet::{Fleet, What};
+use load_balancer::interface::*;
+use load_balancer::replay::{About, Bounds, Job, Listed, Peers, Recorder, Segment};
+use load_balancer::route_table::Weights;
+use load_balancer::{Balancer, backend_id};
 use serde_json::json;
 use std::collections::{BTreeMap, BinaryHeap};
-use turnshift::api::*;
-use turnshift::replay::{About, Bounds, Job, Listed, Peers, Recorder, Segment};
-use turnshift::routes::Weights;
-use turnshift::{Balancer, backend_id};
 
 /// Unix time at which the fleet starts, ms.
 pub const START: f64 = 1.8e12;
@@ -112,7 +112,7 @@
         };
         for copy in 0..self.proxies {
             let text = if self.ranked { settings(0, self.proxies) } else { settings(copy, self.proxies) };
-            let facts = turnshift::settings::parse(text.as_bytes()).expect("settings");
+            let facts = load_balancer::platform_settings::parse(text.as_bytes()).expect("settings");
             let about = About {
                 name: format!("p{copy}"),
                 generation: 1,
@@ -138,7 +138,7 @@
             let weight =
                 |(l, &backend): (&Listed, &BackendId)| (backend, self.weights.of(&l.host, &l.class, &l.zone));
             let weights = listed.iter().zip(&numbers).map(weight).collect();
-            fleet.tell(0.0, copy, Event::Weights { weights });
+            fleet.tell(0.0, copy, Event::RouteWeights { weights });
             fleet.tell(0.0, copy, Event::List { kind: ListKind::Full, entries });
             if self.ranked {
                 let (alive, rank) = (self.proxies as u32, Some(copy as u32));
