--- a/src/bin/registry/http/context.rs
+++ b/src/bin/registry/http/context.rs
@@ -1,6 +1,6 @@
 //! What calls are served from, and its limits.
 
-use crate::writer::{Orders, Shared};
+use crate::writer::{Shared, WriteQueue};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::Semaphore;
@@ -31,7 +31,7 @@
     /// The state.
     pub shared: Arc<Shared>,
     /// To the writer.
-    pub orders: Orders,
+    pub writes: WriteQueue,
     /// Limits of the serving side.
     pub limits: Limits,
     /// KiB of bodies in work: of writes, of reports and of recorded segments, so that none holds up another kind.
@@ -44,10 +44,10 @@
 
 impl Context {
     /// With all its room free.
-    pub fn new(shared: Arc<Shared>, orders: Orders, limits: Limits) -> Context {
+    pub fn new(shared: Arc<Shared>, writes: WriteQueue, limits: Limits) -> Context {
         Context {
             shared,
-            orders,
+            writes,
             limits,
             bodies: Semaphore::new(MAX_BODIES_KIB.max(limits.max_body / 1024 + 1)),
             reports: Semaphore::new(MAX_REPORTS_KIB),
--- a/src/bin/registry/http/leases.rs
+++ b/src/bin/registry/http/leases.rs
@@ -2,9 +2,9 @@
 
 use super::answer::{Answer, answer, body, refuse};
 use super::context::Context;
-use super::written::ordered;
-use crate::lease::{Ask, Lease};
-use crate::writer::{Shared, Want};
+use super::write_reply::write_and_answer;
+use crate::lease::{Lease, LeaseRequest};
+use crate::writer::{Shared, WriteOperation};
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
 use serde_json::json;
@@ -19,15 +19,15 @@
 /// PUT without a token acquires, with one renews; DELETE releases.
 pub async fn lease(request: Request<Incoming>, context: &Context) -> Answer {
     let releases = request.method() == Method::DELETE;
-    let ask: Ask = match body(request, context).await {
-        Ok(ask) => ask,
+    let lease_request: LeaseRequest = match body(request, context).await {
+        Ok(lease_request) => lease_request,
         Err(refusal) => return refusal,
     };
-    if releases != ask.ttl_ms.is_none() {
+    if releases != lease_request.ttl_ms.is_none() {
         return refuse(StatusCode::BAD_REQUEST, "ttl_ms: goes with PUT, and only with it");
     }
-    match ask.check() {
+    match lease_request.check() {
         Err(why) => refuse(StatusCode::BAD_REQUEST, why),
-        Ok(()) => ordered(Want::Lease(ask), &context.orders).await,
+        Ok(()) => write_and_answer(WriteOperation::Lease(lease_request), &context.writes).await,
     }
 }
--- a/src/bin/registry/http/lists.rs
+++ b/src/bin/registry/http/lists.rs
@@ -3,8 +3,8 @@
 use super::answer::{Answer, answer, body, refuse};
 use super::context::Context;
 use super::query::{QueryError, Watch, service, watch};
-use super::written::ordered;
-use crate::writer::{Fence, Shared, Want};
+use super::write_reply::write_and_answer;
+use crate::writer::{Fence, Shared, WriteOperation};
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
 use load_balancer::catalog::{Entry, ServiceName};
@@ -73,5 +73,9 @@
         return refuse(StatusCode::BAD_REQUEST, why);
     }
     let ttl = Duration::from_millis(write.ttl_ms);
-    ordered(Want::Entries { service, entries: write.hosts, ttl, fence: write.fence }, &context.orders).await
+    write_and_answer(
+        WriteOperation::Entries { service, entries: write.hosts, ttl, fence: write.fence },
+        &context.writes,
+    )
+    .await
 }
--- a/src/bin/registry/http/mod.rs
+++ b/src/bin/registry/http/mod.rs
@@ -6,11 +6,11 @@
 mod lists;
 mod query;
 mod route_table;
-mod written;
+mod write_reply;
 
 pub use context::Limits;
 
-use crate::writer::{Orders, Shared};
+use crate::writer::{Shared, WriteQueue};
 use answer::{Answer, refuse};
 use context::{Context, NO_PATH};
 use hyper::body::Incoming;
@@ -26,9 +26,9 @@
 use tracing::{debug, warn};
 
 /// Serves for ever.
-pub async fn serve(listener: TcpListener, shared: Arc<Shared>, orders: Orders, limits: Limits) {
+pub async fn serve(listener: TcpListener, shared: Arc<Shared>, writes: WriteQueue, limits: Limits) {
     let places = Arc::new(Semaphore::new(limits.connections));
-    let context = Arc::new(Context::new(shared, orders, limits));
+    let context = Arc::new(Context::new(shared, writes, limits));
     loop {
         let (stream, peer) = match listener.accept().await {
             Ok(accepted) => accepted,
--- a/src/bin/registry/http/route_table.rs
+++ b/src/bin/registry/http/route_table.rs
@@ -3,9 +3,9 @@
 use super::answer::{Answer, answer as page, body, bytes, refuse};
 use super::context::Context;
 use super::query::{Watch, watch};
-use super::written::ordered;
+use super::write_reply::write_and_answer;
 use crate::route_table::{Host, RingError};
-use crate::writer::{Fence, Want};
+use crate::writer::{Fence, WriteOperation};
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
@@ -94,7 +94,7 @@
         return refuse(StatusCode::BAD_REQUEST, why);
     }
     let proposal = Proposal { from, weights, by, override_why };
-    ordered(Want::Routes { proposal, fence }, &context.orders).await
+    write_and_answer(WriteOperation::Proposal { proposal, fence }, &context.writes).await
 }
 
 /// The state of the table, or the table that is meant for a proxy.
--- a/src/bin/registry/main.rs
+++ b/src/bin/registry/main.rs
@@ -62,18 +62,18 @@
     info!(seq = state.catalog.newest(), entries = state.catalog.live(), services = state.catalog.services(), records = found.records, snapshot = ?found.snapshot_seq, took_ms,
         "state read from disk");
     if log.due(snapshot_every) {
-        writer::compact(&mut log, &state);
+        writer::write_snapshot(&mut log, &state);
     }
     let routes = match routes {
         Some(config) => Some(Host::start(config, &state, &data)?),
         None => None,
     };
     let shared = Arc::new(Shared::new(state, routes));
-    let (orders, taken) = mpsc::channel();
+    let (writes, write_requests) = mpsc::channel();
     let for_writer = shared.clone();
     std::thread::Builder::new()
         .name("writer".into())
-        .spawn(move || writer::run(log, for_writer, taken, snapshot_every))
+        .spawn(move || writer::run(log, for_writer, write_requests, snapshot_every))
         .map_err(StartError::system("writer"))?;
     // One thread serves; the writer thread waits on the disk, and the proxy's build keeps the tokio features it had.
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -87,7 +87,7 @@
         info!(%address, data = %data.display(), ?sync, "listening");
         let mut stop = signal(SignalKind::terminate()).map_err(StartError::system("signal"))?;
         tokio::select! {
-            () = http::serve(listener, shared, orders, limits) => {}
+            () = http::serve(listener, shared, writes, limits) => {}
             _ = stop.recv() => info!("SIGTERM: stopping; every answered write is on disk"),
         }
         Ok(())
--- a/src/bin/registry/writer/deadlines.rs
+++ b/src/bin/registry/writer/deadlines.rs
@@ -1,4 +1,4 @@
-//! When each entry lapses. In memory only: after a restart each has its TTL anew.
+//! When the TTL of each entry is over. Kept in memory only: after a restart every entry gets its full TTL again.
 
 use super::records::{EntryId, Registration};
 use crate::store::State;
@@ -6,27 +6,27 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// The deadline of every entry of every service.
-pub struct Deadlines {
+/// The deadline of every listed entry of every service.
+pub(super) struct Deadlines {
     by_id: HashMap<EntryId, Instant>,
-    /// No deadline is before this: until then there is nothing to look for.
+    /// No deadline is before this time, so that nothing has to be looked for until then. It may be too early, after
+    /// the entry that set it was renewed.
     earliest: Option<Instant>,
 }
 
 impl Deadlines {
-    /// Of all that was read from disk, each with its whole TTL.
-    pub fn new(state: &State, now: Instant) -> Deadlines {
-        let deadline = |ttl_ms| now + Duration::from_millis(ttl_ms);
+    /// The deadlines of all entries read from disk, each with its full TTL from `now` on.
+    pub(super) fn new(state: &State, now: Instant) -> Deadlines {
         let entries = state.catalog.all_entries().map(|(service, change)| {
             let id = EntryId { service: service.clone(), host: change.entry.host.clone() };
-            (id, deadline(change.ttl_ms))
+            (id, now + Duration::from_millis(change.ttl_ms))
         });
         let by_id: HashMap<_, _> = entries.collect();
         Deadlines { earliest: by_id.values().min().copied(), by_id }
     }
 
-    /// An entry is registered, renewed or deleted.
-    pub fn take(&mut self, registration: &Registration, now: Instant) {
+    /// Follows a registration, a renewal or a deletion.
+    pub(super) fn take(&mut self, registration: &Registration, now: Instant) {
         let id = registration.id();
         if registration.entry.health == Health::Deleted {
             self.by_id.remove(&id);
@@ -35,24 +35,28 @@
         }
     }
 
-    /// Those that were not renewed in time; they are taken out.
-    pub fn lapsed(&mut self, now: Instant) -> Vec<EntryId> {
+    /// Removes and returns the entries that were not renewed in time.
+    pub(super) fn take_expired(&mut self, now: Instant) -> Vec<EntryId> {
         if self.earliest.is_none_or(|earliest| now < earliest) {
             return Vec::new();
         }
-        let lapsed = self.by_id.extract_if(|_, deadline| *deadline <= now).map(|(id, _)| id).collect();
+        let expired = self.by_id.extract_if(|_, deadline| *deadline <= now).map(|(id, _)| id).collect();
         self.earliest = self.by_id.values().min().copied();
-        lapsed
+        expired
     }
 
-    /// Lapses that could not be written are due again then.
-    pub fn retry(&mut self, lapsed: Vec<EntryId>, at: Instant) {
-        lapsed.into_iter().for_each(|id| self.set(id, at));
+    /// Lets entries expire again at a time, after their end could not be written.
+    pub(super) fn retry(&mut self, expired: Vec<EntryId>, at: Instant) {
+        for id in expired {
+            self.set(id, at);
+        }
     }
 
-    /// The registry stood still: nobody could renew, so all TTLs are longer.
-    pub fn extend(&mut self, by: Duration) {
-        self.by_id.values_mut().chain(&mut self.earliest).for_each(|deadline| *deadline += by);
+    /// Moves every deadline back by the time in which the registry stood still, since nobody could renew.
+    pub(super) fn extend(&mut self, by: Duration) {
+        for deadline in self.by_id.values_mut().chain(&mut self.earliest) {
+            *deadline += by;
+        }
     }
 
     fn set(&mut self, id: EntryId, deadline: Instant) {
--- a/src/bin/registry/writer/wake.rs
+++ b/src/bin/registry/writer/wake.rs
@@ -1,23 +1,27 @@
-//! Wakes the watches of a service when it has changed.
+//! Wakes the waiting watches of a service when the service has changed.
+//!
+//! [`Wakers`] holds one version channel per service that somebody waits for, whether the service exists or not. The
+//! last watch that goes removes its channel, so that names asked for leave nothing in memory.
 
 use load_balancer::catalog::ServiceName;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::sync::watch;
 
-/// The services that somebody waits for. One is in it only as long as that, whether it exists or not.
+/// The version channels of the services that somebody waits for.
 #[derive(Default)]
-pub struct Wakers(Mutex<HashMap<ServiceName, watch::Sender<u64>>>);
+pub(crate) struct Wakers(Mutex<HashMap<ServiceName, watch::Sender<u64>>>);
 
 impl Wakers {
-    /// Waits for a service's versions from now on: those that are newer than a version read after this call.
-    pub fn wait(self: &Arc<Self>, service: &ServiceName) -> Waiting {
+    /// Starts a watch of a service. It sees every version set after this call, so that a version read after this call and
+    /// then waited on misses no change in between.
+    pub(crate) fn wait(self: &Arc<Self>, service: &ServiceName) -> VersionWatch {
         let versions = self.services().entry(service.clone()).or_default().subscribe();
-        Waiting { wakers: self.clone(), service: service.clone(), versions }
+        VersionWatch { wakers: self.clone(), service: service.clone(), versions }
     }
 
-    /// A service is at this version now.
-    pub fn wake(&self, service: &ServiceName, version: u64) {
+    /// Wakes the watches of a service with its new version.
+    pub(crate) fn wake(&self, service: &ServiceName, version: u64) {
         if let Some(sender) = self.services().get(service) {
             sender.send_replace(version);
         }
@@ -28,25 +32,25 @@
     }
 }
 
-/// One watch that waits.
-pub struct Waiting {
+/// One waiting watch. Dropping it ends the watch.
+pub(crate) struct VersionWatch {
     wakers: Arc<Wakers>,
     service: ServiceName,
     versions: watch::Receiver<u64>,
 }
 
-impl Waiting {
-    /// Until the service is at a newer version than this.
-    pub async fn newer_than(&mut self, version: u64) {
-        // The sender lives as long as this.
+impl VersionWatch {
+    /// Waits until the service is at a newer version than this.
+    pub(crate) async fn newer_than(&mut self, version: u64) {
+        // This fails only if the sender is dropped, and the sender lives in `wakers` as long as this watch.
         let _ = self.versions.wait_for(|newest| *newest > version).await;
     }
 }
 
-impl Drop for Waiting {
+impl Drop for VersionWatch {
     fn drop(&mut self) {
         let mut services = self.wakers.services();
-        // This one is still counted; nobody comes in while the lock is held.
+        // This watch is still counted, and no other can subscribe while the lock is held.
         if services.get(&self.service).is_some_and(|sender| sender.receiver_count() <= 1) {
             services.remove(&self.service);
         }
