--- a/benches/drift.rs
+++ b/benches/drift.rs
@@ -25,17 +25,17 @@
 
 /// All have a table that says something else than even parts.
 fn settled(loss: f64, seed: u64) -> Fleet {
-    let mut fleet = Fleet::new(PROXIES, Config { stand_ms: 5000, ..unjudged() }, seed);
+    let mut fleet = Fleet::new(PROXIES, Config { min_stage_ms: 5000, ..unjudged() }, seed);
     fleet.run(40_000);
     fleet.propose(proposal(0, &[("b0", 2.0), ("b3", 0.5)])).expect("taken");
-    assert!(fleet.until(300_000, |f| f.end() == Some(End::Done)), "{:?}", fleet.end());
+    assert!(fleet.until(300_000, |f| f.end() == Some(ProposalOutcome::Done)), "{:?}", fleet.end());
     fleet.loss = loss;
     fleet.run(600_000);
     assert_eq!(fleet.raised, []);
     fleet
 }
 
-fn time_to_finding(kind: Kind, fault: Fault, loss: f64) -> String {
+fn time_to_finding(kind: FindingKind, fault: Fault, loss: f64) -> String {
     let mut fleet = settled(loss, 1);
     let mut times = Histogram::<u64>::new(3).expect("made");
     for _ in 0..FAULTS {
@@ -74,7 +74,7 @@
         window_ms: 5000,
         requests: 500,
         calls: (0..called).map(|i| (backend(i), 50)).collect(),
-        left_out: (0..left_out).map(|i| (backend(called + i), LeftOut::Subset)).collect(),
+        left_out: (0..left_out).map(|i| (backend(called + i), ExclusionReason::Subset)).collect(),
         alive: PROXIES as u32,
         members: (0..members).map(witness).collect(),
         ..Report::default()
@@ -97,7 +97,7 @@
             let began = Instant::now();
             let report: Report = serde_json::from_slice(&text).expect("read");
             let middle = Instant::now();
-            control.report(now, report).expect("taken");
+            control.receive_report(now, report).expect("taken");
             if n % 60 == 0 {
                 let effects = control.tick(now);
                 assert!(effects.is_empty(), "{effects:?}");
@@ -120,13 +120,13 @@
 }
 
 fn main() {
-    let kinds: [(Kind, Fault); 6] = [
-        (Kind::Lagging, restarts_with_an_older),
-        (Kind::Diverged, spoil),
-        (Kind::Ahead, unknown),
-        (Kind::Effect, even),
-        (Kind::Silent, cut),
-        (Kind::Gone, down),
+    let kinds: [(FindingKind, Fault); 6] = [
+        (FindingKind::Lagging, restarts_with_an_older),
+        (FindingKind::Diverged, spoil),
+        (FindingKind::Ahead, unknown),
+        (FindingKind::Effect, even),
+        (FindingKind::Silent, cut),
+        (FindingKind::Gone, down),
     ];
     println!("time to the finding, p50 / p99 (over the grace), {FAULTS} faults each");
     println!("| finding | no loss | 10 % lost | 20 % lost |\n| --- | --- | --- | --- |");
--- a/benches/scale/run/hollow.rs
+++ b/benches/scale/run/hollow.rs
@@ -10,7 +10,7 @@
 use load_balancer::client::route_table::{Identity, RoutedProxy, Routes, Settings, Tally, Totals};
 use load_balancer::client::traffic::Traffic;
 use load_balancer::interface::ListKind;
-use load_balancer::route_table::{LeftOut, Revision, Weights};
+use load_balancer::route_table::{ExclusionReason, Revision, Weights};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -160,7 +160,7 @@
         self.0.held.borrow().table.digest()
     }
 
-    fn left_out(&self) -> BTreeMap<String, LeftOut> {
+    fn left_out(&self) -> BTreeMap<String, ExclusionReason> {
         let looks = self.0.looks.get() + 1;
         self.0.looks.set(looks % LOOKS);
         match looks {
--- a/benches/scale/run/standing.rs
+++ b/benches/scale/run/standing.rs
@@ -5,7 +5,7 @@
 use load_balancer::client::route_table::Tally;
 use load_balancer::interface::{BackendId, Entry, Event, ListKind, Phase, TrafficShare};
 use load_balancer::platform_settings::PlatformSettings;
-use load_balancer::route_table::{LeftOut, MAX_REPORTED};
+use load_balancer::route_table::{ExclusionReason, MAX_REPORTED};
 use load_balancer::{Balancer, backend_id};
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -16,7 +16,7 @@
     /// Those that can get calls, with none.
     pub calls: BTreeMap<String, Tally>,
     /// The first that get less, and why: no report has more.
-    pub left_out: BTreeMap<String, LeftOut>,
+    pub left_out: BTreeMap<String, ExclusionReason>,
 }
 
 /// The module, the newest list that any of the proxies has heard of, and what follows from it.
@@ -70,7 +70,9 @@
         for (id, standing) in self.balancer.standings(now) {
             let Some(name) = self.names.get(&id) else { continue };
             match why(standing) {
-                Some(LeftOut::Subset) => drop(picture.left_out.insert(name.clone(), LeftOut::Subset)),
+                Some(ExclusionReason::Subset) => {
+                    drop(picture.left_out.insert(name.clone(), ExclusionReason::Subset))
+                }
                 other => {
                     picture.calls.insert(name.clone(), Tally::default());
                     picture.left_out.extend(other.map(|why| (name.clone(), why)));
@@ -84,13 +86,13 @@
     }
 }
 
-fn why(standing: TrafficShare) -> Option<LeftOut> {
+fn why(standing: TrafficShare) -> Option<ExclusionReason> {
     match standing {
         TrafficShare::Full => None,
-        TrafficShare::Ejected => Some(LeftOut::Ejected),
-        TrafficShare::WarmingUp => Some(LeftOut::Cold),
-        TrafficShare::Draining => Some(LeftOut::Draining),
-        TrafficShare::OutsideSubset => Some(LeftOut::Subset),
-        TrafficShare::Slow => Some(LeftOut::Slow),
+        TrafficShare::Ejected => Some(ExclusionReason::Ejected),
+        TrafficShare::WarmingUp => Some(ExclusionReason::Cold),
+        TrafficShare::Draining => Some(ExclusionReason::Draining),
+        TrafficShare::OutsideSubset => Some(ExclusionReason::Subset),
+        TrafficShare::Slow => Some(ExclusionReason::Slow),
     }
 }
--- a/src/bin/proxy/engine/observe.rs
+++ b/src/bin/proxy/engine/observe.rs
@@ -4,7 +4,7 @@
 use hyper::header::HeaderValue;
 use load_balancer::interface::{Arrival, BackendId, Event, Outcome, RequestId, TrafficShare};
 use load_balancer::replay::Ending;
-use load_balancer::route_table::{LeftOut, Revision, Weights};
+use load_balancer::route_table::{ExclusionReason, Revision, Weights};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -24,14 +24,14 @@
     }
 
     /// All that are listed, and why one gets less than its weight says.
-    pub fn standings(&self) -> Vec<(BackendId, Option<LeftOut>)> {
+    pub fn standings(&self) -> Vec<(BackendId, Option<ExclusionReason>)> {
         let why = |standing| match standing {
             TrafficShare::Full => None,
-            TrafficShare::Ejected => Some(LeftOut::Ejected),
-            TrafficShare::WarmingUp => Some(LeftOut::Cold),
-            TrafficShare::Draining => Some(LeftOut::Draining),
-            TrafficShare::OutsideSubset => Some(LeftOut::Subset),
-            TrafficShare::Slow => Some(LeftOut::Slow),
+            TrafficShare::Ejected => Some(ExclusionReason::Ejected),
+            TrafficShare::WarmingUp => Some(ExclusionReason::Cold),
+            TrafficShare::Draining => Some(ExclusionReason::Draining),
+            TrafficShare::OutsideSubset => Some(ExclusionReason::Subset),
+            TrafficShare::Slow => Some(ExclusionReason::Slow),
         };
         let state = self.state.borrow();
         state.balancer.standings(self.now()).map(|(backend, standing)| (backend, why(standing))).collect()
--- a/src/bin/proxy/route_table/proxy.rs
+++ b/src/bin/proxy/route_table/proxy.rs
@@ -4,7 +4,7 @@
 use crate::engine::Engine;
 use crate::observer::Observer;
 use load_balancer::client::route_table::{RoutedProxy, Tally, Totals};
-use load_balancer::route_table::{LeftOut, Revision, Weights};
+use load_balancer::route_table::{ExclusionReason, Revision, Weights};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -30,7 +30,7 @@
         self.observer.digest(&self.engine.in_force())
     }
 
-    fn left_out(&self) -> BTreeMap<String, LeftOut> {
+    fn left_out(&self) -> BTreeMap<String, ExclusionReason> {
         let names = self.observer.names();
         let standings = self.engine.standings().into_iter();
         standings.filter_map(|(id, why)| Some((names.get(&id)?.clone(), why?))).collect()
--- a/src/bin/registry/http/written.rs
+++ b/src/bin/registry/http/written.rs
@@ -45,7 +45,7 @@
 
 /// A proposal that was taken.
 fn taken(record: &RouteRecord) -> Value {
-    let Some(work) = &record.work else { return json!({"revision": record.in_force.revision}) };
+    let Some(work) = &record.active else { return json!({"revision": record.in_force.revision}) };
     let state = if work.rollout.is_some() { "rolling_out" } else { "judging" };
     json!({"revision": work.table.revision, "from": work.table.from, "digest": work.table.digest, "state": state})
 }
--- a/src/bin/registry/route_table/host.rs
+++ b/src/bin/registry/route_table/host.rs
@@ -11,8 +11,8 @@
 use load_balancer::catalog::{Entry, ServiceName};
 use load_balancer::replay::{Job, Listed};
 use load_balancer::route_table::{
-    Backend, BadReport, Control, DriftPage, Effect, Finding, Outcome, Proposal, Refused, Report, Revision,
-    RouteRecord, StatePage, Table,
+    AcceptedProposal, Backend, Control, DriftPage, Effect, Finding, Proposal, ProposalError, Report,
+    ReportError, Revision, RouteRecord, StatePage, Table,
 };
 use serde_json::{Value, json};
 use std::path::Path;
@@ -84,7 +84,7 @@
     }
 
     /// For the writer: takes a proposal. Its record is to be written, then [`Host::settle`]d.
-    pub fn propose(&self, proposal: Proposal, state: &State) -> Result<Outcome, Refused> {
+    pub fn propose(&self, proposal: Proposal, state: &State) -> Result<AcceptedProposal, ProposalError> {
         let mut inner = self.inner();
         inner.list(state);
         let Inner { control, listed, .. } = &mut *inner;
@@ -104,7 +104,7 @@
         if let Some(verdict) = self.judging.take() {
             info!(from = verdict.from, digest = verdict.digest, requests = verdict.requests,
                 decision = %json!(verdict.decision), "proposal judged");
-            match inner.control.verdict(now, verdict) {
+            match inner.control.receive_verdict(now, verdict) {
                 Ok(more) => effects.extend(more),
                 Err(stale) => debug!(%stale, "verdict passed over"),
             }
@@ -117,10 +117,10 @@
     pub fn settle(&self, record: RouteRecord, written: bool) {
         let mut inner = self.inner();
         if !written {
-            return inner.control.put_back();
+            return inner.control.discard_pending();
         }
         let stage =
-            record.work.as_ref().and_then(|work| Some((work.table.revision, work.rollout.as_ref()?.stage)));
+            record.active.as_ref().and_then(|work| Some((work.table.revision, work.rollout.as_ref()?.stage)));
         info!(change = record.change, in_force = record.in_force.revision, rolling = ?stage, "route table changed");
         let effects = inner.control.apply(self.now(), record);
         self.effects(&inner, effects);
@@ -146,7 +146,9 @@
                     self.tables.send_replace(version);
                 }
                 Effect::Raised(finding) => {
-                    let Finding { kind, proxy, proxies, some, since_ms, evidence, what_to_do, .. } = finding;
+                    let Finding {
+                        kind, proxy, proxies, examples: some, since_ms, evidence, what_to_do, ..
+                    } = finding;
                     let kind = json!(kind);
                     warn!(
                         kind = kind.as_str(),
@@ -192,15 +194,15 @@
     }
 
     /// Takes a proxy's report.
-    pub fn report(&self, report: Report) -> Result<(), BadReport> {
+    pub fn report(&self, report: Report) -> Result<(), ReportError> {
         let mut inner = self.inner();
-        inner.control.report(self.now(), report)
+        inner.control.receive_report(self.now(), report)
     }
 
     /// The table meant for a proxy, as it is answered, and its revision.
     pub fn meant_for(&self, name: &str) -> serde_json::Result<(Revision, Bytes)> {
         let inner = self.inner();
-        let (table, newest) = (inner.control.meant_for(name), inner.control.newest_revision());
+        let (table, newest) = (inner.control.target_table(name), inner.control.newest_revision());
         let mut pages = self.pages.lock().unwrap_or_else(|p| p.into_inner());
         Ok((table.revision, pages.get(table, newest)?))
     }
@@ -234,6 +236,6 @@
         };
         self.listed = state.catalog.entries(&service).map(|change| backend(&change.entry)).collect();
         self.listed.sort_by(|a, b| a.host.cmp(&b.host));
-        self.control.list(&self.listed);
+        self.control.update_backends(&self.listed);
     }
 }
--- a/src/bin/registry/writer/order.rs
+++ b/src/bin/registry/writer/order.rs
@@ -3,7 +3,7 @@
 use crate::lease::{Ask, Lease, Refused};
 use crate::route_table::TooLong;
 use load_balancer::catalog::{Entry, ServiceName};
-use load_balancer::route_table::{Proposal, Refused as NoProposal, RouteRecord};
+use load_balancer::route_table::{Proposal, ProposalError as NoProposal, RouteRecord};
 use serde::Deserialize;
 use std::time::Duration;
 use tokio::sync::oneshot;
--- a/src/client/registry/fault.rs
+++ b/src/client/registry/fault.rs
@@ -1,6 +1,6 @@
 //! Why a call to a registry fails.
 
-use crate::client::route_table::Spoilt;
+use crate::client::route_table::TableError;
 use hyper::StatusCode;
 use std::io;
 
@@ -32,7 +32,7 @@
     Body(Box<dyn std::error::Error + Send + Sync>),
     /// Its table is not taken.
     #[error("{0}")]
-    Table(#[from] Spoilt),
+    Table(#[from] TableError),
     /// Its answer is no table.
     #[error("a table that cannot be read: {0}; see that this is a registry's address")]
     NoTable(serde_json::Error),
--- a/src/client/route_table/mod.rs
+++ b/src/client/route_table/mod.rs
@@ -11,7 +11,7 @@
 pub use identity::Identity;
 pub use proxy::{RoutedProxy, Tally, Totals};
 pub use settings::{Settings, named};
-pub use table::Spoilt;
+pub use table::TableError;
 
 use crate::client::traffic::Traffic;
 use report::Reports;
--- a/src/client/route_table/proxy.rs
+++ b/src/client/route_table/proxy.rs
@@ -1,6 +1,6 @@
 //! The proxy that a route table acts on and that reports tell of.
 
-use crate::route_table::{LeftOut, Revision, Weights};
+use crate::route_table::{ExclusionReason, Revision, Weights};
 use std::collections::BTreeMap;
 
 /// Requests that have ended since the start.
@@ -32,7 +32,7 @@
     /// Digest of the weights in force. That of the table is given only if each weight is the table's.
     fn digest(&self) -> String;
     /// Which backends get less now than their weights say, and why.
-    fn left_out(&self) -> BTreeMap<String, LeftOut>;
+    fn left_out(&self) -> BTreeMap<String, ExclusionReason>;
     /// Version of the list that is held.
     fn list_version(&self) -> u64;
     /// The calls counted since the last time, by backend.
--- a/src/client/route_table/report.rs
+++ b/src/client/route_table/report.rs
@@ -3,7 +3,7 @@
 use super::{Routes, Totals};
 use crate::client::registry::{Call, call};
 use crate::client::traffic::Kind;
-use crate::route_table::{LeftOut, MAX_REPORTED, MAX_WITNESSED, Report};
+use crate::route_table::{ExclusionReason, MAX_REPORTED, MAX_WITNESSED, Report};
 use hyper::Method;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -27,7 +27,7 @@
     begun: Instant,
     before: Totals,
     /// Which backends have got less at some time of the window.
-    left_out: BTreeMap<String, LeftOut>,
+    left_out: BTreeMap<String, ExclusionReason>,
     /// Of which member the next one tells first.
     witness: usize,
 }
@@ -110,7 +110,7 @@
         for (name, tally) in tallies {
             // What is outside of its subset cannot get a call.
             if calls.len() < MAX_REPORTED
-                && (tally.calls > 0 || left_out.get(&name) != Some(&LeftOut::Subset))
+                && (tally.calls > 0 || left_out.get(&name) != Some(&ExclusionReason::Subset))
             {
                 calls.insert(name.clone(), tally.calls);
             }
--- a/src/client/route_table/table.rs
+++ b/src/client/route_table/table.rs
@@ -33,7 +33,7 @@
 
 /// Why a table is not taken. The last good one stays in force.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
-pub enum Spoilt {
+pub enum TableError {
     #[error(
         "table {revision} is spoilt: its digest is {told}, its weights give {made}; revision {held} stays in force. \
          Read it at the registry, and propose it again"
@@ -63,25 +63,31 @@
 
 impl Page {
     /// Whether it is news that can be taken.
-    pub(super) fn news(&self, held: &Held) -> Result<bool, Spoilt> {
+    pub(super) fn news(&self, held: &Held) -> Result<bool, TableError> {
         let revision = self.revision;
         let (count, made) = (self.weights.iter().count(), self.weights.digest());
         if count > MAX_WEIGHTS {
-            return Err(Spoilt::Size { revision, count, held: held.revision });
+            return Err(TableError::Size { revision, count, held: held.revision });
         }
         if made != self.digest {
             let told = self.digest.chars().take(64).collect();
-            return Err(Spoilt::Digest { revision, told, made, held: held.revision });
+            return Err(TableError::Digest { revision, told, made, held: held.revision });
         }
         let bad = self.weights.iter().find(|(_, _, weight)| !weight.is_finite() || *weight < 0.0);
         if let Some((kind, name, weight)) = bad {
-            return Err(Spoilt::Weight { revision, kind, name: name.into(), weight, held: held.revision });
+            return Err(TableError::Weight {
+                revision,
+                kind,
+                name: name.into(),
+                weight,
+                held: held.revision,
+            });
         }
         match revision.cmp(&held.revision) {
             _ if !held.any => Ok(true),
-            std::cmp::Ordering::Less => Err(Spoilt::Behind { revision, held: held.revision }),
+            std::cmp::Ordering::Less => Err(TableError::Behind { revision, held: held.revision }),
             std::cmp::Ordering::Equal if self.digest != held.digest => {
-                Err(Spoilt::Other { held: held.revision })
+                Err(TableError::Other { held: held.revision })
             }
             order => Ok(order.is_gt()),
         }
--- a/src/route_table/check.rs
+++ b/src/route_table/check.rs
@@ -7,7 +7,7 @@
 /// Longest name of a backend, class, zone, proxy or proposer.
 pub const MAX_NAME: usize = 253;
 /// Longest reason of an override.
-pub const MAX_WHY: usize = 1024;
+pub const MAX_OVERRIDE_REASON: usize = 1024;
 /// Largest weight.
 pub const MAX_WEIGHT: f64 = 1e6;
 
@@ -26,7 +26,7 @@
 
 /// Why a proposal was not taken, and what to do.
 #[derive(thiserror::Error, Clone, Debug, PartialEq)]
-pub enum Refused {
+pub enum ProposalError {
     /// Nothing would get calls.
     #[error("every listed backend would have weight 0: give at least one a weight above 0")]
     AllZero,
@@ -112,13 +112,15 @@
     Writing,
 }
 
-impl Refused {
+impl ProposalError {
     /// The status of the answer.
     pub fn status(&self) -> u16 {
         match self {
-            Refused::Conflict { .. } | Refused::RollingOut { .. } | Refused::Ahead { .. } => 409,
-            Refused::TooMany { .. } => 413,
-            Refused::Writing | Refused::NoBackends => 503,
+            ProposalError::Conflict { .. }
+            | ProposalError::RollingOut { .. }
+            | ProposalError::Ahead { .. } => 409,
+            ProposalError::TooMany { .. } => 413,
+            ProposalError::Writing | ProposalError::NoBackends => 503,
             _ => 400,
         }
     }
@@ -156,28 +158,33 @@
 
 /// Checks a proposal against the weights in force and the listed backends; `step` is the most that a backend's weight
 /// over the mean may move. Weights under a `step`th of the mean count as that, so that one backend can be emptied at once.
-pub fn check(proposal: &Proposal, in_force: &Weights, listed: &[Backend], step: f64) -> Result<(), Refused> {
+pub fn check(
+    proposal: &Proposal,
+    in_force: &Weights,
+    listed: &[Backend],
+    step: f64,
+) -> Result<(), ProposalError> {
     let weights = &proposal.weights;
     let count = weights.backends.len() + weights.classes.len() + weights.zones.len();
     if count > MAX_WEIGHTS {
-        return Err(Refused::TooMany { count });
+        return Err(ProposalError::TooMany { count });
     }
     if !plain(&proposal.by, MAX_NAME) {
-        return Err(Refused::Text { what: "by", most: MAX_NAME });
+        return Err(ProposalError::Text { what: "by", most: MAX_NAME });
     }
-    if proposal.override_why.as_ref().is_some_and(|why| !plain(why, MAX_WHY)) {
-        return Err(Refused::Text { what: "override", most: MAX_WHY });
+    if proposal.override_why.as_ref().is_some_and(|why| !plain(why, MAX_OVERRIDE_REASON)) {
+        return Err(ProposalError::Text { what: "override", most: MAX_OVERRIDE_REASON });
     }
     for (kind, name, weight) in weights.iter() {
         if !plain(name, MAX_NAME) {
-            return Err(Refused::Text { what: kind, most: MAX_NAME });
+            return Err(ProposalError::Text { what: kind, most: MAX_NAME });
         }
         if !(0.0..=MAX_WEIGHT).contains(&weight) {
-            return Err(Refused::Weight { kind, name: name.into(), weight });
+            return Err(ProposalError::Weight { kind, name: name.into(), weight });
         }
     }
     if listed.is_empty() {
-        return Err(Refused::NoBackends);
+        return Err(ProposalError::NoBackends);
     }
     let names = |of: fn(&Backend) -> &str| listed.iter().map(of).collect::<std::collections::HashSet<_>>();
     let (hosts, classes, zones) = (names(|b| &b.host), names(|b| &b.class), names(|b| &b.zone));
@@ -188,7 +195,7 @@
             _ => &zones,
         };
         if !known.contains(name) {
-            return Err(Refused::Unknown { kind, name: name.into() });
+            return Err(ProposalError::Unknown { kind, name: name.into() });
         }
     }
     let of = |weights: &Weights| -> Vec<f64> {
@@ -198,7 +205,7 @@
     let mean = |all: &[f64]| all.iter().sum::<f64>() / all.len() as f64;
     let (old_mean, new_mean) = (mean(&old), mean(&new));
     if new_mean <= 0.0 {
-        return Err(Refused::AllZero);
+        return Err(ProposalError::AllZero);
     }
     // Those in force may all be zero by now, if the list has changed: then there is nothing to step from.
     if old_mean <= 0.0 {
@@ -208,7 +215,7 @@
         let (from, to) = (old / old_mean, new / new_mean);
         let moved = from.max(1.0 / step) / to.max(1.0 / step);
         if moved.max(1.0 / moved) > step * (1.0 + 1e-9) {
-            return Err(Refused::Step { backend: backend.host.clone(), from, to, most: step });
+            return Err(ProposalError::Step { backend: backend.host.clone(), from, to, most: step });
         }
     }
     Ok(())
--- a/src/route_table/control.rs
+++ b/src/route_table/control.rs
@@ -1,16 +1,16 @@
 //! What the registry drives: proposals, verdicts, reports and time go in, effects come out. A decision is a record that
 //! must be durable before it counts: [`Effect::Persist`], then [`Control::apply`](super::Control::apply) once it is on disk, or
-//! [`Control::put_back`](super::Control::put_back) if it could not be written. Until then nothing else of the table is decided. Times are Unix
+//! [`Control::discard_pending`](super::Control::discard_pending) if it could not be written. Until then nothing else of the table is decided. Times are Unix
 //! milliseconds that never go back: a monotonic clock over the Unix time of the start.
 
 use super::check::{check, list_digest, rounded};
 use super::drift::Drift;
 use super::member::Taken;
-use super::record::{Admitted, End, Work};
+use super::record::{ActiveProposal, Admission, ProposalOutcome};
 use super::rollout::Standing;
 use super::{
-    Backend, Backends, BadReport, Config, Effect, Outcome, Proposal, Refused, Report, Revision, RouteRecord,
-    Shares, Stale, Table,
+    AcceptedProposal, Backend, Backends, Config, Effect, OutcomeCounts, Proposal, ProposalError, Report,
+    ReportError, Revision, RouteRecord, StaleVerdict, Table,
 };
 use crate::replay::Verdict;
 
@@ -58,64 +58,75 @@
     }
 
     /// Takes a proposal, if it can be taken; its weights to nine decimals. `listed` are the backends of the list.
-    pub fn propose(&mut self, now: u64, proposal: Proposal, listed: &[Backend]) -> Result<Outcome, Refused> {
-        self.list(listed);
+    pub fn propose(
+        &mut self,
+        now: u64,
+        proposal: Proposal,
+        listed: &[Backend],
+    ) -> Result<AcceptedProposal, ProposalError> {
+        self.update_backends(listed);
         if self.in_flight.is_some() {
-            return Err(Refused::Writing);
+            return Err(ProposalError::Writing);
         }
         let (from, newest) = (proposal.from, self.newest_revision());
-        if let Some(Work { table, rollout: Some(_), .. }) = &self.record.work {
-            return Err(Refused::RollingOut { revision: table.revision });
+        if let Some(ActiveProposal { table, rollout: Some(_), .. }) = &self.record.active {
+            return Err(ProposalError::RollingOut { revision: table.revision });
         }
         if from != newest {
-            return Err(Refused::Conflict { from, newest });
+            return Err(ProposalError::Conflict { from, newest });
         }
         let proposal = Proposal { weights: rounded(proposal.weights), ..proposal };
-        check(&proposal, &self.record.in_force.weights, listed, self.config.step)?;
+        check(&proposal, &self.record.in_force.weights, listed, self.config.max_weight_step)?;
         let proxies = self.drift.ahead();
         if proxies > 0 && proposal.override_why.is_none() {
-            return Err(Refused::Ahead { proxies });
+            return Err(ProposalError::Ahead { proxies });
         }
         let mut record = self.next(now);
         let why = format!("overtaken by a proposal of {}", proposal.by);
-        self.end(&mut record, now, End::Lapsed { why });
+        self.end(&mut record, now, ProposalOutcome::Lapsed { why });
         let table = Table {
             revision: self.revision(now),
             from: self.record.in_force.revision,
             digest: proposal.weights.digest(),
             weights: proposal.weights,
             by: proposal.by,
-            at_ms: now,
+            accepted_ms: now,
         };
-        record.last = table.revision;
+        record.highest_revision = table.revision;
         let admitted = match proposal.override_why {
-            Some(why) => Admitted::Override { why },
-            None if self.config.judge => Admitted::Awaited,
-            None => Admitted::Unjudged,
+            Some(why) => Admission::Override { why },
+            None if self.config.require_verdict => Admission::Awaited,
+            None => Admission::Unjudged,
         };
-        let starts = admitted != Admitted::Awaited;
+        let starts = admitted != Admission::Awaited;
         let (list, verdict) = (list_digest(listed), None);
-        record.work = Some(Work { table: table.clone(), admitted, list, verdict, rollout: None });
+        record.active = Some(ActiveProposal {
+            table: table.clone(),
+            admission: admitted,
+            list_digest: list,
+            verdict,
+            rollout: None,
+        });
         if starts {
             self.start(&mut record, now);
         }
         self.in_flight = Some(record.change);
-        Ok(Outcome { table, record })
+        Ok(AcceptedProposal { table, record })
     }
 
     /// The list of backends as it is now; to be told at the start and whenever it changes.
-    pub fn list(&mut self, listed: &[Backend]) {
+    pub fn update_backends(&mut self, listed: &[Backend]) {
         self.listed.set(listed);
     }
 
     /// Takes what the replay says.
-    pub fn verdict(&mut self, now: u64, verdict: Verdict) -> Result<Vec<Effect>, Stale> {
-        let awaited = self.record.work.as_ref().is_some_and(|work| {
-            work.admitted == Admitted::Awaited
+    pub fn receive_verdict(&mut self, now: u64, verdict: Verdict) -> Result<Vec<Effect>, StaleVerdict> {
+        let awaited = self.record.active.as_ref().is_some_and(|work| {
+            work.admission == Admission::Awaited
                 && (work.table.from, &work.table.digest) == (verdict.from, &verdict.digest)
         });
         if !awaited {
-            return Err(Stale { from: verdict.from, digest: verdict.digest });
+            return Err(StaleVerdict { from: verdict.from, digest: verdict.digest });
         }
         self.verdict = Some(verdict);
         Ok(self.decide(now).into_iter().collect())
@@ -138,33 +149,34 @@
             effects.extend(self.judge());
         }
         let stage = |record: &RouteRecord| {
-            let work = record.work.as_ref()?;
+            let work = record.active.as_ref()?;
             work.rollout.as_ref().map(|rollout| (work.table.revision, rollout.stage, rollout.members.len()))
         };
         if stage(&before) != stage(&self.record) {
             self.standing = Standing::new(now);
         }
         if before.version != self.record.version {
-            self.drift
-                .given(now, |name| before.meant_for(name).revision != self.record.meant_for(name).revision);
+            self.drift.given(now, |name| {
+                before.target_table(name).revision != self.record.target_table(name).revision
+            });
             effects.push(Effect::Publish { version: self.record.version });
         }
         effects
     }
 
     /// The decision in flight could not be written: it never was. It is made anew when there is cause.
-    pub fn put_back(&mut self) {
+    pub fn discard_pending(&mut self) {
         self.in_flight = None;
     }
 
     /// Takes a proxy's report.
-    pub fn report(&mut self, now: u64, report: Report) -> Result<(), BadReport> {
-        let (shares, revision) = (Shares::of(&report), report.revision);
+    pub fn receive_report(&mut self, now: u64, report: Report) -> Result<(), ReportError> {
+        let (shares, revision) = (OutcomeCounts::of(&report), report.revision);
         let taken = self.drift.report(now, report, &self.record, &self.listed, &self.config)?;
         if taken == Taken::No {
             return Ok(());
         }
-        let rolling = self.record.work.as_ref().filter(|work| work.rollout.is_some());
+        let rolling = self.record.active.as_ref().filter(|work| work.rollout.is_some());
         match rolling.is_some_and(|work| work.table.revision == revision) {
             // A window in which the table changed says nothing of the new one.
             true if taken == Taken::Same => self.standing.have.add(&shares),
@@ -188,8 +200,8 @@
     }
 
     /// The table that a proxy is to have.
-    pub fn meant_for(&self, name: &str) -> &Table {
-        self.record.meant_for(name)
+    pub fn target_table(&self, name: &str) -> &Table {
+        self.record.target_table(name)
     }
 
     /// Counts up whenever anybody is to have another table: what watches compare. Also above all from before a loss of
@@ -200,12 +212,12 @@
 
     /// The revision that a proposal must be made from: the proposal in work, or else the table in force.
     pub fn newest_revision(&self) -> Revision {
-        self.record.work.as_ref().map_or(self.record.in_force.revision, |work| work.table.revision)
+        self.record.active.as_ref().map_or(self.record.in_force.revision, |work| work.table.revision)
     }
 
     /// The table of the proposal in work, if any.
-    pub fn proposed(&self) -> Option<&Table> {
-        self.record.work.as_ref().map(|work| &work.table)
+    pub fn proposed_table(&self) -> Option<&Table> {
+        self.record.active.as_ref().map(|work| &work.table)
     }
 
     /// The table in force: what all have who are in no rollout's stage.
--- a/src/route_table/drift.rs
+++ b/src/route_table/drift.rs
@@ -2,13 +2,13 @@
 //! follows from time to time, by many proxies' marks together.
 
 use super::Effect;
-use super::finding::{Finding, Kind};
+use super::finding::{Finding, FindingKind};
 use super::group::{Shown, Wrong};
 use super::hearing::{Hearing, Loss};
 use super::member::{Member, Taken};
-use super::reports::{BadReport, check};
+use super::reports::{ReportError, check};
 use super::rollout::{Fleet, Living};
-use super::{Backends, Config, DriftPage, Report, Revision, RouteRecord, Shares, Table};
+use super::{Backends, Config, DriftPage, OutcomeCounts, Report, Revision, RouteRecord, Table};
 use std::collections::{BTreeMap, HashMap};
 
 /// The detector.
@@ -74,17 +74,17 @@
         record: &RouteRecord,
         listed: &Backends,
         config: &Config,
-    ) -> Result<Taken, BadReport> {
+    ) -> Result<Taken, ReportError> {
         check(&report, now, config)?;
         self.room(now, &report, config)?;
         let missed = self.loss.missed_ms(config);
         let Some(member) = self.members.get_mut(&report.name) else { return Ok(Taken::No) };
         if member.floods(now, config) {
-            return Err(BadReport::TooOften { name: report.name, least_ms: config.report_ms });
+            return Err(ReportError::TooOften { name: report.name, least_ms: config.report_ms });
         }
         let before = member.spread.len();
-        if self.counts - before + report.calls.len() > config.counts {
-            return Err(BadReport::FullCounts { most: config.counts });
+        if self.counts - before + report.calls.len() > config.max_backend_counts {
+            return Err(ReportError::FullCounts { most: config.max_backend_counts });
         }
         let (taken, gap) = member.order(now, &report, missed, config);
         gap.into_iter().for_each(|gap| self.loss.gap(gap));
@@ -92,11 +92,11 @@
             return Ok(taken);
         }
         self.highest = self.highest.max(report.revision);
-        member.recent.count(now / config.report_ms, &Shares::of(&report));
+        member.recent.count(now / config.report_ms, &OutcomeCounts::of(&report));
         member.judge(now, &report, taken, record, listed, config);
         self.counts = self.counts - before + member.spread.len();
         for other in report.members.iter().filter(|other| other.name != report.name) {
-            let room = self.members.len() < config.names;
+            let room = self.members.len() < config.max_proxies;
             if let Some(member) = self.members.get_mut(&other.name) {
                 member.witnessed(now, other.alive, 2 * config.report_ms);
             } else if room && other.alive {
@@ -109,13 +109,13 @@
     }
 
     /// Makes room for a proxy that is not known yet: one that was only told of goes before one that reports.
-    fn room(&mut self, now: u64, report: &Report, config: &Config) -> Result<(), BadReport> {
+    fn room(&mut self, now: u64, report: &Report, config: &Config) -> Result<(), ReportError> {
         if self.members.contains_key(&report.name) {
             return Ok(());
         }
-        if self.members.len() >= config.names {
+        if self.members.len() >= config.max_proxies {
             let told = self.members.iter().find(|(_, m)| m.latest.is_none()).map(|(name, _)| name.clone());
-            let told = told.ok_or(BadReport::Full { most: config.names })?;
+            let told = told.ok_or(ReportError::Full { most: config.max_proxies })?;
             self.members.remove(&told);
         }
         self.members.insert(report.name.clone(), Member::new(now));
@@ -134,7 +134,7 @@
         self.hearing = Hearing::of(now, self.since_ms, self.members.values(), config);
         let missed = self.loss.missed_ms(config);
         let heard = |m: &&Member| m.at_ms().is_some_and(|at| now.saturating_sub(at) <= missed);
-        self.ahead = self.members.values().filter(heard).filter(|m| m.seems(Kind::Ahead)).count();
+        self.ahead = self.members.values().filter(heard).filter(|m| m.seems(FindingKind::Ahead)).count();
         if self.hearing.blind() {
             self.quiet_until = Some(quiet_until.max(now + config.grace_ms));
             return if now < self.since_ms + config.grace_ms { Vec::new() } else { self.blind(now) };
@@ -146,11 +146,12 @@
             if !quiet && silent_ms > missed {
                 member.missing(now, silent_ms, config);
             } else if silent_ms + config.report_ms > missed {
-                let kind = if member.held_alive(now, config) { Kind::Silent } else { Kind::Gone };
+                let kind =
+                    if member.held_alive(now, config) { FindingKind::Silent } else { FindingKind::Gone };
                 *coming.entry((kind, 0)).or_default() += usize::from(!member.has(kind));
             }
             member.flaps(now, config);
-            for kind in Kind::OF_PROXIES {
+            for kind in FindingKind::OF_PROXIES {
                 let mark = member.mark(kind);
                 let cause = (kind, mark.cause);
                 if mark.active {
@@ -159,7 +160,7 @@
                 } else if mark.bad > 0 {
                     *coming.entry(cause).or_default() += 1;
                 }
-                if kind == Kind::Flapping && member.has(kind) {
+                if kind == FindingKind::Flapping && member.has(kind) {
                     break;
                 }
             }
@@ -167,7 +168,7 @@
         wrong.sort_by(|a, b| a.proxy.cmp(&b.proxy));
         let many = self.hearing.heard.div_ceil(10).max(3);
         // It says that it was blind until it has heard enough for long enough again.
-        let key = ((Kind::Blind, 0), None);
+        let key = ((FindingKind::Blind, 0), None);
         let blind = self.shown.findings.remove(&key);
         let mut effects = self.shown.update(now, wrong, &coming, many, !quiet);
         match blind {
@@ -179,17 +180,25 @@
 
     /// It hears too few: it says so and nothing else.
     fn blind(&mut self, now: u64) -> Vec<Effect> {
-        let key = ((Kind::Blind, 0), None);
+        let key = ((FindingKind::Blind, 0), None);
         let (heard, alive) = (self.hearing.heard, self.hearing.alive);
         let evidence = format!("heard of {heard} of {alive} proxies");
         if let Some(found) = self.shown.findings.get_mut(&key) {
             (found.evidence, found.proxies) = (evidence, alive - heard);
             return Vec::new();
         }
-        let (kind, what_to_do) = (Kind::Blind, Kind::Blind.what_to_do());
+        let (kind, what_to_do) = (FindingKind::Blind, FindingKind::Blind.what_to_do());
         let (proxy, some, proxies) = (None, Vec::new(), alive - heard);
-        let found =
-            Finding { kind, proxy, proxies, some, since_ms: now, raised_ms: now, evidence, what_to_do };
+        let found = Finding {
+            kind,
+            proxy,
+            proxies,
+            examples: some,
+            since_ms: now,
+            raised_ms: now,
+            evidence,
+            what_to_do,
+        };
         self.shown.findings.insert(key, found.clone());
         vec![Effect::Raised(found)]
     }
@@ -211,7 +220,8 @@
         let living = self.members.iter().filter_map(|(name, member)| {
             let latest = member.latest.as_ref().filter(|l| now.saturating_sub(l.at_ms) <= missed)?;
             let has = latest.revision == table.revision && latest.digest == table.digest;
-            let drifts = [Kind::Diverged, Kind::Effect].map(|kind| &member.marks[kind as usize]);
+            let drifts =
+                [FindingKind::Diverged, FindingKind::Effect].map(|kind| &member.marks[kind as usize]);
             let drifts = drifts.iter().any(|mark| mark.active && mark.since_ms >= began);
             Some(Living { name, has, drifts })
         });
@@ -219,8 +229,8 @@
     }
 
     /// What some proxies met in the last windows.
-    pub fn recent(&self, of: impl Fn(&str) -> bool) -> Shares {
-        let mut sum = Shares::default();
+    pub fn recent(&self, of: impl Fn(&str) -> bool) -> OutcomeCounts {
+        let mut sum = OutcomeCounts::default();
         let some = self.members.iter().filter(|(name, _)| of(name));
         some.for_each(|(_, member)| sum.add(&member.recent.sum()));
         sum
--- a/src/route_table/effect.rs
+++ b/src/route_table/effect.rs
@@ -5,9 +5,9 @@
 /// What the host is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Write it; then [`Control::apply`](super::Control::apply) it, or [`Control::put_back`](super::Control::put_back).
+    /// Write it; then [`Control::apply`](super::Control::apply) it, or [`Control::discard_pending`](super::Control::discard_pending).
     Persist(Box<RouteRecord>),
-    /// Judge a proposal against the table in force; [`Control::verdict`](super::Control::verdict) takes the answer. One at a time.
+    /// Judge a proposal against the table in force; [`Control::receive_verdict`](super::Control::receive_verdict) takes the answer. One at a time.
     Judge {
         /// What is proposed.
         table: Table,
@@ -32,7 +32,7 @@
 
 /// A proposal that was taken. It counts once its record is applied.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Outcome {
+pub struct AcceptedProposal {
     /// Its table, with its revision.
     pub table: Table,
     /// To be written before the proposer is answered.
@@ -44,7 +44,7 @@
 #[error(
     "the verdict is of a proposal from revision {from} with digest {digest}, which is not awaited (any more)"
 )]
-pub struct Stale {
+pub struct StaleVerdict {
     /// What it was made from.
     pub from: Revision,
     /// Digest of the proposal.
--- a/src/route_table/group.rs
+++ b/src/route_table/group.rs
@@ -2,11 +2,11 @@
 
 use super::Effect;
 use super::Revision;
-use super::finding::{Finding, Kind};
+use super::finding::{Finding, FindingKind};
 use std::collections::BTreeMap;
 
 /// A kind and what it comes from.
-pub(super) type Cause = (Kind, Revision);
+pub(super) type Cause = (FindingKind, Revision);
 
 /// What is wrong with a proxy.
 pub(super) struct Wrong {
@@ -75,7 +75,7 @@
 }
 
 /// The finding of some proxies with one cause.
-fn finding(now: u64, kind: Kind, proxy: Option<String>, of: &[Wrong]) -> Finding {
+fn finding(now: u64, kind: FindingKind, proxy: Option<String>, of: &[Wrong]) -> Finding {
     let since_ms = of.iter().map(|w| w.since_ms).min().unwrap_or(now);
     let evidence = match (&proxy, of) {
         (None, [first, ..]) => format!("{} proxies; {}: {}", of.len(), first.proxy, first.evidence),
@@ -84,5 +84,5 @@
     };
     let some = of.iter().take(SOME).map(|w| w.proxy.clone()).collect();
     let what_to_do = kind.what_to_do();
-    Finding { kind, proxy, proxies: of.len(), some, since_ms, raised_ms: now, evidence, what_to_do }
+    Finding { kind, proxy, proxies: of.len(), examples: some, since_ms, raised_ms: now, evidence, what_to_do }
 }
--- a/src/route_table/hearing.rs
+++ b/src/route_table/hearing.rs
@@ -47,7 +47,7 @@
         // By the upper end of what so few reports can tell.
         let share = if self.due > 0.0 { ((lost + lost.sqrt()) / self.due).min(0.9) } else { 0.0 };
         let windows = if share > 0.0 { (CHANCE.ln() / share.ln()).ceil() as u64 } else { 0 };
-        windows.min(MOST).max(config.raise.into()) * config.report_ms + config.report_ms / 2
+        windows.min(MOST).max(config.raise_after_windows.into()) * config.report_ms + config.report_ms / 2
     }
 }
 
@@ -72,7 +72,7 @@
         let (mut says, mut counted) = (Vec::new(), 0);
         for latest in members.filter_map(|m| m.latest.as_ref()) {
             let age = now.saturating_sub(latest.at_ms.max(since));
-            counted += usize::from(now.saturating_sub(latest.at_ms) <= config.count_ms);
+            counted += usize::from(now.saturating_sub(latest.at_ms) <= config.count_silent_ms);
             if age <= 5 * config.report_ms / 2 {
                 says.push(latest.alive);
             }
--- a/src/route_table/judge.rs
+++ b/src/route_table/judge.rs
@@ -1,6 +1,6 @@
 //! Whether a proxy does what it is meant to do.
 
-use super::finding::Kind;
+use super::finding::FindingKind;
 use super::member::{Mark, Member, Taken};
 use super::spread::Spread;
 use super::{Backends, Config, Report, RouteRecord};
@@ -16,10 +16,10 @@
         listed: &Backends,
         config: &Config,
     ) {
-        let meant = record.meant_for(&report.name);
-        let (has, oldest) = (report.revision, record.known.iter().map(|k| k.revision).min().unwrap_or(0));
-        let known = record.known.iter().find(|known| known.revision == has);
-        let rolling = record.work.as_ref().is_some_and(|w| w.rollout.is_some() && w.table.revision == has);
+        let meant = record.target_table(&report.name);
+        let (has, oldest) = (report.revision, record.issued.iter().map(|k| k.revision).min().unwrap_or(0));
+        let known = record.issued.iter().find(|known| known.revision == has);
+        let rolling = record.active.as_ref().is_some_and(|w| w.rollout.is_some() && w.table.revision == has);
         let ahead = if known.is_none() && has > oldest {
             Some((has, format!("has revision {has}, which was never given; meant is {}", meant.revision)))
         } else if has > meant.revision && !rolling {
@@ -35,27 +35,29 @@
             (has, format!("revision {has} with digest {}, should be {}", report.digest, known.digest))
         });
         let right = has == meant.revision && diverged.is_none();
-        for (kind, wrong) in [(Kind::Ahead, ahead), (Kind::Lagging, lagging), (Kind::Diverged, diverged)] {
+        for (kind, wrong) in
+            [(FindingKind::Ahead, ahead), (FindingKind::Lagging, lagging), (FindingKind::Diverged, diverged)]
+        {
             self.mark(kind).note(now, wrong, config);
         }
-        for kind in [Kind::Silent, Kind::Gone] {
+        for kind in [FindingKind::Silent, FindingKind::Gone] {
             self.mark(kind).note(now, None, config);
         }
         let silence = self.older.map_or(u64::MAX, |(_, _, at)| now.saturating_sub(at));
         if silence > config.grace_ms.max(3 * config.report_ms) {
-            self.mark(Kind::Zombie).note(now, None, config);
+            self.mark(FindingKind::Zombie).note(now, None, config);
         }
         if !right || taken != Taken::Same {
             self.spread = Spread::default();
             if !right {
-                self.mark(Kind::Effect).note(now, None, config);
+                self.mark(FindingKind::Effect).note(now, None, config);
             }
             return;
         }
         self.spread.add(now, report);
         if let Some(wrong) = self.spread.judge(&meant.weights, listed, config) {
             let wrong = wrong.map(|evidence| (0, evidence));
-            self.mark(Kind::Effect).note(now, wrong, config);
+            self.mark(FindingKind::Effect).note(now, wrong, config);
         }
     }
 
@@ -66,8 +68,8 @@
 
     /// It was not heard for longer than lost reports explain.
     pub fn missing(&mut self, now: u64, silent_ms: u64, config: &Config) {
-        let break_ms = u64::from(config.raise + 2) * config.report_ms;
-        let alive = match (self.has(Kind::Silent), self.has(Kind::Gone)) {
+        let break_ms = u64::from(config.raise_after_windows + 2) * config.report_ms;
+        let alive = match (self.has(FindingKind::Silent), self.has(FindingKind::Gone)) {
             // Once said, it must hold for some windows before the other is said.
             (true, _) => self.alive.is_some_and(|(last, _)| now.saturating_sub(last) <= break_ms),
             (_, true) => {
@@ -76,13 +78,15 @@
             _ => self.held_alive(now, config),
         };
         let (kind, other, held) = match alive {
-            true => (Kind::Silent, Kind::Gone, "peers hold it for alive"),
-            false => (Kind::Gone, Kind::Silent, "no peer holds it for alive"),
+            true => (FindingKind::Silent, FindingKind::Gone, "peers hold it for alive"),
+            false => (FindingKind::Gone, FindingKind::Silent, "no peer holds it for alive"),
         };
         let since_ms = now - silent_ms;
         let evidence = format!("no report for {silent_ms} ms, {held}");
         // What it did before it went silent, nobody knows of it any more.
-        for kind in [other, Kind::Lagging, Kind::Diverged, Kind::Ahead, Kind::Effect] {
+        for kind in
+            [other, FindingKind::Lagging, FindingKind::Diverged, FindingKind::Ahead, FindingKind::Effect]
+        {
             *self.mark(kind) = Mark::default();
         }
         *self.mark(kind) = Mark { active: true, since_ms, evidence, ..Mark::default() };
@@ -90,13 +94,13 @@
 
     /// Whether it started or came back too often.
     pub fn flaps(&mut self, now: u64, config: &Config) {
-        let recent = self.turns.iter().filter(|at| now.saturating_sub(**at) <= config.flap_ms);
+        let recent = self.turns.iter().filter(|at| now.saturating_sub(**at) <= config.flap_window_ms);
         let (count, first) = (recent.clone().count(), recent.min().copied().unwrap_or(now));
-        let mark = self.mark(Kind::Flapping);
-        if count >= config.flaps {
-            mark.evidence = format!("started or came back {count} times in {} ms", config.flap_ms);
+        let mark = self.mark(FindingKind::Flapping);
+        if count >= config.flap_threshold {
+            mark.evidence = format!("started or came back {count} times in {} ms", config.flap_window_ms);
             (mark.active, mark.since_ms) = (true, if mark.active { mark.since_ms } else { first });
         }
-        mark.active &= count > config.flaps / 2;
+        mark.active &= count > config.flap_threshold / 2;
     }
 }
--- a/src/route_table/member.rs
+++ b/src/route_table/member.rs
@@ -1,6 +1,6 @@
 //! What is known of one proxy.
 
-use super::finding::Kind;
+use super::finding::FindingKind;
 use super::shares::Recent;
 use super::spread::Spread;
 use super::{Config, Report, Revision};
@@ -38,11 +38,11 @@
                 }
                 (self.bad, self.good) = (self.bad.saturating_add(1), 0);
                 (self.cause, self.evidence) = (cause, evidence);
-                self.active |= self.bad >= config.raise;
+                self.active |= self.bad >= config.raise_after_windows;
             }
             None => {
                 (self.good, self.bad) = (self.good.saturating_add(1), 0);
-                self.active &= self.good < config.clear;
+                self.active &= self.good < config.clear_after_windows;
             }
         }
     }
@@ -80,7 +80,7 @@
     pub spread: Spread,
     /// What it met in the last windows.
     pub recent: Recent,
-    pub marks: [Mark; Kind::COUNT],
+    pub marks: [Mark; FindingKind::COUNT],
     /// Reports in a window.
     burst: (u64, u32),
 }
@@ -113,16 +113,16 @@
         self.burst.1 > BURST
     }
 
-    pub fn mark(&mut self, kind: Kind) -> &mut Mark {
+    pub fn mark(&mut self, kind: FindingKind) -> &mut Mark {
         &mut self.marks[kind as usize]
     }
 
-    pub fn has(&self, kind: Kind) -> bool {
+    pub fn has(&self, kind: FindingKind) -> bool {
         self.marks[kind as usize].active
     }
 
     /// Whether it is or is about to be.
-    pub fn seems(&self, kind: Kind) -> bool {
+    pub fn seems(&self, kind: FindingKind) -> bool {
         self.has(kind) || self.marks[kind as usize].bad > 1
     }
 
@@ -162,7 +162,7 @@
                 }
                 if newer && !late {
                     let what = format!("a process of generation {} still reports", report.generation);
-                    self.mark(Kind::Zombie).note(now, Some((0, what)), config);
+                    self.mark(FindingKind::Zombie).note(now, Some((0, what)), config);
                 }
                 (Taken::No, None)
             }
--- a/src/route_table/mod.rs
+++ b/src/route_table/mod.rs
@@ -22,16 +22,18 @@
 mod spread;
 mod table;
 
-pub use check::{Backend, MAX_NAME, MAX_WEIGHT, MAX_WHY, Refused, check, list_digest};
+pub use check::{Backend, MAX_NAME, MAX_OVERRIDE_REASON, MAX_WEIGHT, ProposalError, check, list_digest};
 pub use config::{Config, ConfigError};
 pub use control::Control;
-pub use effect::{Effect, Outcome, Stale};
-pub use finding::{Finding, Kind};
+pub use effect::{AcceptedProposal, Effect, StaleVerdict};
+pub use finding::{Finding, FindingKind};
 use listing::Backends;
 pub use pages::{DriftPage, StatePage};
-pub use record::{Admitted, End, Known, Past, Rollout, RouteRecord, Stage, Work};
-pub use report::{LeftOut, MAX_REPORTED, MAX_WITNESSED, Report, Witness};
-pub use reports::{BadReport, MAX_COUNT};
+pub use record::{
+    ActiveProposal, Admission, EndedProposal, IssuedRevision, ProposalOutcome, Rollout, RouteRecord, Stage,
+};
+pub use report::{ExclusionReason, MAX_REPORTED, MAX_WITNESSED, Report, Witness};
+pub use reports::{MAX_COUNT, ReportError};
 pub use rollout::{rank, target};
-pub use shares::Shares;
+pub use shares::OutcomeCounts;
 pub use table::{MAX_WEIGHTS, Proposal, Revision, Table, Weights};
--- a/src/route_table/pages.rs
+++ b/src/route_table/pages.rs
@@ -1,8 +1,8 @@
 //! What operators read.
 
 use super::control::Control;
-use super::record::{Past, Work};
-use super::{Finding, Revision, Shares, Table};
+use super::record::{ActiveProposal, EndedProposal};
+use super::{Finding, OutcomeCounts, Revision, Table};
 use serde::Serialize;
 
 /// The state of the table: what is in force, what is proposed, what became of earlier proposals.
@@ -15,15 +15,18 @@
     /// The last good table.
     pub in_force: Table,
     /// The proposal in work, with its rollout.
-    pub work: Option<Work>,
+    #[serde(rename = "work")]
+    pub active: Option<ActiveProposal>,
     /// What the rollout waits for.
-    pub waits: Option<String>,
+    #[serde(rename = "waits")]
+    pub waiting_for: Option<String>,
     /// What was counted since the stage began: of those who have the new table.
-    pub with_table: Shares,
+    pub with_table: OutcomeCounts,
     /// And of those who have not.
-    pub without_table: Shares,
+    pub without_table: OutcomeCounts,
     /// How earlier ones ended, newest last.
-    pub past: Vec<Past>,
+    #[serde(rename = "past")]
+    pub ended: Vec<EndedProposal>,
 }
 
 /// What the drift detector says.
@@ -54,11 +57,11 @@
             newest: self.newest_revision(),
             version: self.version(),
             in_force: self.record.in_force.clone(),
-            work: self.record.work.clone(),
-            waits: self.standing.waits.clone(),
+            active: self.record.active.clone(),
+            waiting_for: self.standing.waits.clone(),
             with_table: self.standing.have,
             without_table: self.standing.without,
-            past: self.record.past.clone(),
+            ended: self.record.ended.clone(),
         }
     }
 
--- a/src/route_table/record.rs
+++ b/src/route_table/record.rs
@@ -1,6 +1,6 @@
 //! What is durable of the route table: one record holds all of it, so that the newest one is enough to go on from.
 
-use super::{Revision, Shares, Table, Weights};
+use super::{OutcomeCounts, Revision, Table, Weights};
 use crate::replay::Verdict;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -18,45 +18,57 @@
     /// The change that last altered which table anybody is to have: what watches compare.
     pub version: u64,
     /// The highest revision ever given.
-    pub last: Revision,
+    #[serde(rename = "last")]
+    pub highest_revision: Revision,
     /// The last good table: what all have who are not in a rollout's stage.
     pub in_force: Table,
     /// What was given out: revision and digest.
-    pub known: Vec<Known>,
+    #[serde(rename = "known")]
+    pub issued: Vec<IssuedRevision>,
     /// The proposal in work, if any.
-    pub work: Option<Work>,
+    #[serde(rename = "work")]
+    pub active: Option<ActiveProposal>,
     /// How earlier ones ended.
-    pub past: Vec<Past>,
+    #[serde(rename = "past")]
+    pub ended: Vec<EndedProposal>,
 }
 
 impl RouteRecord {
     /// Before the first proposal: revision 0, every weight 1.
     pub fn empty() -> Self {
         let digest = Weights::default().digest();
-        let known = vec![Known { revision: 0, digest: digest.clone() }];
+        let known = vec![IssuedRevision { revision: 0, digest: digest.clone() }];
         let in_force = Table { digest, ..Table::default() };
-        RouteRecord { change: 0, version: 0, last: 0, in_force, known, work: None, past: Vec::new() }
+        RouteRecord {
+            change: 0,
+            version: 0,
+            highest_revision: 0,
+            in_force,
+            issued: known,
+            active: None,
+            ended: Vec::new(),
+        }
     }
 
     /// The table that a proxy is to have.
-    pub fn meant_for(&self, name: &str) -> &Table {
+    pub fn target_table(&self, name: &str) -> &Table {
         let given = |rollout: &&Rollout| rollout.stage == Stage::All || rollout.members.contains(name);
-        match &self.work {
-            Some(Work { table, rollout, .. }) if rollout.as_ref().filter(given).is_some() => table,
+        match &self.active {
+            Some(ActiveProposal { table, rollout, .. }) if rollout.as_ref().filter(given).is_some() => table,
             _ => &self.in_force,
         }
     }
 
     /// Which verdict is awaited: revision, and digest of the list.
     pub(super) fn awaited(&self) -> Option<(Revision, &str)> {
-        let work = self.work.as_ref().filter(|work| work.admitted == Admitted::Awaited)?;
-        Some((work.table.revision, &work.list))
+        let work = self.active.as_ref().filter(|work| work.admission == Admission::Awaited)?;
+        Some((work.table.revision, &work.list_digest))
     }
 }
 
 /// A revision that went out.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
-pub struct Known {
+pub struct IssuedRevision {
     /// Its number.
     pub revision: Revision,
     /// Digest of its weights.
@@ -65,13 +77,15 @@
 
 /// A proposal that was taken and has not ended.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
-pub struct Work {
+pub struct ActiveProposal {
     /// Its table.
     pub table: Table,
     /// By what it may go out.
-    pub admitted: Admitted,
+    #[serde(rename = "admitted")]
+    pub admission: Admission,
     /// [`super::list_digest`] of the backends it was checked against.
-    pub list: String,
+    #[serde(rename = "list")]
+    pub list_digest: String,
     /// The replay's verdict, if it has one.
     pub verdict: Option<Verdict>,
     /// Its rollout, once that has begun.
@@ -81,7 +95,7 @@
 /// By what a table may go out.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 #[serde(rename_all = "snake_case", tag = "by")]
-pub enum Admitted {
+pub enum Admission {
     /// Nothing yet: its verdict is awaited.
     Awaited,
     /// The replay's verdict.
@@ -103,13 +117,16 @@
     /// To whom: those who are to have it, before the last stage. Empty until the fleet is known.
     pub members: BTreeSet<String>,
     /// What those met before who were given it since.
-    pub own: Shares,
+    #[serde(rename = "own")]
+    pub member_baseline: OutcomeCounts,
     /// What the fleet without it met before, to compare with where too few are left without.
-    pub before: Shares,
+    #[serde(rename = "before")]
+    pub fleet_baseline: OutcomeCounts,
     /// When it began, Unix time in milliseconds.
     pub began_ms: u64,
     /// When the stage began.
-    pub stage_ms: u64,
+    #[serde(rename = "stage_ms")]
+    pub stage_began_ms: u64,
 }
 
 /// The stages of a rollout.
@@ -128,7 +145,7 @@
 
 /// A proposal that has ended.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
-pub struct Past {
+pub struct EndedProposal {
     /// Its revision.
     pub revision: Revision,
     /// The table it was made from.
@@ -136,21 +153,23 @@
     /// Who proposed it.
     pub by: String,
     /// When it was taken.
-    pub at_ms: u64,
+    #[serde(rename = "at_ms")]
+    pub accepted_ms: u64,
     /// By what it could go out.
-    pub admitted: Admitted,
+    #[serde(rename = "admitted")]
+    pub admission: Admission,
     /// Its verdict, without the predictions.
     pub verdict: Option<Verdict>,
     /// When it ended.
     pub ended_ms: u64,
     /// How.
-    pub end: End,
+    pub end: ProposalOutcome,
 }
 
 /// How a proposal ended.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 #[serde(rename_all = "snake_case", tag = "end")]
-pub enum End {
+pub enum ProposalOutcome {
     /// All have it: it is in force.
     Done,
     /// The rollout stopped.
@@ -160,7 +179,8 @@
         /// Why, and what to do.
         why: String,
         /// The revision by which the last good weights went out, if anybody had been given others.
-        back: Option<Revision>,
+        #[serde(rename = "back")]
+        rollback_revision: Option<Revision>,
     },
     /// The verdict was `refuse`.
     Refused,
--- a/src/route_table/report.rs
+++ b/src/route_table/report.rs
@@ -40,7 +40,7 @@
     /// Calls of the window that a backend answered with an error or did not answer.
     pub errors: BTreeMap<String, u64>,
     /// Backends that get less than their weight says, and why.
-    pub left_out: BTreeMap<String, LeftOut>,
+    pub left_out: BTreeMap<String, ExclusionReason>,
     /// How many of the tier's proxies it holds for alive, itself included; 0 without membership.
     pub alive: u32,
     /// What it knows of some of the others, those found dead among them; from a place drawn by chance in each report, so
@@ -51,7 +51,7 @@
 /// Why a backend gets less than its weight says.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum LeftOut {
+pub enum ExclusionReason {
     /// Out of service for its errors, its slowness or its silence.
     Ejected,
     /// It started a short while ago.
--- a/src/route_table/reports.rs
+++ b/src/route_table/reports.rs
@@ -10,7 +10,7 @@
 
 /// Why a report was not taken, and what to do.
 #[derive(thiserror::Error, Clone, Debug, PartialEq)]
-pub enum BadReport {
+pub enum ReportError {
     /// A name past its length, empty or with control characters.
     #[error("{what}: must be 1 to {MAX_NAME} printable bytes: correct the proxy's configuration")]
     Name {
@@ -66,33 +66,33 @@
     },
 }
 
-impl BadReport {
+impl ReportError {
     /// The status of the answer.
     pub fn status(&self) -> u16 {
         match self {
-            BadReport::TooMany { .. } => 413,
-            BadReport::TooOften { .. } => 429,
-            BadReport::Full { .. } | BadReport::FullCounts { .. } => 503,
+            ReportError::TooMany { .. } => 413,
+            ReportError::TooOften { .. } => 429,
+            ReportError::Full { .. } | ReportError::FullCounts { .. } => 503,
             _ => 400,
         }
     }
 }
 
 /// Checks a report by itself.
-pub(super) fn check(report: &Report, now: u64, config: &Config) -> Result<(), BadReport> {
+pub(super) fn check(report: &Report, now: u64, config: &Config) -> Result<(), ReportError> {
     let maps =
         [("calls", report.calls.len()), ("errors", report.errors.len()), ("left_out", report.left_out.len())];
     for (what, count) in maps {
         if count > MAX_REPORTED {
-            return Err(BadReport::TooMany { what, count, most: MAX_REPORTED });
+            return Err(ReportError::TooMany { what, count, most: MAX_REPORTED });
         }
     }
     let count = report.members.len();
     if count > MAX_WITNESSED {
-        return Err(BadReport::TooMany { what: "members", count, most: MAX_WITNESSED });
+        return Err(ReportError::TooMany { what: "members", count, most: MAX_WITNESSED });
     }
     if report.zone.len() > MAX_NAME || report.zone.chars().any(char::is_control) {
-        return Err(BadReport::Name { what: "zone" });
+        return Err(ReportError::Name { what: "zone" });
     }
     let backends = report.calls.keys().chain(report.errors.keys()).chain(report.left_out.keys());
     let names = [("name", &report.name)].into_iter();
@@ -100,11 +100,11 @@
     if let Some((what, _)) =
         names.chain(backends.map(|name| ("backend", name))).find(|(_, name)| !plain(name, MAX_NAME))
     {
-        return Err(BadReport::Name { what });
+        return Err(ReportError::Name { what });
     }
     let hex = |byte: u8| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte);
     if report.digest.len() != 16 || !report.digest.bytes().all(hex) {
-        return Err(BadReport::Digest);
+        return Err(ReportError::Digest);
     }
     let latest = now.saturating_add(AHEAD_MS);
     let counts = [&report.requests, &report.refused, &report.failed].into_iter();
@@ -120,7 +120,7 @@
         ("counts", most, most > MAX_COUNT),
     ];
     match numbers.into_iter().find(|(_, _, bad)| *bad) {
-        Some((what, value, _)) => Err(BadReport::Number { what, value }),
+        Some((what, value, _)) => Err(ReportError::Number { what, value }),
         None => Ok(()),
     }
 }
--- a/src/route_table/rollout.rs
+++ b/src/route_table/rollout.rs
@@ -2,7 +2,7 @@
 //! those who have the table do no worse than those who have not.
 
 use super::record::{Rollout, Stage};
-use super::{Config, Shares};
+use super::{Config, OutcomeCounts};
 use sha2::{Digest, Sha256};
 use std::collections::BTreeSet;
 
@@ -18,9 +18,9 @@
     /// Since when.
     pub from_ms: u64,
     /// Of those who have the table.
-    pub have: Shares,
+    pub have: OutcomeCounts,
     /// Of those who have not.
-    pub without: Shares,
+    pub without: OutcomeCounts,
     /// What it waits for.
     pub waits: Option<String>,
 }
@@ -74,10 +74,10 @@
 
 /// What is next. Asked at every tick; the answer is a change of the record, or to wait.
 pub(super) fn step(config: &Config, now: u64, rollout: &Rollout, standing: &Standing, fleet: &Fleet) -> Step {
-    let over = now.saturating_sub(standing.from_ms) > config.longest_ms;
+    let over = now.saturating_sub(standing.from_ms) > config.stage_timeout_ms;
     let wait = |what: String| match over {
         false => Step::Wait(what),
-        true => Step::Stop(format!("waited for {} ms: {what}", config.longest_ms)),
+        true => Step::Stop(format!("waited for {} ms: {what}", config.stage_timeout_ms)),
     };
     if !fleet.heard {
         return wait(
@@ -86,7 +86,7 @@
     }
     let is_member = |l: &&Living| rollout.stage == Stage::All || rollout.members.contains(l.name);
     let (members, others): (Vec<_>, Vec<_>) = fleet.living.iter().partition(is_member);
-    let wanted = target(rollout.stage, fleet.living.len(), config.few);
+    let wanted = target(rollout.stage, fleet.living.len(), config.first_stage_proxies);
     if wanted == 0 {
         return wait("no proxy reports: configure the proxies' reports".into());
     }
@@ -95,11 +95,14 @@
         let more = (wanted - members.len()).min(2 * wanted - rollout.members.len());
         return Step::Go(rollout.stage, with_next(&rollout.members, others, more));
     }
-    let without =
-        if standing.without.requests >= config.least_requests { &standing.without } else { &rollout.before };
+    let without = if standing.without.requests >= config.min_requests {
+        &standing.without
+    } else {
+        &rollout.fleet_baseline
+    };
     // Worse than the others, and worse than it was with themselves: proxies differ in what they call.
-    let than_before =
-        rollout.own.requests < config.least_requests || standing.have.worse(&rollout.own, config).is_some();
+    let than_before = rollout.member_baseline.requests < config.min_requests
+        || standing.have.worse(&rollout.member_baseline, config).is_some();
     if let Some(worse) = standing.have.worse(without, config).filter(|_| than_before) {
         return Step::Stop(format!("{worse}: see what the new weights send where, propose others"));
     }
@@ -121,10 +124,10 @@
         ));
     }
     let stood = now.saturating_sub(standing.from_ms);
-    if stood < config.stand_ms {
-        return Step::Wait(format!("stands for {} of {} ms", stood, config.stand_ms));
+    if stood < config.min_stage_ms {
+        return Step::Wait(format!("stands for {} of {} ms", stood, config.min_stage_ms));
     }
-    let (have, least) = (standing.have.requests, config.least_requests);
+    let (have, least) = (standing.have.requests, config.min_requests);
     if have < least || without.requests < least {
         let there = without.requests;
         return wait(format!(
@@ -135,11 +138,12 @@
         return Step::Done;
     }
     let wider = [Stage::Tenth, Stage::Half].into_iter().find(|stage| {
-        *stage > rollout.stage && target(*stage, fleet.living.len(), config.few) > members.len()
+        *stage > rollout.stage
+            && target(*stage, fleet.living.len(), config.first_stage_proxies) > members.len()
     });
     match wider {
         Some(stage) => {
-            let more = target(stage, fleet.living.len(), config.few) - members.len();
+            let more = target(stage, fleet.living.len(), config.first_stage_proxies) - members.len();
             Step::Go(stage, with_next(&rollout.members, others, more))
         }
         None => Step::Go(Stage::All, rollout.members.clone()),
--- a/src/route_table/spread.rs
+++ b/src/route_table/spread.rs
@@ -58,7 +58,7 @@
 
     /// Once there are calls enough: what is wrong, if anything; then it counts from 0 again.
     pub fn judge(&mut self, weights: &Weights, listed: &Backends, config: &Config) -> Option<Option<String>> {
-        if self.calls < config.least_calls {
+        if self.calls < config.min_calls {
             return None;
         }
         let counted = std::mem::take(self);
@@ -112,7 +112,7 @@
         freedom += cells.len().saturating_sub(1);
     }
     let by_chance = ChiSquared::new(freedom as f64).ok().map(|d| d.sf((g / config.dispersion).max(0.0)))?;
-    let wrong = by_chance < config.chance && worst.0 > config.effect_margin;
+    let wrong = by_chance < config.significance_level && worst.0 > config.min_effect_size;
     let (_, name, calls, expected) = worst;
     let odds = 1.0 / by_chance.max(1e-12);
     let what = || {
--- a/src/route_table/table.rs
+++ b/src/route_table/table.rs
@@ -69,7 +69,8 @@
     /// Who proposed it.
     pub by: String,
     /// When it was taken, Unix time in milliseconds.
-    pub at_ms: u64,
+    #[serde(rename = "at_ms")]
+    pub accepted_ms: u64,
 }
 
 /// What an operator proposes.
--- a/tests/drift.rs
+++ b/tests/drift.rs
@@ -9,10 +9,14 @@
 
 /// Forty proxies of which all have a table.
 fn settled(seed: u64) -> Fleet {
-    let mut fleet = Fleet::new(40, Config { stand_ms: 5000, ..unjudged() }, seed);
+    let mut fleet = Fleet::new(40, Config { min_stage_ms: 5000, ..unjudged() }, seed);
     fleet.run(40_000);
     fleet.propose(proposal(0, &[("b0", 2.0), ("b3", 0.5)])).expect("taken");
-    assert!(fleet.until(200_000, |f| f.end() == Some(End::Done)), "{:?}", fleet.control.state_page());
+    assert!(
+        fleet.until(200_000, |f| f.end() == Some(ProposalOutcome::Done)),
+        "{:?}",
+        fleet.control.state_page()
+    );
     fleet.run(20_000);
     assert_eq!(fleet.raised, []);
     fleet
@@ -26,16 +30,16 @@
 }
 
 #[rstest]
-#[case::lagging(older, Kind::Lagging, 40)]
-#[case::diverged(spoil, Kind::Diverged, 25)]
-#[case::ahead(unknown, Kind::Ahead, 25)]
-#[case::effect(even, Kind::Effect, 200)]
-#[case::silent(cut, Kind::Silent, 30)]
-#[case::gone(down, Kind::Gone, 30)]
-#[case::flapping(restarts, Kind::Flapping, 60)]
+#[case::lagging(older, FindingKind::Lagging, 40)]
+#[case::diverged(spoil, FindingKind::Diverged, 25)]
+#[case::ahead(unknown, FindingKind::Ahead, 25)]
+#[case::effect(even, FindingKind::Effect, 200)]
+#[case::silent(cut, FindingKind::Silent, 30)]
+#[case::gone(down, FindingKind::Gone, 30)]
+#[case::flapping(restarts, FindingKind::Flapping, 60)]
 fn what_one_proxy_does_wrong_is_found_in_time_and_clears(
     #[case] fault: Fault,
-    #[case] kind: Kind,
+    #[case] kind: FindingKind,
     #[case] seconds: u64,
 ) {
     let mut fleet = settled(1);
@@ -64,13 +68,13 @@
     let mut report = fleet.report_of(4);
     for number in 1..20 {
         (report.generation, report.number) = (old.generation, old.number + number);
-        fleet.control.report(fleet.now, report.clone()).expect("taken");
+        fleet.control.receive_report(fleet.now, report.clone()).expect("taken");
         fleet.run(5000);
         if number == 1 {
             assert_eq!(fleet.findings(), [], "late");
         }
     }
-    assert_eq!(fleet.findings(), [(Kind::Zombie, Some("p4".into()), 1)]);
+    assert_eq!(fleet.findings(), [(FindingKind::Zombie, Some("p4".into()), 1)]);
     assert!(fleet.proxies[4].number > new.number);
     fleet.run(60_000);
     assert_eq!(fleet.findings(), []);
@@ -81,7 +85,7 @@
     let mut fleet = settled(3);
     (0..15).for_each(|n| fleet.proxies[n].linked = false);
     fleet.run(40_000);
-    assert_eq!(fleet.findings(), [(Kind::Silent, None, 15)]);
+    assert_eq!(fleet.findings(), [(FindingKind::Silent, None, 15)]);
     assert_eq!(fleet.raised.len(), 1, "never one by one");
     (0..15).for_each(|n| heal(&mut fleet, n));
     fleet.run(40_000);
@@ -93,12 +97,12 @@
     let mut fleet = settled(4);
     fleet.proxies[30].spoilt = Some("0".repeat(16));
     fleet.run(30_000);
-    let diverged = (Kind::Diverged, Some("p30".into()), 1);
+    let diverged = (FindingKind::Diverged, Some("p30".into()), 1);
     assert_eq!(fleet.findings(), std::slice::from_ref(&diverged));
     (0..20).for_each(|n| fleet.proxies[n].linked = false);
     heal(&mut fleet, 30);
     fleet.run(60_000);
-    assert_eq!(fleet.findings(), [diverged, (Kind::Blind, None, 20)], "neither raised nor cleared");
+    assert_eq!(fleet.findings(), [diverged, (FindingKind::Blind, None, 20)], "neither raised nor cleared");
     assert!(fleet.control.drift_page(fleet.now).blind);
     (0..20).for_each(|n| heal(&mut fleet, n));
     fleet.run(120_000);
@@ -114,7 +118,7 @@
     fleet.run(fleet.config.grace_ms - 1000);
     assert_eq!(fleet.raised, []);
     fleet.run(30_000);
-    assert_eq!(fleet.findings(), [(Kind::Diverged, Some("p4".into()), 1)], "p5 was never known here");
+    assert_eq!(fleet.findings(), [(FindingKind::Diverged, Some("p4".into()), 1)], "p5 was never known here");
     let raised = fleet.raised.len();
     fleet.now += 3_600_000;
     fleet.run(60_000);
@@ -123,7 +127,7 @@
 
 #[test]
 fn spoilt_oversize_and_too_many_reports_are_refused_and_leave_the_others_alone() {
-    let mut fleet = Fleet::new(3, Config { names: 4, counts: 20, ..unjudged() }, 6);
+    let mut fleet = Fleet::new(3, Config { max_proxies: 4, max_backend_counts: 20, ..unjudged() }, 6);
     fleet.run(20_000);
     let (good, now) = (fleet.report_of(0), fleet.now);
     let spoil = |change: &dyn Fn(&mut Report)| {
@@ -148,14 +152,14 @@
         (spoil(&|r| r.members = vec![witness.clone(); MAX_WITNESSED + 1]), 413),
         (spoil(&|r| (r.name, r.calls) = ("p9".into(), (0..30).map(|n| (n.to_string(), 1)).collect())), 503),
     ] {
-        assert_eq!(fleet.control.report(now, bad).map_err(|e| e.status()), Err(status));
+        assert_eq!(fleet.control.receive_report(now, bad).map_err(|e| e.status()), Err(status));
     }
     for name in ["p9", "q"] {
-        let taken = fleet.control.report(now, spoil(&|r| r.name = name.into()));
+        let taken = fleet.control.receive_report(now, spoil(&|r| r.name = name.into()));
         assert_eq!(taken.map_err(|e| e.status()), if name == "q" { Err(503) } else { Ok(()) }, "{name}");
     }
-    let flood = (0..100).map(|n| fleet.control.report(now, spoil(&|r| r.number = 100 + n)));
-    assert!(flood.filter(|taken| matches!(taken, Err(BadReport::TooOften { .. }))).count() > 80);
+    let flood = (0..100).map(|n| fleet.control.receive_report(now, spoil(&|r| r.number = 100 + n)));
+    assert!(flood.filter(|taken| matches!(taken, Err(ReportError::TooOften { .. }))).count() > 80);
     assert_eq!(fleet.control.drift_page(now).revisions.values().sum::<usize>(), 4);
 }
 
@@ -186,12 +190,12 @@
         let mut truth = std::collections::BTreeMap::new();
         for (n, fault) in faults {
             heal(&mut fleet, n);
-            let faults: [(Fault, Kind); 5] = [
-                (older, Kind::Lagging),
-                (spoil, Kind::Diverged),
-                (unknown, Kind::Ahead),
-                (cut, Kind::Silent),
-                (down, Kind::Gone),
+            let faults: [(Fault, FindingKind); 5] = [
+                (older, FindingKind::Lagging),
+                (spoil, FindingKind::Diverged),
+                (unknown, FindingKind::Ahead),
+                (cut, FindingKind::Silent),
+                (down, FindingKind::Gone),
             ];
             let (fault, kind) = faults[fault];
             fault(&mut fleet, n);
@@ -204,7 +208,7 @@
             let mut wanted: Vec<_> = truth.iter().map(|(n, kind)| (*kind, format!("p{n}"))).collect();
             wanted.sort();
             let mut seen: Vec<_> = f.control.drift_page(f.now).findings.into_iter()
-                .flat_map(|found| found.some.into_iter().map(move |name| (found.kind, name))).collect();
+                .flat_map(|found| found.examples.into_iter().map(move |name| (found.kind, name))).collect();
             seen.sort();
             seen == wanted
         };
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -24,7 +24,7 @@
 fn a_table_of_as_many_weights_as_it_may_have_is_taken_and_one_more_is_refused() {
     const { assert!(MAX_WEIGHTS > FLEET) };
     let propose = |count: usize| {
-        let mut control = Control::new(Config { judge: false, ..Config::default() }, NOW);
+        let mut control = Control::new(Config { require_verdict: false, ..Config::default() }, NOW);
         let proposal =
             Proposal { from: 0, weights: weights(count), by: "operator".into(), override_why: None };
         let taken = control.propose(NOW, proposal, &backends(MAX_WEIGHTS + 1));
@@ -34,7 +34,10 @@
     assert_eq!(taken.expect("taken").table.weights.backends.len(), MAX_WEIGHTS);
     let (refused, newest) = propose(MAX_WEIGHTS + 1);
     let refused = refused.expect_err("refused");
-    assert_eq!((&refused, refused.status(), newest), (&Refused::TooMany { count: MAX_WEIGHTS + 1 }, 413, 0));
+    assert_eq!(
+        (&refused, refused.status(), newest),
+        (&ProposalError::TooMany { count: MAX_WEIGHTS + 1 }, 413, 0)
+    );
     assert!(refused.to_string().contains("say it by class or zone"), "{refused}");
 }
 
@@ -64,17 +67,20 @@
 #[test]
 fn reports_of_as_many_proxies_as_are_kept_are_taken_and_those_of_one_more_are_refused() {
     let config = Config::default();
-    let names = config.names;
-    assert!(names > FLEET && config.counts / FLEET > 100, "the fleet has room, each with a hundred backends");
+    let names = config.max_proxies;
+    assert!(
+        names > FLEET && config.max_backend_counts / FLEET > 100,
+        "the fleet has room, each with a hundred backends"
+    );
     let mut control = Control::new(config, NOW);
-    control.list(&backends(18));
+    control.update_backends(&backends(18));
     for n in 0..names {
-        assert_eq!(control.report(NOW, report(&format!("p{n}"), 1)), Ok(()), "proxy {n}");
+        assert_eq!(control.receive_report(NOW, report(&format!("p{n}"), 1)), Ok(()), "proxy {n}");
     }
-    let refused = control.report(NOW, report("one-more", 1)).expect_err("refused");
-    assert_eq!((&refused, refused.status()), (&BadReport::Full { most: names }, 503));
+    let refused = control.receive_report(NOW, report("one-more", 1)).expect_err("refused");
+    assert_eq!((&refused, refused.status()), (&ReportError::Full { most: names }, 503));
     assert!(refused.to_string().contains("raise routes.names"), "{refused}");
-    assert_eq!(control.report(NOW + 5000, report("p0", 2)), Ok(()), "the others go on");
+    assert_eq!(control.receive_report(NOW + 5000, report("p0", 2)), Ok(()), "the others go on");
     assert_eq!(control.drift_page(NOW + 5000).revisions.values().sum::<usize>(), names);
 }
 
@@ -132,19 +138,19 @@
 #[test]
 fn a_report_of_as_many_backends_as_it_may_have_is_taken_and_one_more_is_refused() {
     let mut control = Control::new(Config::default(), NOW);
-    control.list(&backends(MAX_REPORTED));
+    control.update_backends(&backends(MAX_REPORTED));
     let with = |calls: usize, members: usize| {
         let calls: BTreeMap<String, u64> = (0..calls).map(|n| (format!("b{n}"), 1)).collect();
         let witness = |n: usize| Witness { name: format!("w{n}"), generation: 1, alive: true };
         Report { calls, members: (0..members).map(witness).collect(), ..report("p", 1) }
     };
     for (bad, what) in [(with(MAX_REPORTED + 1, 0), "calls"), (with(1, MAX_WITNESSED + 1), "members")] {
-        let refused = control.report(NOW, bad).expect_err("refused");
+        let refused = control.receive_report(NOW, bad).expect_err("refused");
         assert_eq!(refused.status(), 413);
         let text = refused.to_string();
         assert!(text.contains(what) && text.contains("send the others in the next report"), "{text}");
     }
-    assert_eq!(control.report(NOW, with(MAX_REPORTED, MAX_WITNESSED)), Ok(()));
+    assert_eq!(control.receive_report(NOW, with(MAX_REPORTED, MAX_WITNESSED)), Ok(()));
 }
 
 fn member(n: usize) -> Swim {
--- a/tests/route_fleet/mod.rs
+++ b/tests/route_fleet/mod.rs
@@ -65,7 +65,7 @@
 
 /// The configuration without verdicts.
 pub fn unjudged() -> Config {
-    Config { judge: false, ..Config::default() }
+    Config { require_verdict: false, ..Config::default() }
 }
 
 /// The backends b0, b1 ... of two zones.
@@ -123,7 +123,7 @@
             alive: size as u32,
             delayed: Vec::new(),
         };
-        fleet.control.list(&fleet.listed);
+        fleet.control.update_backends(&fleet.listed);
         fleet
     }
 
@@ -149,7 +149,7 @@
     }
 
     /// Proposes, and stores what was taken.
-    pub fn propose(&mut self, proposal: Proposal) -> Result<Revision, Refused> {
+    pub fn propose(&mut self, proposal: Proposal) -> Result<Revision, ProposalError> {
         let outcome = self.control.propose(self.now, proposal, &self.listed)?;
         self.take(vec![Effect::Persist(Box::new(outcome.record))]);
         Ok(outcome.table.revision)
@@ -163,7 +163,7 @@
         let records: Vec<RouteRecord> = self.log.iter().chain(&self.log).map(read).collect();
         let (control, effects) = Control::restore(self.config.clone(), records, self.now);
         self.control = control;
-        self.control.list(&self.listed);
+        self.control.update_backends(&self.listed);
         self.take(effects);
     }
 
@@ -183,7 +183,7 @@
                     let (requests, proposed) = (1, None);
                     let verdict =
                         Verdict { from, digest, records, requests, decision, in_force: None, proposed };
-                    let effects = self.control.verdict(self.now, verdict).expect("awaited");
+                    let effects = self.control.receive_verdict(self.now, verdict).expect("awaited");
                     self.take(effects);
                 }
                 Effect::Cancel { .. } => self.cancelled += 1,
@@ -195,14 +195,14 @@
     }
 
     /// Kinds that are raised now, with their proxy, or how many.
-    pub fn findings(&self) -> Vec<(Kind, Option<String>, usize)> {
+    pub fn findings(&self) -> Vec<(FindingKind, Option<String>, usize)> {
         let of = |f: Finding| (f.kind, f.proxy, f.proxies);
         self.control.drift_page(self.now).findings.into_iter().map(of).collect()
     }
 
     /// How the last proposal ended.
-    pub fn end(&self) -> Option<End> {
-        self.control.state_page().past.last().map(|past| past.end.clone())
+    pub fn end(&self) -> Option<ProposalOutcome> {
+        self.control.state_page().ended.last().map(|past| past.end.clone())
     }
 
     /// How many have a revision.
--- a/tests/route_fleet/reports.rs
+++ b/tests/route_fleet/reports.rs
@@ -5,7 +5,7 @@
 impl Fleet {
     pub(super) fn watches(&mut self) {
         for proxy in self.proxies.iter_mut().filter(|p| p.up && p.linked && p.takes) {
-            let meant = self.control.meant_for(&proxy.name);
+            let meant = self.control.target_table(&proxy.name);
             if meant.revision > proxy.table.revision {
                 proxy.table = meant.clone();
             }
@@ -32,14 +32,14 @@
             if self.rng.f64() < self.late {
                 self.delayed.push((now + self.rng.u64(0..8000), report));
             } else {
-                self.control.report(now, report).expect("taken");
+                self.control.receive_report(now, report).expect("taken");
             }
         }
         let mut at = 0;
         while at < self.delayed.len() {
             if self.delayed[at].0 <= now {
                 let (_, report) = self.delayed.swap_remove(at);
-                self.control.report(now, report).expect("taken");
+                self.control.receive_report(now, report).expect("taken");
             } else {
                 at += 1;
             }
--- a/tests/routes/proposals.rs
+++ b/tests/routes/proposals.rs
@@ -36,20 +36,26 @@
     for by in ["", "a\n", &long] {
         assert!(checked(&Proposal { by: by.into(), ..proposal(0, &[]) }).is_err());
     }
-    assert!(checked(&Proposal { override_why: Some("x".repeat(MAX_WHY + 1)), ..proposal(0, &[]) }).is_err());
+    assert!(
+        checked(&Proposal { override_why: Some("x".repeat(MAX_OVERRIDE_REASON + 1)), ..proposal(0, &[]) })
+            .is_err()
+    );
     let mut zone = proposal(0, &[]);
     zone.weights.zones = BTreeMap::from([("north".into(), 1.0)]);
-    assert_eq!(checked(&zone), Err(Refused::Unknown { kind: "zone", name: "north".into() }));
+    assert_eq!(checked(&zone), Err(ProposalError::Unknown { kind: "zone", name: "north".into() }));
     zone.weights.zones = BTreeMap::from([("east".into(), 0.0)]);
     assert_eq!(checked(&zone), Ok(()), "one of two is emptied in one step");
     zone.weights.classes = BTreeMap::from([("m".into(), 0.0)]);
-    assert_eq!(checked(&zone), Err(Refused::AllZero));
-    assert!(matches!(check(&proposal(0, &[]), &Weights::default(), &[], 4.0), Err(Refused::NoBackends)));
+    assert_eq!(checked(&zone), Err(ProposalError::AllZero));
+    assert!(matches!(
+        check(&proposal(0, &[]), &Weights::default(), &[], 4.0),
+        Err(ProposalError::NoBackends)
+    ));
 }
 
 #[test]
 fn of_two_proposals_from_one_table_one_wins_and_the_other_is_told_which() {
-    let mut fleet = Fleet::new(3, Config { judge_ms: 1000, ..Config::default() }, 1);
+    let mut fleet = Fleet::new(3, Config { verdict_timeout_ms: 1000, ..Config::default() }, 1);
     let propose = |fleet: &mut Fleet, from, weight| {
         fleet.control.propose(fleet.now, proposal(from, &[("b0", weight)]), &fleet.listed.clone())
     };
@@ -60,14 +66,14 @@
         (read.weights.digest(), &read.weights.backends["b0"]),
         (first.table.digest.clone(), &1.333333333)
     );
-    assert_eq!(propose(&mut fleet, 0, 3.0), Err(Refused::Writing), "not on disk yet");
-    fleet.control.put_back();
+    assert_eq!(propose(&mut fleet, 0, 3.0), Err(ProposalError::Writing), "not on disk yet");
+    fleet.control.discard_pending();
     assert_eq!(fleet.control.newest_revision(), 0, "never written, never there");
     let judge = fleet.control.apply(fleet.now, first.record.clone());
     assert!(matches!(&judge[..], [Effect::Judge { table, .. }] if *table == first.table));
     assert!(fleet.control.apply(fleet.now, first.record).is_empty(), "met twice");
     let newest = first.table.revision;
-    assert_eq!(propose(&mut fleet, 0, 3.0), Err(Refused::Conflict { from: 0, newest }));
+    assert_eq!(propose(&mut fleet, 0, 3.0), Err(ProposalError::Conflict { from: 0, newest }));
     let second = propose(&mut fleet, newest, 3.0).expect("knows the first");
     assert!(second.table.revision > newest && second.table.from == 0);
     let effects = fleet.control.apply(fleet.now, second.record);
@@ -75,7 +81,7 @@
         matches!(&effects[..], [Effect::Cancel { revision }, Effect::Judge { .. }] if *revision == newest)
     );
     fleet.run(3000);
-    assert!(matches!(fleet.end(), Some(End::Lapsed { why }) if why.contains("no verdict")));
+    assert!(matches!(fleet.end(), Some(ProposalOutcome::Lapsed { why }) if why.contains("no verdict")));
 }
 
 #[test]
@@ -90,18 +96,18 @@
     let mut fleet = Fleet::new(3, Config::default(), 1);
     fleet.says = Decision::Refuse { breach, largest_step: 0.5 };
     fleet.propose(proposal(0, &[("b0", 3.0)])).expect("taken");
-    assert_eq!((fleet.end(), fleet.control.newest_revision()), (Some(End::Refused), 0));
+    assert_eq!((fleet.end(), fleet.control.newest_revision()), (Some(ProposalOutcome::Refused), 0));
     fleet.says = Decision::CannotTell(Unsure::Old { age_ms: 2.0, most_ms: 1.0 });
     fleet.propose(proposal(0, &[("b0", 3.0)])).expect("taken");
-    assert_eq!(fleet.end(), Some(End::CannotTell));
+    assert_eq!(fleet.end(), Some(ProposalOutcome::CannotTell));
     let judged = fleet.judged;
     let with = Proposal { override_why: Some("an outage".into()), ..proposal(0, &[("b0", 3.0)]) };
     let revision = fleet.propose(with).expect("taken");
     assert_eq!(fleet.judged, judged, "whatever a replay says");
-    let work = fleet.control.state_page().work.expect("in work");
-    assert_eq!(work.admitted, Admitted::Override { why: "an outage".into() });
+    let work = fleet.control.state_page().active.expect("in work");
+    assert_eq!(work.admission, Admission::Override { why: "an outage".into() });
     let busy = fleet.propose(proposal(revision, &[]));
-    assert_eq!(busy, Err(Refused::RollingOut { revision }));
+    assert_eq!(busy, Err(ProposalError::RollingOut { revision }));
 }
 
 #[test]
@@ -112,13 +118,15 @@
     fleet.log.push(taken.record);
     let (mut control, effects) = Control::restore(Config::default(), fleet.log.clone(), fleet.now);
     assert!(matches!(&effects[..], [Effect::Judge { table, .. }] if *table == taken.table));
-    control.list(&fleet.listed[..4]);
+    control.update_backends(&fleet.listed[..4]);
     let effects = control.tick(fleet.now + 1000);
     let [Effect::Persist(record)] = &effects[..] else { panic!("{effects:?}") };
     let effects = control.apply(fleet.now, *record.clone());
     assert!(matches!(&effects[..], [Effect::Cancel { .. }, Effect::Judge { .. }]));
-    control.list(&fleet.listed[1..]);
+    control.update_backends(&fleet.listed[1..]);
     let effects = control.tick(fleet.now + 2000);
     let [Effect::Persist(record)] = &effects[..] else { panic!("{effects:?}") };
-    assert!(matches!(&record.past[0].end, End::Lapsed { why } if why.contains("\"b0\" is not in the list")));
+    assert!(
+        matches!(&record.ended[0].end, ProposalOutcome::Lapsed { why } if why.contains("\"b0\" is not in the list"))
+    );
 }
--- a/tests/routes/rollouts.rs
+++ b/tests/routes/rollouts.rs
@@ -16,18 +16,24 @@
     fleet.run(60_000);
     let revision = fleet.propose(proposal(0, &[("b0", 2.0)])).expect("taken");
     for (stage, size) in [(Stage::Few, 2), (Stage::Tenth, 4), (Stage::Half, 20), (Stage::All, 40)] {
-        let at = |f: &Fleet| f.control.state_page().work?.rollout.map(|r| (r.stage, !r.members.is_empty()));
+        let at = |f: &Fleet| f.control.state_page().active?.rollout.map(|r| (r.stage, !r.members.is_empty()));
         assert!(fleet.until(90_000, |f| at(f) == Some((stage, true))), "{stage:?}: {:?}", fleet.end());
         fleet.run(10_000);
         assert_eq!(fleet.having(revision), size);
-        let before: Vec<_> = fleet.proxies.iter().map(|p| fleet.control.meant_for(&p.name).clone()).collect();
+        let before: Vec<_> =
+            fleet.proxies.iter().map(|p| fleet.control.target_table(&p.name).clone()).collect();
         fleet.kill(usize::MAX);
-        let after: Vec<_> = fleet.proxies.iter().map(|p| fleet.control.meant_for(&p.name).clone()).collect();
+        let after: Vec<_> =
+            fleet.proxies.iter().map(|p| fleet.control.target_table(&p.name).clone()).collect();
         assert_eq!(before, after);
         fleet.run(25_000);
         assert_eq!(fleet.having(revision), size, "the stage stands anew");
     }
-    assert!(fleet.until(60_000, |f| f.end() == Some(End::Done)), "{:?}", fleet.control.state_page());
+    assert!(
+        fleet.until(60_000, |f| f.end() == Some(ProposalOutcome::Done)),
+        "{:?}",
+        fleet.control.state_page()
+    );
     assert_eq!((fleet.control.in_force().revision, fleet.raised.len()), (revision, 0));
 }
 
@@ -38,13 +44,13 @@
     fleet.ill.insert("b0".into(), 0.5);
     let revision = fleet.propose(proposal(0, &[("b0", 4.0)])).expect("taken");
     assert!(fleet.until(120_000, |f| f.end().is_some()));
-    let Some(End::Stopped { stage, why, back: Some(back) }) = fleet.end() else {
+    let Some(ProposalOutcome::Stopped { stage, why, rollback_revision: Some(back) }) = fleet.end() else {
         panic!("{:?}", fleet.end())
     };
     assert!(stage < Stage::All && why.contains("failed") && back > revision, "{stage:?} {why}");
     fleet.run(5000);
     assert_eq!((fleet.having(back), &fleet.control.in_force().weights), (40, &Weights::default()));
-    assert_eq!(fleet.propose(proposal(0, &[])), Err(Refused::Conflict { from: 0, newest: back }));
+    assert_eq!(fleet.propose(proposal(0, &[])), Err(ProposalError::Conflict { from: 0, newest: back }));
 }
 
 #[rstest]
@@ -52,31 +58,35 @@
 #[case::silent(|f: &mut Fleet| f.proxies.iter_mut().for_each(|p| p.linked = false), "too few proxies are heard")]
 #[case::spoilt(|f: &mut Fleet| f.proxies.iter_mut().for_each(|p| p.spoilt = Some("0".repeat(16))), "drift")]
 fn a_rollout_that_cannot_go_on_stops_and_says_why(#[case] fault: fn(&mut Fleet), #[case] says: &str) {
-    let mut fleet = Fleet::new(10, Config { longest_ms: 60_000, ..unjudged() }, 3);
+    let mut fleet = Fleet::new(10, Config { stage_timeout_ms: 60_000, ..unjudged() }, 3);
     fleet.run(60_000);
     fleet.propose(proposal(0, &[("b0", 2.0)])).expect("taken");
     fleet.run(3000);
     fault(&mut fleet);
     assert!(fleet.until(200_000, |f| f.end().is_some()));
-    assert!(matches!(fleet.end(), Some(End::Stopped { why, .. }) if why.contains(says)), "{:?}", fleet.end());
+    assert!(
+        matches!(fleet.end(), Some(ProposalOutcome::Stopped { why, .. }) if why.contains(says)),
+        "{:?}",
+        fleet.end()
+    );
 }
 
 #[test]
 fn an_older_copy_of_the_log_rolls_nobody_back_and_goes_on_above_what_the_fleet_has() {
-    let mut fleet = Fleet::new(20, Config { stand_ms: 5000, ..unjudged() }, 4);
+    let mut fleet = Fleet::new(20, Config { min_stage_ms: 5000, ..unjudged() }, 4);
     fleet.run(60_000);
     let first = fleet.propose(proposal(0, &[("b0", 2.0)])).expect("taken");
-    assert!(fleet.until(120_000, |f| f.end() == Some(End::Done)));
+    assert!(fleet.until(120_000, |f| f.end() == Some(ProposalOutcome::Done)));
     let kept = fleet.log.len();
     let lost = fleet.propose(proposal(first, &[("b0", 1.5)])).expect("taken");
     assert!(fleet.until(120_000, |f| f.having(lost) == 20));
     fleet.run(60_000);
     fleet.kill(kept);
     fleet.run(30_000);
-    assert_eq!(fleet.findings(), [(Kind::Ahead, None, 20)], "one finding of the fleet");
+    assert_eq!(fleet.findings(), [(FindingKind::Ahead, None, 20)], "one finding of the fleet");
     assert_eq!(fleet.having(lost), 20);
     let again = proposal(first, &[("b0", 1.0)]);
-    assert_eq!(fleet.propose(again.clone()), Err(Refused::Ahead { proxies: 20 }));
+    assert_eq!(fleet.propose(again.clone()), Err(ProposalError::Ahead { proxies: 20 }));
     let whole = Proposal { override_why: Some("the log was lost".into()), ..again };
     let next = fleet.propose(whole).expect("taken");
     assert!(next > lost);
@@ -98,7 +108,7 @@
         ill in 0.0..0.2f64,
         kills in proptest::collection::vec((1u64..120, any::<bool>()), 0..6),
     ) {
-        let mut fleet = Fleet::new(size, Config { longest_ms: 120_000, ..unjudged() }, seed);
+        let mut fleet = Fleet::new(size, Config { stage_timeout_ms: 120_000, ..unjudged() }, seed);
         (fleet.loss, fleet.twice, fleet.late) = (loss, 0.1, 0.1);
         fleet.run(40_000);
         fleet.ill.insert("b1".into(), ill);
@@ -108,7 +118,7 @@
             for (revision, digest) in tables(fleet) {
                 assert_eq!(seen.entry(revision).or_insert_with(|| digest.clone()), &digest);
             }
-            let rollout = fleet.control.state_page().work.and_then(|work| work.rollout);
+            let rollout = fleet.control.state_page().active.and_then(|work| work.rollout);
             if let Some(rollout) = rollout.filter(|r| r.stage < Stage::All) {
                 assert!(rollout.members.len() <= 2 * target(rollout.stage, size, 2));
                 assert!(fleet.having(revision) <= rollout.members.len());
@@ -132,7 +142,7 @@
             fleet.run(1000);
             hold(&fleet);
         }
-        prop_assert!(matches!(fleet.end(), Some(End::Done | End::Stopped { .. })), "{:?}", fleet.control.state_page());
+        prop_assert!(matches!(fleet.end(), Some(ProposalOutcome::Done | ProposalOutcome::Stopped { .. })), "{:?}", fleet.control.state_page());
         let meant = fleet.control.in_force().revision;
         prop_assert_eq!(fleet.having(meant), size);
     }
--- a/tests/unit/client/route_table/table.rs
+++ b/tests/unit/client/route_table/table.rs
@@ -15,15 +15,15 @@
     assert_eq!(first.news(&held), Ok(true));
     held.take(&first);
     assert_eq!(first.news(&held), Ok(false), "it is held");
-    assert_eq!(page(2, &[]).news(&held), Err(Spoilt::Behind { revision: 2, held: 3 }));
-    assert_eq!(page(3, &[("s1", 0.6)]).news(&held), Err(Spoilt::Other { held: 3 }));
-    assert!(matches!(page(4, &[("s1", -1.0)]).news(&held), Err(Spoilt::Weight { .. })));
-    assert!(matches!(page(4, &[("s1", f64::INFINITY)]).news(&held), Err(Spoilt::Weight { .. })));
+    assert_eq!(page(2, &[]).news(&held), Err(TableError::Behind { revision: 2, held: 3 }));
+    assert_eq!(page(3, &[("s1", 0.6)]).news(&held), Err(TableError::Other { held: 3 }));
+    assert!(matches!(page(4, &[("s1", -1.0)]).news(&held), Err(TableError::Weight { .. })));
+    assert!(matches!(page(4, &[("s1", f64::INFINITY)]).news(&held), Err(TableError::Weight { .. })));
     let torn = Page { digest: "00".repeat(8), ..page(4, &[("s1", 0.6)]) };
-    assert!(matches!(torn.news(&held), Err(Spoilt::Digest { revision: 4, .. })));
+    assert!(matches!(torn.news(&held), Err(TableError::Digest { revision: 4, .. })));
     let many: Vec<String> = (0..=MAX_WEIGHTS).map(|n| format!("s{n}")).collect();
     let many: Vec<(&str, f64)> = many.iter().map(|name| (name.as_str(), 1.0)).collect();
-    assert!(matches!(page(4, &many).news(&held), Err(Spoilt::Size { .. })));
+    assert!(matches!(page(4, &many).news(&held), Err(TableError::Size { .. })));
     assert_eq!(page(4, &[("s1", 0.6)]).news(&held), Ok(true));
 }
 
