--- a/src/route_table/config.rs
+++ b/src/route_table/config.rs
@@ -1,72 +1,79 @@
-//! What an operator can set of the route table's rollout and drift.
+//! The keys that an operator can set for the rollout and for the drift detector, with their ranges.
+//!
+//! The registry reads them from `[routes]` of its file. `serde(rename)` gives the key of each field;
+//! `docs/routes.md` lists them.
 
 use serde::Deserialize;
 
-/// The keys under `[routes]`. Times in milliseconds.
+/// Settings of the rollout and of the drift detector. Times are in milliseconds.
 #[derive(Deserialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Config {
-    /// Whether a proposal waits for a replay's verdict; without, it starts its rollout at once.
+    /// Whether a proposal waits for the verdict of a replay. Without, its rollout starts at once.
     #[serde(rename = "judge")]
     pub require_verdict: bool,
-    /// Longest that a proposal waits for its verdict; then it lapses.
+    /// Longest wait for a verdict; then the proposal lapses.
     #[serde(rename = "judge_ms")]
     pub verdict_timeout_ms: u64,
-    /// Most that one step may move a backend's weight relative to the mean, as a factor.
+    /// Greatest factor by which one proposal may move a backend's weight relative to the mean.
     #[serde(rename = "step")]
     pub max_weight_step: f64,
-    /// Proxies of the first stage.
+    /// Proxies of the stage `few`.
     #[serde(rename = "few")]
     pub first_stage_proxies: usize,
-    /// How long each stage stands at the least.
+    /// Least time of a stage.
     #[serde(rename = "stand_ms")]
     pub min_stage_ms: u64,
-    /// How long it may wait at the most, for reports or requests; then the rollout stops.
+    /// Longest time for which a stage waits for reports or requests; then the rollout stops.
     #[serde(rename = "longest_ms")]
     pub stage_timeout_ms: u64,
-    /// Requests that either side needs before their shares are compared.
+    /// Least requests of either side in a comparison of shares.
     #[serde(rename = "least_requests")]
     pub min_requests: u64,
-    /// Chance of taking two equal shares for different ones, in each comparison.
+    /// Significance level of each comparison: the probability of finding a difference between equal shares.
     #[serde(rename = "chance")]
     pub significance_level: f64,
-    /// How much worse a share may be in any case.
+    /// Least difference between two shares that counts, whatever its significance.
     #[serde(rename = "margin")]
     pub min_share_difference: f64,
-    /// How often a proxy reports: the length of a window.
+    /// Interval between the reports of a proxy: the length of a window.
     pub report_ms: u64,
-    /// How long a proxy may take to do what it should before that counts as drift.
+    /// Time that a proxy has to take its target table, and time after a start of the registry without
+    /// findings.
     pub grace_ms: u64,
-    /// Bad windows in a row after which a finding is raised.
+    /// Bad windows in a row that raise a finding.
     #[serde(rename = "raise")]
     pub raise_after_windows: u32,
-    /// Good windows in a row after which it is cleared.
+    /// Good windows in a row that clear it.
     #[serde(rename = "clear")]
     pub clear_after_windows: u32,
-    /// Calls over which a proxy's spread is held against the weights.
+    /// Least calls of a test of a proxy's calls against the weights.
     #[serde(rename = "least_calls")]
     pub min_calls: u64,
-    /// How many times the variance of chance a healthy proxy's spread may have: it avoids slow backends, takes turns.
+    /// Variance of a healthy proxy's calls over that of independent random choice: it avoids slow backends
+    /// and takes turns.
     pub dispersion: f64,
-    /// How far a backend's part of a proxy's calls may lie from its weight's in any case, as a share of that.
+    /// Least relative deviation of a backend's calls from those expected that counts, whatever its
+    /// significance.
     #[serde(rename = "effect_margin")]
     pub min_effect_size: f64,
-    /// How long a proxy that went silent counts for the majority that must be heard.
+    /// Time for which a proxy that stopped reporting still counts as alive when the coverage of reports is
+    /// judged.
     #[serde(rename = "count_ms")]
     pub count_silent_ms: u64,
-    /// How long anything is kept of a proxy that is gone.
+    /// Time after which everything that is kept of a lost proxy is dropped.
     pub forget_ms: u64,
-    /// Within this time, so many new starts or returns make a proxy flap.
+    /// Length of the time in which starts and returns are counted for `flapping`.
     #[serde(rename = "flap_ms")]
     pub flap_window_ms: u64,
-    /// See `flap_ms`.
+    /// Starts and returns within that time that raise `flapping`.
     #[serde(rename = "flaps")]
     pub flap_threshold: usize,
-    /// Most proxies of which reports are kept. 16,384 with 18 backends each take 41 MB (measured as the resident memory of
-    /// `limits::reports_of_as_many_proxies_...` over that of another test of its file).
+    /// Most proxies of which reports are kept. 16,384 with 18 backends each take 41 MB (measured as the
+    /// resident memory of `limits::reports_of_as_many_proxies_...` over that of another test of its file).
     #[serde(rename = "names")]
     pub max_proxies: usize,
-    /// Most backends of all kept reports together.
+    /// Most backend counts of all kept reports together.
     #[serde(rename = "counts")]
     pub max_backend_counts: usize,
 }
@@ -100,68 +107,95 @@
     }
 }
 
-/// A key of [`Config`] that nothing could be decided by.
+/// A key of [`Config`] whose value is out of its range.
 #[derive(thiserror::Error, Clone, Debug, PartialEq)]
 #[error("routes.{key}: must be {range}, not {value}; set it or leave it out for its default")]
 pub struct ConfigError {
-    /// Which.
+    /// The key, as in the file.
     pub key: &'static str,
-    /// What it must be.
+    /// Its range.
     pub range: &'static str,
-    /// What it is.
+    /// The value given.
     pub value: String,
 }
 
+/// Longest time that can be set, ms.
+const DAY_MS: u64 = 86_400_000;
+
+/// The check of one key.
+struct KeyCheck {
+    key: &'static str,
+    range: &'static str,
+    valid: bool,
+    value: String,
+}
+
+impl KeyCheck {
+    fn new(key: &'static str, range: &'static str, valid: bool, value: impl ToString) -> Self {
+        KeyCheck { key, range, valid, value: value.to_string() }
+    }
+
+    fn time(key: &'static str, value_ms: u64) -> Self {
+        Self::new(key, "1 to 86400000", (1..=DAY_MS).contains(&value_ms), value_ms)
+    }
+
+    fn share(key: &'static str, value: f64) -> Self {
+        Self::new(key, "above 0 and under 1", value > 0.0 && value < 1.0, value)
+    }
+
+    fn count(key: &'static str, value: u64, most: u64, range: &'static str) -> Self {
+        Self::new(key, range, (1..=most).contains(&value), value)
+    }
+}
+
 impl Config {
-    /// Names the first key that is out of its range.
+    /// Checks the range of each key.
+    ///
+    /// # Errors
+    ///
+    /// The first key that is out of its range.
     pub fn check(&self) -> Result<(), ConfigError> {
-        const DAY: u64 = 86_400_000;
-        let time = |key, value: u64| (key, "1 to 86400000", (1..=DAY).contains(&value), value.to_string());
-        let share =
-            |key, value: f64| (key, "above 0 and under 1", value > 0.0 && value < 1.0, value.to_string());
-        let count =
-            |key, value: u64, most: u64, range| (key, range, (1..=most).contains(&value), value.to_string());
-        let longest = self.stage_timeout_ms >= self.min_stage_ms && self.stage_timeout_ms <= DAY;
-        let keys = [
-            time("judge_ms", self.verdict_timeout_ms),
-            (
-                "step",
-                "1 to 1000",
-                (1.0..=1000.0).contains(&self.max_weight_step),
-                self.max_weight_step.to_string(),
-            ),
-            count("few", self.first_stage_proxies as u64, 4096, "1 to 4096"),
-            time("stand_ms", self.min_stage_ms),
-            ("longest_ms", "stand_ms to 86400000", longest, self.stage_timeout_ms.to_string()),
-            count("least_requests", self.min_requests, 1 << 40, "at least 1"),
-            share("chance", self.significance_level),
-            share("margin", self.min_share_difference),
-            (
-                "report_ms",
-                "100 to 3600000",
-                (100..=3_600_000).contains(&self.report_ms),
-                self.report_ms.to_string(),
-            ),
-            time("grace_ms", self.grace_ms),
-            count("raise", self.raise_after_windows.into(), 1000, "1 to 1000"),
-            count("clear", self.clear_after_windows.into(), 1000, "1 to 1000"),
-            count("least_calls", self.min_calls, 1 << 40, "at least 1"),
-            (
-                "effect_margin",
-                "0 to 1000",
-                (0.0..=1000.0).contains(&self.min_effect_size),
-                self.min_effect_size.to_string(),
-            ),
-            time("count_ms", self.count_silent_ms),
-            time("forget_ms", self.forget_ms),
-            time("flap_ms", self.flap_window_ms),
-            count("flaps", self.flap_threshold as u64, 64, "1 to 64"),
-            count("names", self.max_proxies as u64, 1 << 16, "1 to 65536"),
-            count("counts", self.max_backend_counts as u64, 1 << 24, "1 to 16777216"),
-        ];
-        match keys.into_iter().find(|(_, _, good, _)| !good) {
-            Some((key, range, _, value)) => Err(ConfigError { key, range, value }),
+        let keys = self.rollout_keys().into_iter().chain(self.drift_keys());
+        match keys.into_iter().find(|key| !key.valid) {
+            Some(KeyCheck { key, range, value, .. }) => Err(ConfigError { key, range, value }),
             None => Ok(()),
         }
     }
+
+    fn rollout_keys(&self) -> [KeyCheck; 8] {
+        let step = self.max_weight_step;
+        let timeout_ms = self.stage_timeout_ms;
+        let valid_timeout = timeout_ms >= self.min_stage_ms && timeout_ms <= DAY_MS;
+        [
+            KeyCheck::time("judge_ms", self.verdict_timeout_ms),
+            KeyCheck::new("step", "1 to 1000", (1.0..=1000.0).contains(&step), step),
+            KeyCheck::count("few", self.first_stage_proxies as u64, 4096, "1 to 4096"),
+            KeyCheck::time("stand_ms", self.min_stage_ms),
+            KeyCheck::new("longest_ms", "stand_ms to 86400000", valid_timeout, timeout_ms),
+            KeyCheck::count("least_requests", self.min_requests, 1 << 40, "at least 1"),
+            KeyCheck::share("chance", self.significance_level),
+            KeyCheck::share("margin", self.min_share_difference),
+        ]
+    }
+
+    fn drift_keys(&self) -> [KeyCheck; 12] {
+        let report_ms = self.report_ms;
+        let valid_report_ms = (100..=3_600_000).contains(&report_ms);
+        let effect_size = self.min_effect_size;
+        let valid_effect_size = (0.0..=1000.0).contains(&effect_size);
+        [
+            KeyCheck::new("report_ms", "100 to 3600000", valid_report_ms, report_ms),
+            KeyCheck::time("grace_ms", self.grace_ms),
+            KeyCheck::count("raise", self.raise_after_windows.into(), 1000, "1 to 1000"),
+            KeyCheck::count("clear", self.clear_after_windows.into(), 1000, "1 to 1000"),
+            KeyCheck::count("least_calls", self.min_calls, 1 << 40, "at least 1"),
+            KeyCheck::new("effect_margin", "0 to 1000", valid_effect_size, effect_size),
+            KeyCheck::time("count_ms", self.count_silent_ms),
+            KeyCheck::time("forget_ms", self.forget_ms),
+            KeyCheck::time("flap_ms", self.flap_window_ms),
+            KeyCheck::count("flaps", self.flap_threshold as u64, 64, "1 to 64"),
+            KeyCheck::count("names", self.max_proxies as u64, 1 << 16, "1 to 65536"),
+            KeyCheck::count("counts", self.max_backend_counts as u64, 1 << 24, "1 to 16777216"),
+        ]
+    }
 }
--- a/src/route_table/finding.rs
+++ b/src/route_table/drift/finding.rs
@@ -1,36 +1,41 @@
-//! What the drift detector says.
+//! The findings of the drift detector: their kinds, what an operator can do about each, and their form on the
+//! page.
+//!
+//! A proxy is reported as lost by `silent` or `gone`: see [`Drift::evaluate`](super::Drift::evaluate) for
+//! when.
 
 use serde::Serialize;
 
-/// What is wrong with a proxy, or with the detector.
+/// What is wrong with a proxy, or with the detector. The serialized names are a contract with operators.
 #[derive(Serialize, Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[serde(rename_all = "snake_case")]
 pub enum FindingKind {
-    /// An older revision for longer than the grace.
+    /// It has an older revision than its target, for longer than `grace_ms` after it could have the target.
     Lagging,
-    /// The right revision, another digest.
+    /// It has an issued revision with another digest than that revision has.
     Diverged,
-    /// A revision that the registry never gave.
+    /// It has a revision that the registry never issued, or one that was rolled back.
     Ahead,
-    /// The right table, but the calls do not follow its weights.
+    /// It has its target table, but its calls do not follow the weights.
     Effect,
-    /// No report, while its peers hold it for alive.
+    /// It sends no reports, while its peers hold it for alive.
     Silent,
-    /// No report, and no peer that holds it for alive.
+    /// It sends no reports, and no peer holds it for alive.
     Gone,
-    /// An older process of the same name still reports.
+    /// An older process with its name still reports.
     Zombie,
-    /// It starts, or comes and goes, again and again.
+    /// It starts, or falls silent and returns, again and again.
     Flapping,
-    /// The detector hears less than a majority of the proxies alive.
+    /// No majority of the live proxies reports to this registry.
     Blind,
 }
 
 impl FindingKind {
-    /// How many there are.
-    pub(super) const COUNT: usize = FindingKind::Blind as usize + 1;
-    /// Those of a proxy. One that flaps is not told of otherwise.
-    pub(super) const OF_PROXIES: [FindingKind; 8] = [
+    /// Number of kinds.
+    pub(crate) const COUNT: usize = FindingKind::Blind as usize + 1;
+    /// The kinds of a proxy, in the order in which they are looked at. Nothing else is raised of a proxy that
+    /// flaps.
+    pub(crate) const OF_PROXIES: [FindingKind; 8] = [
         FindingKind::Flapping,
         FindingKind::Lagging,
         FindingKind::Diverged,
@@ -41,7 +46,7 @@
         FindingKind::Zombie,
     ];
 
-    /// What an operator can do.
+    /// What an operator can do about it.
     pub fn what_to_do(self) -> &'static str {
         match self {
             FindingKind::Lagging => {
@@ -80,25 +85,25 @@
     }
 }
 
-/// Something that is wrong, of one proxy or of many with one cause.
+/// A finding, of one proxy or of many with one cause.
 #[derive(Serialize, Clone, Debug, PartialEq)]
 pub struct Finding {
-    /// What.
+    /// Its kind.
     pub kind: FindingKind,
-    /// The proxy; none where it is the fleet's.
+    /// The proxy; none for a finding of the fleet.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub proxy: Option<String>,
-    /// How many proxies.
+    /// Number of proxies that deviate.
     pub proxies: usize,
-    /// Some of them, at most 8.
+    /// Names of some of them, at most 8.
     #[serde(rename = "some")]
     pub examples: Vec<String>,
-    /// Since when, Unix time in milliseconds: the first bad window.
+    /// Time of the first bad window, Unix time in milliseconds.
     pub since_ms: u64,
-    /// When it was raised.
+    /// When it was raised, Unix time in milliseconds.
     pub raised_ms: u64,
     /// What was seen.
     pub evidence: String,
-    /// What an operator can do.
+    /// See [`FindingKind::what_to_do`].
     pub what_to_do: &'static str,
 }
--- /dev/null
+++ b/src/route_table/drift/grouping.rs
@@ -0,0 +1,119 @@
+//! The findings that are raised, grouped: deviations of many proxies with one cause are one finding of the
+//! fleet, so that a fault of the registry or of a table is one line on the page and in the log instead of
+//! hundreds.
+
+use super::super::{Effect, Finding, FindingKind, Revision};
+use std::collections::BTreeMap;
+
+/// Proxies that a finding names.
+const MAX_EXAMPLES: usize = 8;
+
+/// A kind of deviation and the revision that it comes from.
+pub(super) type Cause = (FindingKind, Revision);
+
+/// A cause and the proxy; none for a finding of the fleet.
+pub(super) type FindingKey = (Cause, Option<String>);
+
+/// A deviation of a proxy that stands.
+pub(super) struct Deviation {
+    /// Kind and revision.
+    pub cause: Cause,
+    /// The proxy's name.
+    pub proxy: String,
+    /// Time of the first bad window.
+    pub since_ms: u64,
+    /// What was seen.
+    pub evidence: String,
+}
+
+/// The findings that are raised.
+#[derive(Default)]
+pub(super) struct RaisedFindings {
+    /// By cause and proxy.
+    pub findings: BTreeMap<FindingKey, Finding>,
+}
+
+impl RaisedFindings {
+    /// Raises and clears findings by the deviations that stand now.
+    ///
+    /// `impending` are further proxies about to deviate by a cause: counted with the others,
+    /// `fleet_threshold` of them make one finding of the fleet. Failure: a fault that reaches proxies window
+    /// by window would first be raised of some proxies singly, and then of the fleet. Without `may_raise`
+    /// findings are only cleared.
+    pub fn update(
+        &mut self,
+        now_ms: u64,
+        deviations: Vec<Deviation>,
+        impending: &BTreeMap<Cause, usize>,
+        fleet_threshold: usize,
+        may_raise: bool,
+    ) -> Vec<Effect> {
+        let mut current = self.group(now_ms, deviations, impending, fleet_threshold);
+        let mut effects = Vec::new();
+        for (key, mut raised) in std::mem::take(&mut self.findings) {
+            if let Some(newer) = current.remove(&key) {
+                let raised_ms = raised.raised_ms;
+                let since_ms = raised.since_ms.min(newer.since_ms);
+                self.findings.insert(key, Finding { raised_ms, since_ms, ..newer });
+                continue;
+            }
+            let (cause, proxy) = key;
+            if proxy.is_some() && current.contains_key(&(cause, None)) {
+                raised.evidence = format!("part of one finding of the fleet: {}", raised.evidence);
+            }
+            effects.push(Effect::Cleared(raised));
+        }
+        if may_raise {
+            effects.extend(current.values().cloned().map(Effect::Raised));
+            self.findings.append(&mut current);
+        }
+        effects
+    }
+
+    /// The findings that the deviations make. A finding of the fleet stays one while any proxy has its cause.
+    fn group(
+        &self,
+        now_ms: u64,
+        deviations: Vec<Deviation>,
+        impending: &BTreeMap<Cause, usize>,
+        fleet_threshold: usize,
+    ) -> BTreeMap<FindingKey, Finding> {
+        let mut by_cause: BTreeMap<Cause, Vec<Deviation>> = BTreeMap::new();
+        for deviation in deviations {
+            by_cause.entry(deviation.cause).or_default().push(deviation);
+        }
+        let mut current = BTreeMap::new();
+        for (cause, group) in by_cause {
+            let count = group.len() + impending.get(&cause).copied().unwrap_or(0);
+            if self.findings.contains_key(&(cause, None)) || count >= fleet_threshold {
+                current.insert((cause, None), finding(now_ms, cause.0, None, &group));
+                continue;
+            }
+            for deviation in group {
+                let proxy = Some(deviation.proxy.clone());
+                let found = finding(now_ms, cause.0, proxy.clone(), &[deviation]);
+                current.insert((cause, proxy), found);
+            }
+        }
+        current
+    }
+}
+
+/// The finding of some proxies with one cause.
+fn finding(now_ms: u64, kind: FindingKind, proxy: Option<String>, group: &[Deviation]) -> Finding {
+    let evidence = match (&proxy, group) {
+        (None, [first, ..]) => format!("{} proxies; {}: {}", group.len(), first.proxy, first.evidence),
+        (_, [first, ..]) => first.evidence.clone(),
+        _ => String::new(),
+    };
+    Finding {
+        kind,
+        proxy,
+        proxies: group.len(),
+        examples: group.iter().take(MAX_EXAMPLES).map(|deviation| deviation.proxy.clone()).collect(),
+        since_ms: group.iter().map(|deviation| deviation.since_ms).min().unwrap_or(now_ms),
+        raised_ms: now_ms,
+        evidence,
+        what_to_do: kind.what_to_do(),
+    }
+}
--- /dev/null
+++ b/src/route_table/drift/receipt.rs
@@ -0,0 +1,83 @@
+//! The receipt of a report: bounds on what is kept, then the checks of its proxy, then what it says of its
+//! peers.
+
+use super::super::backend_list::BackendList;
+use super::super::report_check::check_report;
+use super::super::{Config, OutcomeCounts, Report, ReportError, RouteRecord};
+use super::proxy_state::ProxyState;
+use super::{Drift, ReportOutcome};
+
+impl Drift {
+    /// Takes a report: counts it once, checks the proxy against its target table, and takes what it says of
+    /// its peers.
+    ///
+    /// # Errors
+    ///
+    /// [`ReportError`] if the report is invalid, comes too often, or there is no room for its proxy or
+    /// backends.
+    pub fn receive(
+        &mut self,
+        now_ms: u64,
+        report: Report,
+        record: &RouteRecord,
+        backends: &BackendList,
+        config: &Config,
+    ) -> Result<ReportOutcome, ReportError> {
+        check_report(&report, now_ms, config)?;
+        self.make_room(now_ms, &report, config)?;
+        let silence_threshold_ms = self.report_loss.silence_threshold_ms(config);
+        let Some(proxy) = self.proxies.get_mut(&report.name) else { return Ok(ReportOutcome::Ignored) };
+        if proxy.exceeds_report_rate(now_ms, config) {
+            return Err(ReportError::TooOften { name: report.name, least_ms: config.report_ms });
+        }
+        let other_counts = self.backend_counts - proxy.weight_test.len();
+        if other_counts + report.calls.len() > config.max_backend_counts {
+            return Err(ReportError::FullCounts { most: config.max_backend_counts });
+        }
+        let place = proxy.place_report(now_ms, &report, silence_threshold_ms, config);
+        if let Some(gap) = place.gap {
+            self.report_loss.count_received(gap);
+        }
+        if place.outcome == ReportOutcome::Ignored {
+            return Ok(place.outcome);
+        }
+        self.highest_revision = self.highest_revision.max(report.revision);
+        proxy.recent.add(now_ms / config.report_ms, &OutcomeCounts::of_report(&report));
+        proxy.check_report(now_ms, &report, place.outcome, record, backends, config);
+        self.backend_counts = other_counts + proxy.weight_test.len();
+        self.receive_peer_views(now_ms, &report, config);
+        Ok(place.outcome)
+    }
+
+    /// Takes what a report says of other proxies. Unknown ones that are alive are added while there is room:
+    /// a proxy that never reports is found that way.
+    fn receive_peer_views(&mut self, now_ms: u64, report: &Report, config: &Config) {
+        for peer in report.members.iter().filter(|peer| peer.name != report.name) {
+            let has_room = self.proxies.len() < config.max_proxies;
+            if let Some(proxy) = self.proxies.get_mut(&peer.name) {
+                proxy.receive_peer_view(now_ms, peer.alive, 2 * config.report_ms);
+            } else if has_room && peer.alive {
+                let mut proxy = ProxyState::new(now_ms);
+                proxy.receive_peer_view(now_ms, true, 0);
+                self.proxies.insert(peer.name.clone(), proxy);
+            }
+        }
+    }
+
+    /// Adds the proxy of a report if it is unknown. Past `names` proxies, one that only peers reported is
+    /// dropped for it.
+    fn make_room(&mut self, now_ms: u64, report: &Report, config: &Config) -> Result<(), ReportError> {
+        if self.proxies.contains_key(&report.name) {
+            return Ok(());
+        }
+        if self.proxies.len() >= config.max_proxies {
+            let only_per_peers = self.proxies.iter().find(|(_, proxy)| proxy.latest.is_none());
+            let Some(name) = only_per_peers.map(|(name, _)| name.clone()) else {
+                return Err(ReportError::Full { most: config.max_proxies });
+            };
+            self.proxies.remove(&name);
+        }
+        self.proxies.insert(report.name.clone(), ProxyState::new(now_ms));
+        Ok(())
+    }
+}
--- /dev/null
+++ b/src/route_table/drift/weight_test.rs
@@ -0,0 +1,194 @@
+//! Whether a proxy's calls follow the weights of its table: a G-test of goodness of fit (Sokal and Rohlf,
+//! "Biometry") of the calls that its backends got against their weights, zone by zone, since a proxy may
+//! prefer one zone to another.
+
+use super::super::backend_list::BackendList;
+use super::super::{Config, Report, Weights};
+use statrs::distribution::{ChiSquared, ContinuousCDF};
+use std::collections::BTreeMap;
+
+/// Oldest windows of a test, ms: a proxy with few calls would otherwise be tested by calls of long ago.
+const MAX_TEST_AGE_MS: u64 = 3_600_000;
+/// Least expected calls of a backend in the test: below, G does not follow the chi-squared distribution.
+const MIN_EXPECTED_CALLS: f64 = 5.0;
+/// Largest share of a zone's calls that backends of weight 0 may each get, as while a table changes.
+const MAX_ZERO_WEIGHT_SHARE: f64 = 0.01;
+/// Least probability that the evidence quotes.
+const MIN_QUOTED_PROBABILITY: f64 = 1e-12;
+
+/// The calls of several windows with one table and one list.
+#[derive(Clone, Debug, Default)]
+pub(super) struct WeightTest {
+    since_ms: u64,
+    list_version: u64,
+    windows: u32,
+    calls: u64,
+    /// By backend: calls, and the windows in which it could get its full part.
+    backends: BTreeMap<String, (u64, u32)>,
+}
+
+/// The result of a test.
+pub(super) struct WeightTestResult {
+    /// How the calls deviate from the weights, if they do.
+    pub mismatch: Option<String>,
+}
+
+/// The calls of one backend.
+struct BackendCalls<'a> {
+    name: &'a str,
+    weight: f64,
+    calls: f64,
+}
+
+/// The backend whose calls lie furthest from their expected number.
+#[derive(Default)]
+struct LargestDeviation<'a> {
+    /// Difference over the expected number.
+    relative: f64,
+    name: &'a str,
+    calls: f64,
+    expected: f64,
+}
+
+/// G and its degrees of freedom, summed over zones.
+#[derive(Default)]
+struct GStatistic<'a> {
+    g: f64,
+    degrees_of_freedom: usize,
+    total_calls: f64,
+    largest: LargestDeviation<'a>,
+}
+
+impl WeightTest {
+    /// Number of backends that it holds counts of.
+    pub fn len(&self) -> usize {
+        self.backends.len()
+    }
+
+    /// Adds the calls of a window.
+    ///
+    /// Only backends that could get their full part in every window of the test are kept: one that was
+    /// ejected, warming up or outside of the subset got fewer calls for a good reason. The test starts again
+    /// with another list; the window in which the list changed is left out.
+    pub fn add_window(&mut self, now_ms: u64, report: &Report) {
+        let list_changed = self.windows > 0 && self.list_version != report.list_version;
+        let too_old = now_ms.saturating_sub(self.since_ms) > MAX_TEST_AGE_MS;
+        if list_changed || too_old || self.windows == 0 {
+            *self =
+                WeightTest { since_ms: now_ms, list_version: report.list_version, ..WeightTest::default() };
+        }
+        if list_changed {
+            return;
+        }
+        self.windows += 1;
+        for (name, calls) in &report.calls {
+            let joined_late = self.windows > 1 && !self.backends.contains_key(name);
+            if report.left_out.contains_key(name) || joined_late {
+                continue;
+            }
+            let (sum, windows) = self.backends.entry(name.clone()).or_default();
+            *sum = sum.saturating_add(*calls);
+            *windows += 1;
+        }
+        self.backends.retain(|_, (_, windows)| *windows == self.windows);
+        self.calls = self.backends.values().fold(0, |sum, (calls, _)| sum.saturating_add(*calls));
+    }
+
+    /// The result of the test once it has `least_calls`; a new test begins then.
+    pub fn take_result(
+        &mut self,
+        weights: &Weights,
+        backends: &BackendList,
+        config: &Config,
+    ) -> Option<WeightTestResult> {
+        if self.calls < config.min_calls {
+            return None;
+        }
+        let test = std::mem::take(self);
+        let mut zones: BTreeMap<&str, Vec<BackendCalls>> = BTreeMap::new();
+        for (name, (calls, _)) in &test.backends {
+            let Some(backend) = backends.get(name) else { continue };
+            let weight = weights.of(name, &backend.class, &backend.zone) * backend.share;
+            let calls = *calls as f64;
+            zones.entry(&backend.zone).or_default().push(BackendCalls { name, weight, calls });
+        }
+        Some(WeightTestResult { mismatch: find_mismatch(zones.into_values(), config) })
+    }
+}
+
+/// Tests the calls of all zones; the text names the backend that deviates most.
+///
+/// A mismatch needs two things: G, divided by `dispersion`, is improbable at the significance level `chance`
+/// (a healthy proxy avoids slow backends and takes turns, so its variance is not that of independent choice);
+/// and one backend is off by `effect_margin` of its expected calls, so that very many calls do not make a
+/// negligible difference count.
+fn find_mismatch<'a>(zones: impl Iterator<Item = Vec<BackendCalls<'a>>>, config: &Config) -> Option<String> {
+    let mut statistic = GStatistic::default();
+    for backends in zones {
+        let zone_calls: f64 = backends.iter().map(|backend| backend.calls).sum();
+        statistic.total_calls += zone_calls;
+        if let Some(mismatch) = calls_at_zero_weight(&backends, zone_calls) {
+            return Some(mismatch);
+        }
+        statistic.add_zone(testable(backends));
+    }
+    let chi_squared = ChiSquared::new(statistic.degrees_of_freedom as f64).ok()?;
+    let p_value = chi_squared.sf((statistic.g / config.dispersion).max(0.0));
+    let LargestDeviation { relative, name, calls, expected } = statistic.largest;
+    let significant = p_value < config.significance_level && relative > config.min_effect_size;
+    if !significant {
+        return None;
+    }
+    let odds = 1.0 / p_value.max(MIN_QUOTED_PROBABILITY);
+    Some(format!(
+        "{name:?} got {calls} of {} calls, its weight says {expected:.0}; by chance in 1 of {odds:.0}",
+        statistic.total_calls
+    ))
+}
+
+/// A backend of weight 0 that got more than a few calls: a mismatch without a test.
+fn calls_at_zero_weight(backends: &[BackendCalls], zone_calls: f64) -> Option<String> {
+    let tolerated = MIN_EXPECTED_CALLS.max(MAX_ZERO_WEIGHT_SHARE * zone_calls);
+    let wrong = backends.iter().find(|backend| backend.weight <= 0.0 && backend.calls > tolerated)?;
+    Some(format!("{} of {zone_calls} calls went to {:?}, which has weight 0", wrong.calls, wrong.name))
+}
+
+/// The backends of a zone with a weight and enough expected calls. Each removal raises the expected calls of
+/// the others.
+fn testable(mut backends: Vec<BackendCalls>) -> Vec<BackendCalls> {
+    backends.retain(|backend| backend.weight > 0.0);
+    loop {
+        let (weight, calls) = sums(&backends);
+        let too_few = |backend: &BackendCalls| backend.weight / weight * calls < MIN_EXPECTED_CALLS;
+        match backends.iter().position(too_few) {
+            Some(index) => drop(backends.remove(index)),
+            None => return backends,
+        }
+    }
+}
+
+/// Sums of weights and of calls.
+fn sums(backends: &[BackendCalls]) -> (f64, f64) {
+    backends
+        .iter()
+        .fold((0.0, 0.0), |(weight, calls), backend| (weight + backend.weight, calls + backend.calls))
+}
+
+impl<'a> GStatistic<'a> {
+    /// Adds a zone: `2 * sum(observed * ln(observed / expected))`.
+    fn add_zone(&mut self, backends: Vec<BackendCalls<'a>>) {
+        let (weight, calls) = sums(&backends);
+        self.degrees_of_freedom += backends.len().saturating_sub(1);
+        for backend in backends {
+            let expected = backend.weight / weight * calls;
+            if backend.calls > 0.0 {
+                self.g += 2.0 * backend.calls * (backend.calls / expected).ln();
+            }
+            let relative = (backend.calls - expected).abs() / expected;
+            if relative > self.largest.relative {
+                let BackendCalls { name, calls, .. } = backend;
+                self.largest = LargestDeviation { relative, name, calls, expected };
+            }
+        }
+    }
+}
--- a/src/route_table/effect.rs
+++ b/src/route_table/effect.rs
@@ -1,52 +1,55 @@
-//! What comes out of [`super::Control`].
+//! What [`Control`](super::Control) returns to its host: the effects to carry out, and the answers to its
+//! calls.
 
 use super::{Finding, Revision, RouteRecord, Table};
 
-/// What the host is to do.
+/// What the host must do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Write it; then [`Control::apply`](super::Control::apply) it, or [`Control::discard_pending`](super::Control::discard_pending).
+    /// Write the record to disk, then [`Control::apply`](super::Control::apply) it, or
+    /// [`Control::discard_pending`](super::Control::discard_pending) if that failed.
     Persist(Box<RouteRecord>),
-    /// Judge a proposal against the table in force; [`Control::receive_verdict`](super::Control::receive_verdict) takes the answer. One at a time.
+    /// Evaluate a proposal against the table in force by a replay, one at a time;
+    /// [`Control::receive_verdict`](super::Control::receive_verdict) takes the verdict.
     Judge {
-        /// What is proposed.
+        /// The proposed table.
         table: Table,
-        /// What is in force.
+        /// The table in force.
         in_force: Table,
     },
-    /// End the judging of that revision: it is overtaken, or to be judged anew.
+    /// Cancel the evaluation of that revision: it is superseded, or must be run again.
     Cancel {
-        /// Which.
+        /// The revision that was evaluated.
         revision: Revision,
     },
-    /// Wake the watches: somebody is to have another table than before.
+    /// Wake the watches: some proxy should have another table than before.
     Publish {
         /// [`Control::version`](super::Control::version) from now on.
         version: u64,
     },
-    /// To the log: something is wrong.
+    /// Log that a finding was raised.
     Raised(Finding),
-    /// To the log: it is no longer.
+    /// Log that a finding was cleared.
     Cleared(Finding),
 }
 
-/// A proposal that was taken. It counts once its record is applied.
+/// A proposal that was accepted. It counts once its record is applied.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AcceptedProposal {
     /// Its table, with its revision.
     pub table: Table,
-    /// To be written before the proposer is answered.
+    /// The record to write before the proposer is answered.
     pub record: RouteRecord,
 }
 
-/// Why a verdict counts for nothing.
+/// Why a verdict was not used.
 #[derive(thiserror::Error, Clone, Debug, PartialEq)]
 #[error(
     "the verdict is of a proposal from revision {from} with digest {digest}, which is not awaited (any more)"
 )]
 pub struct StaleVerdict {
-    /// What it was made from.
+    /// The revision that the proposal was made from.
     pub from: Revision,
-    /// Digest of the proposal.
+    /// Digest of the proposal's weights.
     pub digest: String,
 }
--- a/src/route_table/mod.rs
+++ b/src/route_table/mod.rs
@@ -1,39 +1,41 @@
-//! The route table of a tier: what operators want of the weights, how it goes out, and who does not do what it says.
-//! Decisions only: no I/O, no clock, no socket. The registry hosts them; `docs/routes.md` is for on-call staff.
+//! The route table of a tier: the weights that operators propose, how a new table reaches the proxies, and
+//! which proxies do not do what it says. `docs/routes.md` describes it for on-call staff.
+//!
+//! Decisions only, without I/O, clock or socket. The registry hosts [`Control`]: it passes in proposals,
+//! verdicts, reports and the time, and carries out the [`Effect`]s.
+//!
+//! - `proposal`: the checks of a proposal, and its life until it is admitted.
+//! - `rollout`: the stages of an admitted proposal; what advances, ends or rolls back a rollout.
+//! - `drift`: the findings about proxies, from their reports; when a proxy is reported as lost.
+//! - `record`: the durable state. `report` and `table`: the data that proxies and operators send.
 
-mod check;
+mod backend_list;
 mod config;
 mod control;
-mod decide;
 mod drift;
 mod effect;
-mod finding;
-mod group;
-mod hearing;
-mod judge;
-mod listing;
-mod member;
+mod outcome_counts;
 mod pages;
+mod proposal;
 mod record;
 mod report;
-mod reports;
+mod report_check;
 mod rollout;
-mod shares;
-mod spread;
 mod table;
 
-pub use check::{Backend, MAX_NAME, MAX_OVERRIDE_REASON, MAX_WEIGHT, ProposalError, check, list_digest};
 pub use config::{Config, ConfigError};
 pub use control::Control;
+pub use drift::{Finding, FindingKind};
 pub use effect::{AcceptedProposal, Effect, StaleVerdict};
-pub use finding::{Finding, FindingKind};
-use listing::Backends;
+pub use outcome_counts::OutcomeCounts;
 pub use pages::{DriftPage, StatePage};
+pub use proposal::{
+    Backend, MAX_NAME, MAX_OVERRIDE_REASON, MAX_WEIGHT, ProposalError, check_proposal, list_digest,
+};
 pub use record::{
     ActiveProposal, Admission, EndedProposal, IssuedRevision, ProposalOutcome, Rollout, RouteRecord, Stage,
 };
 pub use report::{ExclusionReason, MAX_REPORTED, MAX_WITNESSED, Report, Witness};
-pub use reports::{MAX_COUNT, ReportError};
-pub use rollout::{rank, target};
-pub use shares::OutcomeCounts;
+pub use report_check::{MAX_COUNT, ReportError};
+pub use rollout::{proxy_rank, stage_size};
 pub use table::{MAX_WEIGHTS, Proposal, Revision, Table, Weights};
--- a/src/route_table/pages.rs
+++ b/src/route_table/pages.rs
@@ -1,71 +1,76 @@
-//! What operators read.
+//! The pages that operators read. Their JSON keys are a contract, kept by `serde(rename)` where a field has
+//! another name.
 
 use super::control::Control;
 use super::record::{ActiveProposal, EndedProposal};
 use super::{Finding, OutcomeCounts, Revision, Table};
 use serde::Serialize;
 
-/// The state of the table: what is in force, what is proposed, what became of earlier proposals.
+/// The state of the table: what is in force, the active proposal, and how earlier proposals ended.
 #[derive(Serialize, Clone, Debug)]
 pub struct StatePage {
-    /// What a proposal must be made from.
+    /// The revision that a proposal must be made from.
     pub newest: Revision,
-    /// What watches compare.
+    /// See [`Control::version`]: what watches compare.
     pub version: u64,
     /// The last good table.
     pub in_force: Table,
-    /// The proposal in work, with its rollout.
+    /// The active proposal, with its rollout.
     #[serde(rename = "work")]
     pub active: Option<ActiveProposal>,
-    /// What the rollout waits for.
+    /// What the rollout waits for, if it waits.
     #[serde(rename = "waits")]
     pub waiting_for: Option<String>,
-    /// What was counted since the stage began: of those who have the new table.
+    /// Counts of proxies with the new table since the stage began.
     pub with_table: OutcomeCounts,
-    /// And of those who have not.
+    /// Counts of proxies without it since the stage began.
     pub without_table: OutcomeCounts,
-    /// How earlier ones ended, newest last.
+    /// The newest ended proposals, newest last.
     #[serde(rename = "past")]
     pub ended: Vec<EndedProposal>,
 }
 
-/// What the drift detector says.
+/// The state of the fleet as the drift detector sees it.
 #[derive(Serialize, Clone, Debug)]
 pub struct DriftPage {
-    /// Proxies heard of late.
-    pub heard: usize,
-    /// Proxies that should be.
+    /// Proxies with a report in the last two and a half windows.
+    #[serde(rename = "heard")]
+    pub reporting: usize,
+    /// Live proxies, by membership or by reports.
     pub alive: usize,
-    /// Whether it hears too few to raise or clear anything.
+    /// Whether too few proxies report to raise or clear anything.
     pub blind: bool,
-    /// How long it does not raise anything yet, after a start or a stand-still.
-    pub quiet_ms: u64,
-    /// Share of reports that are lost on the way, by the gaps in their numbers.
-    pub lost: f64,
-    /// How long a proxy must be unheard before it counts as silent or gone.
-    pub missed_ms: u64,
-    /// How many proxies have which revision.
+    /// Rest of the grace time, ms: nothing is raised until it is over.
+    #[serde(rename = "quiet_ms")]
+    pub grace_remaining_ms: u64,
+    /// Share of reports that are lost, by the gaps in their numbers.
+    #[serde(rename = "lost")]
+    pub report_loss: f64,
+    /// Time without a report, ms, after which a proxy counts as silent or gone.
+    #[serde(rename = "missed_ms")]
+    pub silence_threshold_ms: u64,
+    /// Number of reporting proxies by the revision that they have.
     pub revisions: std::collections::BTreeMap<Revision, usize>,
-    /// What is raised.
+    /// The findings that are raised.
     pub findings: Vec<Finding>,
 }
 
 impl Control {
-    /// The state of the table.
+    /// The page of the table.
     pub fn state_page(&self) -> StatePage {
         StatePage {
             newest: self.newest_revision(),
             version: self.version(),
             in_force: self.record.in_force.clone(),
             active: self.record.active.clone(),
-            waiting_for: self.standing.waits.clone(),
-            with_table: self.standing.have,
-            without_table: self.standing.without,
+            waiting_for: self.stage_progress.waiting_for.clone(),
+            with_table: self.stage_progress.with_table,
+            without_table: self.stage_progress.without_table,
             ended: self.record.ended.clone(),
         }
     }
 
-    /// The state of the fleet.
+    /// The page of the fleet.
     pub fn drift_page(&self, now: u64) -> DriftPage {
         self.drift.page(now, &self.config)
     }
--- a/src/route_table/report.rs
+++ b/src/route_table/report.rs
@@ -1,70 +1,75 @@
-//! What a proxy reports of itself every few seconds.
+//! The report that a proxy sends every few seconds: one window of its requests and calls, and the table it
+//! has in force.
+//!
+//! Its JSON form is a contract between proxies and registries of different versions.
 
 use super::Revision;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Most backends of which a report tells.
+/// Most backends in each map of a report.
 pub const MAX_REPORTED: usize = 1024;
-/// Most members of which a report tells; each report tells of the next ones.
+/// Most members in a report; the next report has the next ones.
 pub const MAX_WITNESSED: usize = 16;
 
-/// One window of one proxy. Reports come late, twice, out of order or not at all: `generation` and `number` tell.
+/// One window of one proxy. Reports may be late, repeated, out of order or lost: `generation` and `number`
+/// give their order.
 #[derive(Serialize, Deserialize, Clone, Debug, Default, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Report {
     /// The proxy's name: `membership.name`, or its own where there is no membership.
     pub name: String,
-    /// Its start, Unix time in microseconds; a later one is a new process under the same name.
+    /// Start of the process, Unix time in microseconds; a later one is a new process with the same name.
     pub generation: u64,
-    /// Counts its reports from 1.
+    /// Number of the report, from 1 in each generation.
     pub number: u64,
     /// Its zone.
     pub zone: String,
-    /// Version of the list that it holds.
+    /// Version of its list of backends.
     pub list_version: u64,
-    /// Revision of the table in force there; 0 before the first.
+    /// Revision of the table in force there; 0 before the first table.
     pub revision: Revision,
-    /// Digest of the weights that its picks use, made anew from them.
+    /// Digest of the weights that its selection uses, computed from them for this report.
     pub digest: String,
-    /// Length of the window.
+    /// Length of the window, ms.
     pub window_ms: u64,
-    /// Requests taken in the window.
+    /// Requests that ended in the window.
     pub requests: u64,
-    /// Of them refused.
+    /// Requests of these that were refused.
     pub refused: u64,
-    /// Of them failed.
+    /// Requests of these that failed.
     pub failed: u64,
-    /// Calls sent in the window, by backend; all that could have got one are named, also with 0.
+    /// Calls sent in the window, by backend. Every backend that could have got one is named, also with 0
+    /// calls.
     pub calls: BTreeMap<String, u64>,
-    /// Calls of the window that a backend answered with an error or did not answer.
+    /// Calls in the window that ended with an error or without an answer, by backend.
     pub errors: BTreeMap<String, u64>,
-    /// Backends that get less than their weight says, and why.
+    /// Backends that got fewer calls than by their weight, and why.
     pub left_out: BTreeMap<String, ExclusionReason>,
-    /// How many of the tier's proxies it holds for alive, itself included; 0 without membership.
+    /// Live proxies of the tier by its membership, itself included; 0 without membership.
     pub alive: u32,
-    /// What it knows of some of the others, those found dead among them; from a place drawn by chance in each report, so
-    /// that somebody tells of everybody in each window.
+    /// What its membership says of some other proxies, dead ones included. Each report continues where the
+    /// last one stopped, so that all of them are reported in turn.
     pub members: Vec<Witness>,
 }
 
-/// Why a backend gets less than its weight says.
+/// Why a backend gets fewer calls than by its weight.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum ExclusionReason {
-    /// Out of service for its errors, its slowness or its silence.
+    /// It is ejected, for errors, slowness or silence.
     Ejected,
-    /// It started a short while ago.
+    /// It is warming up.
     Cold,
-    /// The list has it drain.
+    /// It is marked as draining in the list.
     Draining,
-    /// This proxy's subset of the tier does not have it.
+    /// It is outside of this proxy's subset.
     Subset,
-    /// It is slower than the others and gets less.
+    /// It is slower than the others.
     Slow,
 }
 
-/// A member as another one sees it.
+/// A proxy as the membership of another one sees it.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Witness {
@@ -72,6 +77,6 @@
     pub name: String,
     /// Its generation.
     pub generation: u64,
-    /// Whether it is held for alive.
+    /// Whether it is seen as alive.
     pub alive: bool,
 }
--- /dev/null
+++ b/src/route_table/report_check.rs
@@ -0,0 +1,160 @@
+//! Whether a report is valid by itself: sizes, names, digest and ranges, before anything of it is kept.
+//!
+//! Reports come from outside. Each bound here limits the memory or the arithmetic of the drift detector.
+
+use super::proposal::{MAX_NAME, is_printable};
+use super::{Config, MAX_REPORTED, MAX_WITNESSED, Report};
+
+/// Largest count of requests or calls in a report; a window of any proxy has far fewer.
+pub const MAX_COUNT: u64 = 1 << 40;
+/// How far ahead of the registry's clock a revision or a generation may lie, ms: a day, far above what clocks
+/// differ by. A larger revision would raise the revision of every later proposal.
+const MAX_CLOCK_LEAD_MS: u64 = 86_400_000;
+
+/// Longest window of a report, as a multiple of `report_ms`: a paused proxy has a long one.
+const MAX_WINDOWS_IN_A_REPORT: u64 = 100;
+/// Most live proxies that a report may claim.
+const MAX_ALIVE: u32 = 1 << 16;
+/// Length of a digest, in hexadecimal digits.
+const DIGEST_DIGITS: usize = 16;
+
+/// Why a report was refused, and what to do.
+#[derive(thiserror::Error, Clone, Debug, PartialEq)]
+pub enum ReportError {
+    /// A name that is empty, too long or has control characters.
+    #[error("{what}: must be 1 to {MAX_NAME} printable bytes: correct the proxy's configuration")]
+    Name {
+        /// What it names.
+        what: &'static str,
+    },
+    /// Too many entries.
+    #[error("{what}: {count} entries, at most {most}: send the others in the next report")]
+    TooMany {
+        /// Which part of the report.
+        what: &'static str,
+        /// Its entries.
+        count: usize,
+        /// The most that are accepted.
+        most: usize,
+    },
+    /// Not 16 hexadecimal digits.
+    #[error(
+        "digest: must be 16 lower-case hexadecimal digits: the proxy's build is not of this registry's kind"
+    )]
+    Digest,
+    /// A number out of its range.
+    #[error("{what}: {value} is out of range: see the proxy's clock and build")]
+    Number {
+        /// Which number.
+        what: &'static str,
+        /// Its value.
+        value: u64,
+    },
+    /// No room for another proxy.
+    #[error(
+        "reports of {most} proxies are kept and no more: raise routes.names, or have fewer proxies report here"
+    )]
+    Full {
+        /// The most that are kept.
+        most: usize,
+    },
+    /// No room for counts of more backends.
+    #[error("counts of {most} backends are kept and no more: raise routes.counts, or use smaller subsets")]
+    FullCounts {
+        /// The most that are kept.
+        most: usize,
+    },
+    /// Far more reports of one name than one a window.
+    #[error(
+        "{name:?} reports more often than every {least_ms} ms: see its report_ms, or whether two use its name"
+    )]
+    TooOften {
+        /// The proxy.
+        name: String,
+        /// The time between two reports, ms.
+        least_ms: u64,
+    },
+}
+
+impl ReportError {
+    /// The HTTP status of the answer.
+    pub fn status(&self) -> u16 {
+        match self {
+            ReportError::TooMany { .. } => 413,
+            ReportError::TooOften { .. } => 429,
+            ReportError::Full { .. } | ReportError::FullCounts { .. } => 503,
+            _ => 400,
+        }
+    }
+}
+
+/// Checks a report by itself: first sizes, then names, the digest and numbers.
+///
+/// # Errors
+///
+/// The first fault found.
+pub(super) fn check_report(report: &Report, now_ms: u64, config: &Config) -> Result<(), ReportError> {
+    check_sizes(report)?;
+    check_names(report)?;
+    check_digest(&report.digest)?;
+    check_numbers(report, now_ms, config)
+}
+
+fn check_sizes(report: &Report) -> Result<(), ReportError> {
+    let sizes = [
+        ("calls", report.calls.len(), MAX_REPORTED),
+        ("errors", report.errors.len(), MAX_REPORTED),
+        ("left_out", report.left_out.len(), MAX_REPORTED),
+        ("members", report.members.len(), MAX_WITNESSED),
+    ];
+    match sizes.into_iter().find(|(_, count, most)| count > most) {
+        Some((what, count, most)) => Err(ReportError::TooMany { what, count, most }),
+        None => Ok(()),
+    }
+}
+
+fn check_names(report: &Report) -> Result<(), ReportError> {
+    // Unlike a name, the zone may be empty.
+    if report.zone.len() > MAX_NAME || report.zone.chars().any(char::is_control) {
+        return Err(ReportError::Name { what: "zone" });
+    }
+    let members = report.members.iter().map(|member| ("members", &member.name));
+    let backends = report.calls.keys().chain(report.errors.keys()).chain(report.left_out.keys());
+    let backends = backends.map(|name| ("backend", name));
+    let mut names = [("name", &report.name)].into_iter().chain(members).chain(backends);
+    match names.find(|(_, name)| !is_printable(name, MAX_NAME)) {
+        Some((what, _)) => Err(ReportError::Name { what }),
+        None => Ok(()),
+    }
+}
+
+fn check_digest(digest: &str) -> Result<(), ReportError> {
+    let is_hex = |byte: u8| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte);
+    if digest.len() == DIGEST_DIGITS && digest.bytes().all(is_hex) {
+        Ok(())
+    } else {
+        Err(ReportError::Digest)
+    }
+}
+
+fn check_numbers(report: &Report, now_ms: u64, config: &Config) -> Result<(), ReportError> {
+    let latest_ms = now_ms.saturating_add(MAX_CLOCK_LEAD_MS);
+    let longest_window_ms = MAX_WINDOWS_IN_A_REPORT * config.report_ms;
+    let requests = [&report.requests, &report.refused, &report.failed].into_iter();
+    let counts = requests.chain(report.calls.values()).chain(report.errors.values());
+    let largest_count = counts.copied().max().unwrap_or(0);
+    let numbers = [
+        ("number", report.number, report.number == 0),
+        ("generation", report.generation, report.generation / 1000 > latest_ms),
+        ("revision", report.revision, report.revision > latest_ms),
+        ("window_ms", report.window_ms, report.window_ms == 0 || report.window_ms > longest_window_ms),
+        ("alive", report.alive.into(), report.alive > MAX_ALIVE),
+        ("refused", report.refused, report.refused > report.requests),
+        ("failed", report.failed, report.failed > report.requests),
+        ("counts", largest_count, largest_count > MAX_COUNT),
+    ];
+    match numbers.into_iter().find(|(_, _, out_of_range)| *out_of_range) {
+        Some((what, value, _)) => Err(ReportError::Number { what, value }),
+        None => Ok(()),
+    }
+}
--- /dev/null
+++ b/src/route_table/rollout/review.rs
@@ -0,0 +1,207 @@
+//! The review of a stage at a tick: whether it waits, gets more members, advances, completes or is stopped.
+//!
+//! Pure functions over the durable [`Rollout`], the counts of the stage and the fleet as drift sees it. The
+//! checks are listed in order in [`next_step`].
+
+use super::super::{Config, OutcomeCounts, Rollout, Stage};
+use super::stage::{proxy_rank, stage_size};
+use super::state::{FleetView, LiveProxy, RolloutStep, StageProgress};
+use std::collections::BTreeSet;
+
+/// Reviews the stage. The first check that has an answer decides; a stage that passes all of them advances.
+///
+/// Damage stops the rollout in the first tick that shows it, also in a stage that still waits for other
+/// things; what is only missing (reports, the table, requests) is waited for until the stage times out.
+pub(crate) fn next_step(
+    config: &Config,
+    now_ms: u64,
+    rollout: &Rollout,
+    progress: &StageProgress,
+    fleet: &FleetView,
+) -> RolloutStep {
+    let review = StageReview::new(config, now_ms, rollout, progress, fleet);
+    review
+        .wait_for_fleet(fleet)
+        .or_else(|| review.replace_silent_members())
+        .or_else(|| review.stop_if_worse())
+        .or_else(|| review.stop_if_drifting())
+        .or_else(|| review.wait_for_table())
+        .or_else(|| review.wait_for_min_time())
+        .or_else(|| review.wait_for_requests())
+        .unwrap_or_else(|| review.advance())
+}
+
+/// One stage at one tick, with the live proxies divided into its members and the others.
+struct StageReview<'a> {
+    config: &'a Config,
+    rollout: &'a Rollout,
+    progress: &'a StageProgress,
+    elapsed_ms: u64,
+    live: usize,
+    members: Vec<&'a LiveProxy<'a>>,
+    others: Vec<&'a LiveProxy<'a>>,
+}
+
+impl<'a> StageReview<'a> {
+    fn new(
+        config: &'a Config,
+        now_ms: u64,
+        rollout: &'a Rollout,
+        progress: &'a StageProgress,
+        fleet: &'a FleetView,
+    ) -> Self {
+        let is_member =
+            |proxy: &&LiveProxy| rollout.stage == Stage::All || rollout.members.contains(proxy.name);
+        let (members, others) = fleet.proxies.iter().partition(is_member);
+        let elapsed_ms = now_ms.saturating_sub(progress.since_ms);
+        StageReview { config, rollout, progress, elapsed_ms, live: fleet.proxies.len(), members, others }
+    }
+
+    /// Waits, or stops the rollout once the stage has taken longer than `longest_ms`.
+    ///
+    /// Failure: a condition that never comes true would block every later proposal. It shows as `waits` on
+    /// the state page.
+    fn wait_or_time_out(&self, reason: String) -> RolloutStep {
+        if self.elapsed_ms > self.config.stage_timeout_ms {
+            let reason = format!("waited for {} ms: {reason}", self.config.stage_timeout_ms);
+            return RolloutStep::Stop { reason };
+        }
+        RolloutStep::Wait { reason }
+    }
+
+    /// Without a majority of reports, silence of the members would pass for health.
+    fn wait_for_fleet(&self, fleet: &FleetView) -> Option<RolloutStep> {
+        if !fleet.reliable {
+            let reason = "too few proxies are heard to judge by: see the drift page, have the proxies report";
+            return Some(self.wait_or_time_out(reason.into()));
+        }
+        let no_proxies = self.wanted() == 0;
+        no_proxies.then(|| self.wait_or_time_out("no proxy reports: configure the proxies' reports".into()))
+    }
+
+    /// How many members the current stage should have.
+    fn wanted(&self) -> usize {
+        stage_size(self.rollout.stage, self.live, self.config.first_stage_proxies)
+    }
+
+    /// Fills the stage with the next proxies in rank: at its start, and where members went silent.
+    ///
+    /// Failure: a table that makes proxies crash would silence its members and spread by their replacement. A
+    /// stage therefore names at most twice its size; past that it waits for its members and times out.
+    fn replace_silent_members(&self) -> Option<RolloutStep> {
+        let wanted = self.wanted();
+        let most_names = 2 * wanted;
+        let named = self.rollout.members.len();
+        if self.members.len() >= wanted || named >= most_names {
+            return None;
+        }
+        let missing = wanted - self.members.len();
+        let members = self.members_with_next(missing.min(most_names - named));
+        Some(RolloutStep::Assign { stage: self.rollout.stage, members })
+    }
+
+    /// Counts to compare with: of proxies without the table in this stage, or, where too few are left without
+    /// it, of the fleet before.
+    fn comparison(&self) -> &OutcomeCounts {
+        if self.progress.without_table.requests >= self.config.min_requests {
+            &self.progress.without_table
+        } else {
+            &self.rollout.fleet_baseline
+        }
+    }
+
+    /// Stops if proxies with the table do worse than those without, and worse than the same proxies did
+    /// before.
+    ///
+    /// The second condition guards against proxies that differ in what they call: such a member is worse than
+    /// the others with any table. It is dropped while the members' own counts from before are too few to
+    /// compare with.
+    fn stop_if_worse(&self) -> Option<RolloutStep> {
+        let with_table = &self.progress.with_table;
+        let worse = with_table.significantly_worse_than(self.comparison(), self.config)?;
+        let own_baseline = &self.rollout.member_baseline;
+        let comparable_with_itself = own_baseline.requests >= self.config.min_requests;
+        if comparable_with_itself && with_table.significantly_worse_than(own_baseline, self.config).is_none()
+        {
+            return None;
+        }
+        let reason = format!("{worse}: see what the new weights send where, propose others");
+        Some(RolloutStep::Stop { reason })
+    }
+
+    /// Stops if a greater share of the members drifts than of the others.
+    ///
+    /// Where fewer than one proxy is left without the table for every ten with it, there is nothing to
+    /// compare with: then more than a tenth of the members is too much.
+    fn stop_if_drifting(&self) -> Option<RolloutStep> {
+        let drifting = |side: &[&LiveProxy]| side.iter().filter(|proxy| proxy.drifting).count();
+        let (members, others) = (self.members.len(), self.others.len());
+        let drifting_members = drifting(&self.members);
+        let drifting_others = drifting(&self.others);
+        let too_many = if others < members.div_ceil(10) {
+            drifting_members * 10 > members
+        } else {
+            drifting_members * others > drifting_others * members
+        };
+        too_many.then(|| RolloutStep::Stop {
+            reason: format!(
+                "{drifting_members} of {members} with the table drift, {drifting_others} of {others} without: see \
+                 the drift page"
+            ),
+        })
+    }
+
+    /// Waits until every live member reports the table.
+    fn wait_for_table(&self) -> Option<RolloutStep> {
+        let mut without = self.members.iter().filter(|proxy| !proxy.has_table);
+        let first = without.next()?;
+        let count = 1 + without.count();
+        let members = self.members.len();
+        let reason = format!("{count} of {members} do not report the table yet, such as {}", first.name);
+        Some(self.wait_or_time_out(reason))
+    }
+
+    /// Waits until the stage has lasted `stand_ms`. This is the one wait that cannot time out.
+    fn wait_for_min_time(&self) -> Option<RolloutStep> {
+        let (elapsed_ms, least_ms) = (self.elapsed_ms, self.config.min_stage_ms);
+        let too_short = elapsed_ms < least_ms;
+        too_short.then(|| RolloutStep::Wait { reason: format!("stands for {elapsed_ms} of {least_ms} ms") })
+    }
+
+    /// Waits until both sides have enough requests for the comparison of [`Self::stop_if_worse`] to mean
+    /// something.
+    fn wait_for_requests(&self) -> Option<RolloutStep> {
+        let least = self.config.min_requests;
+        let with_table = self.progress.with_table.requests;
+        let without_table = self.comparison().requests;
+        let too_few = with_table < least || without_table < least;
+        too_few.then(|| {
+            self.wait_or_time_out(format!(
+                "{with_table} requests with the table and {without_table} without: each side needs {least} to compare"
+            ))
+        })
+    }
+
+    /// The stage has passed: on to the next one that has more members than this, or complete after the last.
+    fn advance(&self) -> RolloutStep {
+        if self.rollout.stage == Stage::All {
+            return RolloutStep::Complete;
+        }
+        for stage in [Stage::Tenth, Stage::Half] {
+            let size = stage_size(stage, self.live, self.config.first_stage_proxies);
+            if stage > self.rollout.stage && size > self.members.len() {
+                let members = self.members_with_next(size - self.members.len());
+                return RolloutStep::Assign { stage, members };
+            }
+        }
+        RolloutStep::Assign { stage: Stage::All, members: self.rollout.members.clone() }
+    }
+
+    /// The named members and the next `more` proxies in rank that report.
+    fn members_with_next(&self, more: usize) -> BTreeSet<String> {
+        let mut others = self.others.clone();
+        others.sort_by_key(|proxy| (proxy_rank(proxy.name), proxy.name));
+        let next = others.iter().take(more).map(|proxy| proxy.name.to_string());
+        self.rollout.members.iter().cloned().chain(next).collect()
+    }
+}
--- a/src/route_table/table.rs
+++ b/src/route_table/table.rs
@@ -1,19 +1,21 @@
-//! The table itself and the proposal of one.
+//! The route table and a proposal of one: plain data, in the JSON form that operators, registries and proxies
+//! exchange.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 
-/// A table's number: rises with every table that is to go out, also with one that takes an earlier one back.
-/// 0 is the table that nobody proposed: every weight 1.
+/// Number of a table. It rises with every table that is issued, also where a rollback issues earlier weights
+/// again. Revision 0 is the state before the first proposal: every weight 1.
 pub type Revision = u64;
 
-/// Most weights of one table: one for each of 10,000 backends, their classes and zones. Such a table takes at the most
-/// 5 MB in memory (16,384 names of 253 bytes with 45 bytes of tree each), 1.1 MB where names have 20 bytes; computed.
+/// Most weights of one table: one for each of 10,000 backends, their classes and zones. Such a table takes at
+/// the most 5 MB in memory (16,384 names of 253 bytes with 45 bytes of tree each), 1.1 MB where names have 20
+/// bytes; computed.
 pub const MAX_WEIGHTS: usize = 16_384;
 
-/// Weights beside each other, 1 where nothing is said: a backend gets the product of its own, its machine class's and
-/// its zone's.
+/// Weights by backend, machine class and zone; 1 where none is given. A backend gets the product of its
+/// three.
 #[derive(Serialize, Deserialize, Clone, Debug, Default, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Weights {
@@ -32,7 +34,7 @@
         of(&self.backends, host) * of(&self.classes, class) * of(&self.zones, zone)
     }
 
-    /// All of them: kind, name and weight, in a fixed order.
+    /// All weights as kind, name and weight, in a fixed order.
     pub fn iter(&self) -> impl Iterator<Item = (&'static str, &str, f64)> {
         let backends = self.backends.iter().map(|(n, w)| ("backend", n.as_str(), *w));
         let classes = self.classes.iter().map(|(n, w)| ("class", n.as_str(), *w));
@@ -40,8 +42,8 @@
         backends.chain(classes).chain(zones)
     }
 
-    /// SHA-256 over kind, name and weight of each, the first 16 hexadecimal digits: the same at whoever holds the same
-    /// weights, however they were written.
+    /// The first 16 hexadecimal digits of a SHA-256 over kind, name and weight of each: equal wherever the
+    /// weights are equal, whatever their JSON looked like.
     pub fn digest(&self) -> String {
         let mut hash = Sha256::new();
         for (kind, name, weight) in self.iter() {
@@ -54,36 +56,36 @@
     }
 }
 
-/// A table as it goes out.
+/// A table with its origin.
 #[derive(Serialize, Deserialize, Clone, Debug, Default, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Table {
     /// Its number.
     pub revision: Revision,
-    /// The table it was made from.
+    /// The revision that it was made from.
     pub from: Revision,
     /// The weights.
     pub weights: Weights,
-    /// [`Weights::digest`] of them.
+    /// [`Weights::digest`] of the weights.
     pub digest: String,
     /// Who proposed it.
     pub by: String,
-    /// When it was taken, Unix time in milliseconds.
+    /// When it was accepted, Unix time in milliseconds.
     #[serde(rename = "at_ms")]
     pub accepted_ms: u64,
 }
 
-/// What an operator proposes.
+/// A proposal of an operator.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Proposal {
-    /// The revision it was made from: it is refused if another has been taken since (compare-and-set).
+    /// The revision that it was made from; it is refused if that is no longer the newest (compare-and-set).
     pub from: Revision,
     /// The weights.
     pub weights: Weights,
     /// Who proposes it.
     pub by: String,
-    /// Why it is to go out whatever the replay says; recorded.
+    /// The reason to roll it out without a verdict; recorded.
     #[serde(default, rename = "override", skip_serializing_if = "Option::is_none")]
     pub override_why: Option<String>,
 }
--- a/tests/drift.rs
+++ b/tests/drift.rs
@@ -170,7 +170,7 @@
     fleet.run(86_400_000);
     assert_eq!(fleet.raised, []);
     let page = fleet.control.drift_page(fleet.now);
-    assert!(page.heard > 270 && (0.15..0.25).contains(&page.lost), "{page:?}");
+    assert!(page.reporting > 270 && (0.15..0.25).contains(&page.report_loss), "{page:?}");
 }
 
 proptest! {
--- a/tests/routes/proposals.rs
+++ b/tests/routes/proposals.rs
@@ -28,7 +28,7 @@
 #[test]
 fn bounds_of_names_counts_classes_and_steps_hold() {
     let listed = backends(2);
-    let checked = |p: &Proposal| check(p, &Weights::default(), &listed, 4.0);
+    let checked = |p: &Proposal| check_proposal(p, &Weights::default(), &listed, 4.0);
     let mut many = proposal(0, &[]);
     many.weights.classes = (0..=MAX_WEIGHTS).map(|n| (n.to_string(), 1.0)).collect();
     assert_eq!(checked(&many).map_err(|e| e.status()), Err(413));
@@ -48,7 +48,7 @@
     zone.weights.classes = BTreeMap::from([("m".into(), 0.0)]);
     assert_eq!(checked(&zone), Err(ProposalError::AllZero));
     assert!(matches!(
-        check(&proposal(0, &[]), &Weights::default(), &[], 4.0),
+        check_proposal(&proposal(0, &[]), &Weights::default(), &[], 4.0),
         Err(ProposalError::NoBackends)
     ));
 }
--- a/tests/routes/rollouts.rs
+++ b/tests/routes/rollouts.rs
@@ -120,7 +120,7 @@
             }
             let rollout = fleet.control.state_page().active.and_then(|work| work.rollout);
             if let Some(rollout) = rollout.filter(|r| r.stage < Stage::All) {
-                assert!(rollout.members.len() <= 2 * target(rollout.stage, size, 2));
+                assert!(rollout.members.len() <= 2 * stage_size(rollout.stage, size, 2));
                 assert!(fleet.having(revision) <= rollout.members.len());
             }
         };
