--- a/benches/scale/run/hollow.rs
+++ b/benches/scale/run/hollow.rs
@@ -7,7 +7,9 @@
 use super::standing::Standings;
 use load_balancer::client::discovery::{self, Backoff, Listener, Pace};
 use load_balancer::client::list::Host;
-use load_balancer::client::route_table::{Identity, RoutedProxy, Routes, Settings, Tally, Totals};
+use load_balancer::client::route_table::{
+    CallCounts, Identity, RequestTotals, RouteTableClient, RoutedProxy, Settings,
+};
 use load_balancer::client::traffic::Traffic;
 use load_balancer::interface::ListKind;
 use load_balancer::route_table::{ExclusionReason, Revision, Weights};
@@ -92,9 +94,12 @@
         let list = discovery::follow(stand_in.clone(), moves.clone(), follows, wanted, oneshot::channel().0);
         let settings = Settings { report_ms: plan.report_ms, ..Settings::default() };
         let who = Identity::new(format!("p{}", plan.number), plan.zone.clone(), None);
-        let routes = Routes::new(&settings, who, Box::new(stand_in), traffic.clone());
-        let tasks =
-            vec![spawn_local(list), spawn_local(routes.clone().follow(moves)), spawn_local(routes.report())];
+        let routes = RouteTableClient::new(&settings, who, Box::new(stand_in), traffic.clone());
+        let tasks = vec![
+            spawn_local(list),
+            spawn_local(routes.clone().run_watch(moves)),
+            spawn_local(routes.run_reports()),
+        ];
         let agent = Agent::start(plan.clone(), traffic);
         Hollow { plan, inner, tasks, _agent: agent, _registries: registries, _wanted: wanting }
     }
@@ -173,12 +178,12 @@
         self.0.held.borrow().list_version
     }
 
-    fn drain_calls(&self) -> BTreeMap<String, Tally> {
+    fn drain_calls(&self) -> BTreeMap<String, CallCounts> {
         self.0.standings.borrow_mut().picture(now_ms() as f64).calls.clone()
     }
 
-    fn totals(&self) -> Totals {
+    fn totals(&self) -> RequestTotals {
         let requests = (self.0.started.elapsed().as_secs_f64() * REQUESTS_A_SECOND) as u64;
-        Totals { requests, ..Totals::default() }
+        RequestTotals { requests, ..RequestTotals::default() }
     }
 }
--- a/benches/scale/run/standing.rs
+++ b/benches/scale/run/standing.rs
@@ -2,7 +2,7 @@
 //! module stands for all hollow proxies of a service in a worker, since a module for each would be their data path.
 
 use load_balancer::client::list::{Health, Host};
-use load_balancer::client::route_table::Tally;
+use load_balancer::client::route_table::CallCounts;
 use load_balancer::interface::{BackendId, Entry, Event, ListKind, Phase, TrafficShare};
 use load_balancer::platform_settings::PlatformSettings;
 use load_balancer::route_table::{ExclusionReason, MAX_REPORTED};
@@ -14,7 +14,7 @@
 #[derive(Default)]
 pub struct Picture {
     /// Those that can get calls, with none.
-    pub calls: BTreeMap<String, Tally>,
+    pub calls: BTreeMap<String, CallCounts>,
     /// The first that get less, and why: no report has more.
     pub left_out: BTreeMap<String, ExclusionReason>,
 }
@@ -71,10 +71,10 @@
             let Some(name) = self.names.get(&id) else { continue };
             match why(standing) {
                 Some(ExclusionReason::Subset) => {
-                    drop(picture.left_out.insert(name.clone(), ExclusionReason::Subset))
+                    picture.left_out.insert(name.clone(), ExclusionReason::Subset);
                 }
                 other => {
-                    picture.calls.insert(name.clone(), Tally::default());
+                    picture.calls.insert(name.clone(), CallCounts::default());
                     picture.left_out.extend(other.map(|why| (name.clone(), why)));
                 }
             }
--- a/src/bin/proxy/config/mod.rs
+++ b/src/bin/proxy/config/mod.rs
@@ -133,7 +133,8 @@
         true => {
             let own = file.routes.as_ref().and_then(|r| r.name.as_deref());
             let member = file.membership.as_ref().and_then(|m| m.name.as_deref());
-            route_table::named(own, member, listen).map_err(|why| Error::Value(format!("routes.{why}")))?
+            route_table::resolve_name(own, member, listen)
+                .map_err(|why| Error::Value(format!("routes.{why}")))?
         }
         false => String::new(),
     };
--- a/src/bin/proxy/counters.rs
+++ b/src/bin/proxy/counters.rs
@@ -1,6 +1,6 @@
 //! What operators are told in figures. Each request and each attempt is counted once, where it ends.
 
-use load_balancer::client::route_table::Totals;
+use load_balancer::client::route_table::RequestTotals;
 use load_balancer::interface::Census;
 use serde_json::{Map, Value, json};
 use std::cell::{Cell, RefCell};
@@ -44,11 +44,11 @@
     }
 
     /// Of all classes together.
-    pub fn totals(&self) -> Totals {
+    pub fn totals(&self) -> RequestTotals {
         let ended = self.ended.borrow();
         let of = |ending: Ending| ended.iter().map(|n| n[ending as usize]).sum();
         let (refused, failed) = (of(Ending::Refused), of(Ending::Failed));
-        Totals { requests: of(Ending::Served) + refused + failed, refused, failed }
+        RequestTotals { requests: of(Ending::Served) + refused + failed, refused, failed }
     }
 
     /// The figures as they are read out.
--- a/src/bin/proxy/observer.rs
+++ b/src/bin/proxy/observer.rs
@@ -2,7 +2,7 @@
 
 use crate::recorder::Recording;
 use load_balancer::client::list::Host;
-use load_balancer::client::route_table::Tally;
+use load_balancer::client::route_table::CallCounts;
 use load_balancer::interface::{Arrival, AttemptNo, BackendId, Outcome, RequestId};
 use load_balancer::replay::{Ending, Listed};
 use load_balancer::route_table::{Revision, Weights};
@@ -15,7 +15,7 @@
 /// A backend as the list names it, and what went to it.
 struct Place {
     listed: Listed,
-    tally: Tally,
+    tally: CallCounts,
     in_flight: u32,
     /// The weight that the module was told.
     told: Option<f64>,
@@ -64,7 +64,7 @@
                 place
             }
             Entry::Vacant(none) => {
-                none.insert(Place { listed, tally: Tally::default(), in_flight: 0, told: None })
+                none.insert(Place { listed, tally: CallCounts::default(), in_flight: 0, told: None })
             }
         };
         if place.told != Some(place.weight(&self.table.borrow())) {
@@ -188,7 +188,7 @@
     }
 
     /// The calls counted since the last time, by backend.
-    pub fn drain(&self) -> BTreeMap<String, Tally> {
+    pub fn drain(&self) -> BTreeMap<String, CallCounts> {
         let mut places = self.places.borrow_mut();
         places
             .values_mut()
--- a/src/bin/proxy/ops.rs
+++ b/src/bin/proxy/ops.rs
@@ -5,7 +5,7 @@
 use crate::lifecycle::{Lifecycle, Phase};
 use crate::recorder::Recording;
 use load_balancer::client::membership::Membership;
-use load_balancer::client::route_table::Routes;
+use load_balancer::client::route_table::RouteTableClient;
 use std::collections::VecDeque;
 use std::rc::Rc;
 use std::time::Duration;
@@ -51,7 +51,7 @@
     /// The proxies of the tier, where they tell each other.
     pub membership: Option<Rc<Membership>>,
     /// The route table, where there is one.
-    pub routes: Option<Rc<Routes>>,
+    pub routes: Option<Rc<RouteTableClient>>,
     /// The recording, where there is one.
     pub recording: Option<Rc<Recording>>,
 }
--- a/src/bin/proxy/route_table/proxy.rs
+++ b/src/bin/proxy/route_table/proxy.rs
@@ -3,7 +3,7 @@
 use crate::counters::Counters;
 use crate::engine::Engine;
 use crate::observer::Observer;
-use load_balancer::client::route_table::{RoutedProxy, Tally, Totals};
+use load_balancer::client::route_table::{CallCounts, RequestTotals, RoutedProxy};
 use load_balancer::route_table::{ExclusionReason, Revision, Weights};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -40,11 +40,11 @@
         self.observer.list_version()
     }
 
-    fn drain_calls(&self) -> BTreeMap<String, Tally> {
+    fn drain_calls(&self) -> BTreeMap<String, CallCounts> {
         self.observer.drain()
     }
 
-    fn totals(&self) -> Totals {
+    fn totals(&self) -> RequestTotals {
         self.counters.totals()
     }
 }
--- a/src/bin/proxy/route_table/start.rs
+++ b/src/bin/proxy/route_table/start.rs
@@ -7,7 +7,7 @@
 use crate::observer::Observer;
 use crate::recorder::Recording;
 use load_balancer::client::membership::Membership;
-use load_balancer::client::route_table::{Identity, Routes};
+use load_balancer::client::route_table::{Identity, RouteTableClient};
 use load_balancer::client::traffic::Traffic;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -36,7 +36,7 @@
     config: &Config,
     observer: &Rc<Observer>,
     parts: Parts,
-) -> (Option<Rc<Routes>>, Option<Rc<Recording>>) {
+) -> (Option<Rc<RouteTableClient>>, Option<Rc<Recording>>) {
     let (site, engine) = (&config.facts.site, parts.engine);
     let zone = site.zones.get(usize::from(config.facts.settings.zone)).cloned().unwrap_or_default();
     let who = Identity::new(config.name.clone(), zone, parts.membership.clone());
@@ -55,9 +55,9 @@
     let routes = config.routes.as_ref().map(|settings| {
         let (engine, observer, counters) = (engine.clone(), observer.clone(), parts.counters.clone());
         let proxy = Box::new(ObservedEngine { engine, observer, counters });
-        let routes = Routes::new(settings, who, proxy, parts.traffic.clone());
-        spawn_local(routes.clone().follow(registries));
-        spawn_local(routes.clone().report());
+        let routes = RouteTableClient::new(settings, who, proxy, parts.traffic.clone());
+        spawn_local(routes.clone().run_watch(registries));
+        spawn_local(routes.clone().run_reports());
         routes
     });
     (routes, recording)
--- a/src/client/route_table/identity.rs
+++ b/src/client/route_table/identity.rs
@@ -1,32 +1,35 @@
-//! Who this process is to those that hear from it.
+//! The name, zone and generation by which the registry knows this process.
 
 use crate::client::membership::Membership;
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Who this process is to those that hear from it.
+/// The identity of this process in its reports, its recorded segments and its requests for the table.
 pub struct Identity {
     name: String,
     /// Its zone.
     pub zone: String,
-    started: u64,
+    /// Start of the process, Unix time in microseconds.
+    started_us: u64,
     pub(super) membership: Option<Rc<Membership>>,
 }
 
 impl Identity {
-    /// By its name, see [`named`](super::named).
+    /// An identity by the name that [`resolve_name`](super::resolve_name) gave.
     pub fn new(name: String, zone: String, membership: Option<Rc<Membership>>) -> Rc<Self> {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Rc::new(Identity { name, zone, started: unix.as_micros() as u64, membership })
+        Rc::new(Identity { name, zone, started_us: unix.as_micros() as u64, membership })
     }
 
-    /// Its name.
+    /// The name of the process.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Its start, or the generation that it has among the members: they must not differ.
+    /// The generation of the process: that of its membership, or else its start, Unix time in microseconds.
+    ///
+    /// The registry compares the two: peers report the generation that membership has.
     pub fn generation(&self) -> u64 {
-        self.membership.as_ref().map_or(self.started, |m| m.generation())
+        self.membership.as_ref().map_or(self.started_us, |membership| membership.generation())
     }
 }
--- a/src/client/route_table/mod.rs
+++ b/src/client/route_table/mod.rs
@@ -1,5 +1,9 @@
-//! The proxy's side of the route table: watches it, keeps the last good one, has the proxy weigh its picks by it, and
-//! reports what it did. What a table says, and who gets it when, is decided at the registry.
+//! The proxy's side of the route table: it watches the table at a registry, puts valid ones in force, and
+//! reports what the proxy did with them. The registry decides which proxy gets which table, and when.
+//!
+//! Two tasks run for as long as the process does: [`RouteTableClient::run_watch`] and
+//! [`RouteTableClient::run_reports`]. They share the table in force and the window that the next report
+//! covers.
 
 mod identity;
 mod proxy;
@@ -9,66 +13,73 @@
 mod watch;
 
 pub use identity::Identity;
-pub use proxy::{RoutedProxy, Tally, Totals};
-pub use settings::{Settings, named};
+pub use proxy::{CallCounts, RequestTotals, RoutedProxy};
+pub use settings::{Settings, resolve_name};
 pub use table::TableError;
 
 use crate::client::traffic::Traffic;
-use report::Reports;
+use report::ReportState;
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use table::Held;
+use table::CurrentTable;
 use tokio::sync::Notify;
 
-/// This process's part in the routing of its tier.
-pub struct Routes {
-    who: Rc<Identity>,
+/// The client of one process.
+pub struct RouteTableClient {
+    identity: Rc<Identity>,
     proxy: Box<dyn RoutedProxy>,
     traffic: Traffic,
-    report_every: Duration,
-    held: RefCell<Held>,
-    /// Who is asked now, and told.
+    report_interval: Duration,
+    current: RefCell<CurrentTable>,
+    /// The registry that is polled and reported to at present.
     registry: Cell<Option<SocketAddr>>,
-    reports: RefCell<Reports>,
-    first: Notify,
+    reports: RefCell<ReportState>,
+    /// Notified when a table is put in force.
+    first_table: Notify,
 }
 
-impl Routes {
-    /// With no table yet: every weight is 1.
+impl RouteTableClient {
+    /// A client without a table: every weight is 1.
     pub fn new(
         settings: &Settings,
-        who: Rc<Identity>,
+        identity: Rc<Identity>,
         proxy: Box<dyn RoutedProxy>,
         traffic: Traffic,
     ) -> Rc<Self> {
-        let reports = RefCell::new(Reports::new(proxy.totals()));
-        let (held, registry) = (RefCell::default(), Cell::default());
-        let report_every = Duration::from_millis(settings.report_ms);
-        let first = Notify::new();
-        Rc::new(Routes { who, proxy, traffic, report_every, held, registry, reports, first })
+        Rc::new(RouteTableClient {
+            reports: RefCell::new(ReportState::new(proxy.totals())),
+            identity,
+            proxy,
+            traffic,
+            report_interval: Duration::from_millis(settings.report_ms),
+            current: RefCell::default(),
+            registry: Cell::default(),
+            first_table: Notify::new(),
+        })
     }
 
     /// Waits for the first table.
     pub async fn first_table(&self) {
-        self.first.notified().await;
+        self.first_table.notified().await;
     }
 
-    /// Revision of the table in force; 0 before the first.
+    /// Revision of the table in force; 0 before the first one.
     pub fn revision(&self) -> crate::route_table::Revision {
-        self.held.borrow().revision
+        self.current.borrow().revision
     }
 
-    /// The table in force, for operators.
+    /// The page of the table in force, for operators. Its keys are a contract.
     pub fn page(&self) -> Value {
-        let (held, reports) = (self.held.borrow(), self.reports.borrow());
+        let current = self.current.borrow();
+        let reports = self.reports.borrow();
         json!({
-            "name": self.who.name(), "generation": self.who.generation(), "registry": self.registry.get(),
-            "revision": held.revision, "digest": self.proxy.digest(), "newest": held.newest,
-            "since_ms": held.since_ms, "weights": self.proxy.weights(), "left_out": self.proxy.left_out(),
-            "error": held.error, "refused_tables": held.refused, "reports": reports.page(),
+            "name": self.identity.name(), "generation": self.identity.generation(), "registry": self.registry.get(),
+            "revision": current.revision, "digest": self.proxy.digest(), "newest": current.newest,
+            "since_ms": current.since_ms, "weights": self.proxy.weights(), "left_out": self.proxy.left_out(),
+            "error": current.error, "refused_tables": current.refused, "reports": reports.page(),
         })
     }
 }
--- a/src/client/route_table/proxy.rs
+++ b/src/client/route_table/proxy.rs
@@ -1,42 +1,43 @@
-//! The proxy that a route table acts on and that reports tell of.
+//! What the client needs of the proxy: it puts tables in force there and reads the counts for its reports.
 
 use crate::route_table::{ExclusionReason, Revision, Weights};
 use std::collections::BTreeMap;
 
 /// Requests that have ended since the start.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Totals {
-    /// All of them.
+pub struct RequestTotals {
+    /// All requests.
     pub requests: u64,
-    /// Those refused.
+    /// Requests that were refused.
     pub refused: u64,
-    /// Those failed.
+    /// Requests that failed.
     pub failed: u64,
 }
 
-/// Calls of a window.
+/// Calls to one backend in a window.
 #[derive(Default, Clone, Copy, Debug)]
-pub struct Tally {
-    /// Sent.
+pub struct CallCounts {
+    /// Calls sent.
     pub calls: u64,
-    /// Answered with an error, or not answered.
+    /// Calls that ended with an error or without an answer.
     pub errors: u64,
 }
 
-/// What the client needs of a proxy: it puts tables in force there, and reports from it.
+/// The proxy whose selection follows the route table.
 pub trait RoutedProxy {
-    /// Weighs the backends by another table from now on.
+    /// Uses the weights of another table from now on.
     fn put_in_force(&self, revision: Revision, weights: Weights);
-    /// Each listed backend's weight as it is in force, by name.
+    /// The weight in force of each listed backend, by name.
     fn weights(&self) -> BTreeMap<String, f64>;
-    /// Digest of the weights in force. That of the table is given only if each weight is the table's.
+    /// Digest of the weights that the selection uses; it equals that of the table only if every weight is the
+    /// table's. The registry raises `diverged` where it does not.
     fn digest(&self) -> String;
-    /// Which backends get less now than their weights say, and why.
+    /// The backends that get fewer calls now than by their weights, and why.
     fn left_out(&self) -> BTreeMap<String, ExclusionReason>;
-    /// Version of the list that is held.
+    /// Version of the list of backends in use.
     fn list_version(&self) -> u64;
-    /// The calls counted since the last time, by backend.
-    fn drain_calls(&self) -> BTreeMap<String, Tally>;
-    /// Requests since the start.
-    fn totals(&self) -> Totals;
+    /// The calls since the last call of this function, by backend.
+    fn drain_calls(&self) -> BTreeMap<String, CallCounts>;
+    /// The requests that have ended since the start.
+    fn totals(&self) -> RequestTotals;
 }
--- a/src/client/route_table/table.rs
+++ b/src/client/route_table/table.rs
@@ -1,104 +1,129 @@
-//! The table as it comes from a registry, and what is wrong with one that is not taken.
+//! The table as a registry answers it, the one in force here, and the reasons for which a table is refused.
 
 use crate::route_table::{MAX_WEIGHTS, Revision, Weights};
 use serde::Deserialize;
+use std::cmp::Ordering;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// A registry's answer: the table that this process should have.
+/// Most characters of a wrong digest that an error quotes: it comes from outside.
+const MAX_QUOTED_DIGEST: usize = 64;
+
+/// A registry's answer: the table that this proxy should have.
 #[derive(Deserialize, Clone, Debug)]
-pub(super) struct Page {
+pub(super) struct TableResponse {
     pub(super) revision: Revision,
     pub(super) weights: Weights,
     pub(super) digest: String,
-    /// The newest table that the registry has; it may be on its way to others first.
+    /// The newest revision at the registry, which may be in a stage of its rollout that does not include this
+    /// proxy.
     #[serde(default)]
     pub(super) newest: Revision,
 }
 
-/// What is held of it.
+/// The table in force in this proxy, and the state of the watch.
 #[derive(Default)]
-pub(super) struct Held {
-    /// Whether any table has come.
-    pub(super) any: bool,
+pub(super) struct CurrentTable {
+    /// Whether any table has been received.
+    pub(super) received: bool,
     pub(super) revision: Revision,
     pub(super) digest: String,
+    /// See [`TableResponse::newest`].
     pub(super) newest: Revision,
     /// Since when it is in force, Unix time in milliseconds.
     pub(super) since_ms: Option<u64>,
-    /// What is wrong now, if anything is.
+    /// Why the last answer failed, if it did.
     pub(super) error: Option<String>,
-    /// How many tables were not taken.
+    /// Tables that were refused since the start.
     pub(super) refused: u64,
 }
 
-/// Why a table is not taken. The last good one stays in force.
+/// Why a table is refused. The one in force stays.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum TableError {
+    /// The weights are not those of the digest: they were changed on their way or on the registry's disk.
     #[error(
-        "table {revision} is spoilt: its digest is {told}, its weights give {made}; revision {held} stays in force. \
-         Read it at the registry, and propose it again"
+        "table {revision} is spoilt: its digest is {stated}, its weights give {computed}; revision {current} stays in \
+         force. Read it at the registry, and propose it again"
     )]
-    Digest { revision: Revision, told: String, made: String, held: Revision },
+    Digest { revision: Revision, stated: String, computed: String, current: Revision },
+    /// A weight is negative or not finite.
     #[error(
         "table {revision} is spoilt: {kind} {name} has weight {weight}, which must be 0 or more and finite; revision \
-         {held} stays in force. Propose a sound table"
+         {current} stays in force. Propose a sound table"
     )]
-    Weight { revision: Revision, kind: &'static str, name: String, weight: f64, held: Revision },
+    Weight { revision: Revision, kind: &'static str, name: String, weight: f64, current: Revision },
+    /// It has more than [`MAX_WEIGHTS`] weights.
     #[error(
-        "table {revision} is spoilt: {count} weights are more than {MAX_WEIGHTS}; revision {held} stays in force. \
+        "table {revision} is spoilt: {count} weights are more than {MAX_WEIGHTS}; revision {current} stays in force. \
          Propose a smaller table"
     )]
-    Size { revision: Revision, count: usize, held: Revision },
+    Size { revision: Revision, count: usize, current: Revision },
+    /// Its revision is older than the one in force.
     #[error(
-        "the registry is behind: it gives revision {revision}, revision {held} is in force here and stays. It has lost \
-         its state, or is another registry: see GET /registry/drift, and propose the wanted weights there anew"
+        "the registry is behind: it gives revision {revision}, revision {current} is in force here and stays. It has \
+         lost its state, or is another registry: see GET /registry/drift, and propose the wanted weights there anew"
     )]
-    Behind { revision: Revision, held: Revision },
+    Behind { revision: Revision, current: Revision },
+    /// It has the revision in force with other weights.
     #[error(
-        "the registry has another table under revision {held} than the one in force here, which stays. It has lost its \
-         state, or is another registry: propose the wanted weights there anew"
+        "the registry has another table under revision {current} than the one in force here, which stays. It has lost \
+         its state, or is another registry: propose the wanted weights there anew"
     )]
-    Other { held: Revision },
+    Conflict { current: Revision },
 }
 
-impl Page {
-    /// Whether it is news that can be taken.
-    pub(super) fn news(&self, held: &Held) -> Result<bool, TableError> {
+impl TableResponse {
+    /// Whether the table is valid and newer than the one in force.
+    ///
+    /// # Errors
+    ///
+    /// [`TableError`] if it is not valid, or cannot follow the one in force. Failure that the last two guard
+    /// against: a registry that lost its state would take this proxy back to an older table.
+    pub(super) fn is_new(&self, current: &CurrentTable) -> Result<bool, TableError> {
+        self.check_weights(current.revision)?;
+        if !current.received {
+            return Ok(true);
+        }
         let revision = self.revision;
-        let (count, made) = (self.weights.iter().count(), self.weights.digest());
-        if count > MAX_WEIGHTS {
-            return Err(TableError::Size { revision, count, held: held.revision });
+        match revision.cmp(&current.revision) {
+            Ordering::Less => Err(TableError::Behind { revision, current: current.revision }),
+            Ordering::Equal if self.digest != current.digest => {
+                Err(TableError::Conflict { current: current.revision })
+            }
+            Ordering::Equal => Ok(false),
+            Ordering::Greater => Ok(true),
         }
-        if made != self.digest {
-            let told = self.digest.chars().take(64).collect();
-            return Err(TableError::Digest { revision, told, made, held: held.revision });
+    }
+
+    /// Checks size, digest and range of the weights.
+    fn check_weights(&self, current: Revision) -> Result<(), TableError> {
+        let revision = self.revision;
+        let count = self.weights.iter().count();
+        if count > MAX_WEIGHTS {
+            return Err(TableError::Size { revision, count, current });
         }
-        let bad = self.weights.iter().find(|(_, _, weight)| !weight.is_finite() || *weight < 0.0);
-        if let Some((kind, name, weight)) = bad {
-            return Err(TableError::Weight {
-                revision,
-                kind,
-                name: name.into(),
-                weight,
-                held: held.revision,
-            });
+        let computed = self.weights.digest();
+        if computed != self.digest {
+            let stated = self.digest.chars().take(MAX_QUOTED_DIGEST).collect();
+            return Err(TableError::Digest { revision, stated, computed, current });
         }
-        match revision.cmp(&held.revision) {
-            _ if !held.any => Ok(true),
-            std::cmp::Ordering::Less => Err(TableError::Behind { revision, held: held.revision }),
-            std::cmp::Ordering::Equal if self.digest != held.digest => {
-                Err(TableError::Other { held: held.revision })
+        let invalid = self.weights.iter().find(|(_, _, weight)| !weight.is_finite() || *weight < 0.0);
+        match invalid {
+            Some((kind, name, weight)) => {
+                Err(TableError::Weight { revision, kind, name: name.into(), weight, current })
             }
-            order => Ok(order.is_gt()),
+            None => Ok(()),
         }
     }
 }
 
-impl Held {
-    /// Takes a table that is news.
-    pub(super) fn take(&mut self, page: &Page) {
+impl CurrentTable {
+    /// Records that a table is put in force now.
+    pub(super) fn set(&mut self, table: &TableResponse) {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        (self.any, self.revision, self.digest) = (true, page.revision, page.digest.clone());
+        self.received = true;
+        self.revision = table.revision;
+        self.digest = table.digest.clone();
         self.since_ms = Some(unix.as_millis() as u64);
     }
 }
--- a/src/client/route_table/watch.rs
+++ b/src/client/route_table/watch.rs
@@ -1,7 +1,9 @@
-//! Follows the table for ever.
+//! The watch of the table: a long poll of one registry after another, for as long as the process runs.
+//!
+//! While no registry answers, or an answer is refused, the table in force stays.
 
-use super::Routes;
-use super::table::Page;
+use super::RouteTableClient;
+use super::table::TableResponse;
 use crate::client::registry::{Call, Fault, Link, PAUSES, Rotation, call};
 use crate::client::traffic::Kind;
 use bytes::Bytes;
@@ -13,97 +15,107 @@
 use tokio::time::{Instant, sleep};
 use tracing::info;
 
-/// How long a watch waits for another table: what a fleet asks of a registry grows as this gets shorter.
-const WAIT: Duration = Duration::from_secs(5);
-/// Pause after an answer without news that came at once.
-const PAUSE_WITHOUT_NEWS: Duration = Duration::from_millis(500);
-/// Longest table, in bytes: one with all the weights that a table may have, under the longest names, takes 4.5 MB
-/// (computed). So what a registry takes can be read here; no more than this is held of an answer.
-const MAX_TABLE: usize = 8 << 20;
+/// Longest time that a registry holds a poll open. The requests of a fleet rise in inverse proportion to it.
+const POLL_WAIT: Duration = Duration::from_secs(5);
+/// Least interval between polls that bring no new table. Failure: a registry that answers at once without one
+/// would be asked in a busy loop.
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Longest answer that is read, in bytes. The largest table that a registry accepts takes 4.5 MB (computed:
+/// all the weights that a table may have, under the longest names).
+const MAX_TABLE_BYTES: usize = 8 << 20;
 
-impl Routes {
-    /// Follows it wherever the registries move to.
-    pub async fn follow(self: Rc<Self>, mut registries: watch::Receiver<Vec<SocketAddr>>) {
+impl RouteTableClient {
+    /// Watches the table for ever, from the registries that the channel names at the time.
+    pub async fn run_watch(self: Rc<Self>, mut registries: watch::Receiver<Vec<SocketAddr>>) {
         loop {
-            let at = registries.borrow_and_update().clone();
+            let current = registries.borrow_and_update().clone();
             tokio::select! {
-                () = self.follow_at(at) => return,
+                () = self.watch_registries(current) => return,
                 Ok(()) = registries.changed() => {}
             }
         }
     }
 
-    async fn follow_at(&self, registries: Vec<SocketAddr>) {
-        let (mut source, mut link) = (Rotation::new("routes", registries, PAUSES), None);
+    /// Polls one registry until it fails, then the next one, with the pauses that the rotation gives.
+    async fn watch_registries(&self, registries: Vec<SocketAddr>) {
+        let mut source = Rotation::new("routes", registries, PAUSES);
+        let mut link = None;
         loop {
             self.registry.set(Some(source.address()));
-            let asked = Instant::now();
-            let answer = self.ask(&mut link, source.address()).await;
-            match answer.and_then(|page| self.take(page)) {
-                Ok(news) => {
+            let polled_at = Instant::now();
+            let answer = self.poll(&mut link, source.address()).await;
+            match answer.and_then(|response| self.update_table(response)) {
+                Ok(is_new) => {
                     if source.answered() {
                         info!(
                             "routes: {} answers, revision {}",
                             source.address(),
-                            self.held.borrow().revision
+                            self.current.borrow().revision
                         );
                     }
-                    self.held.borrow_mut().error = None;
-                    if !news && asked.elapsed() < PAUSE_WITHOUT_NEWS {
-                        sleep(PAUSE_WITHOUT_NEWS).await;
+                    self.current.borrow_mut().error = None;
+                    if !is_new && polled_at.elapsed() < MIN_POLL_INTERVAL {
+                        sleep(MIN_POLL_INTERVAL).await;
                     }
                 }
                 Err(fault) => {
-                    self.held.borrow_mut().error = Some(format!("{}: {fault}", source.address()));
+                    self.current.borrow_mut().error = Some(format!("{}: {fault}", source.address()));
                     sleep(source.failed(&fault)).await;
                 }
             }
         }
     }
 
-    /// The table that this process should have: at once where it has none yet, else when there is another.
-    async fn ask(&self, link: &mut Option<Link>, registry: SocketAddr) -> Result<Page, Fault> {
-        let (name, generation) = (self.who.name(), self.who.generation());
+    /// Asks for the table that this process should have. Without a table the registry answers at once, else
+    /// when there is a newer one or after [`POLL_WAIT`].
+    async fn poll(&self, link: &mut Option<Link>, registry: SocketAddr) -> Result<TableResponse, Fault> {
+        let name = self.identity.name();
+        let generation = self.identity.generation();
         let mut path = format!("/registry/routes?name={name}&generation={generation}");
-        let after = Some(self.held.borrow()).filter(|held| held.any).map(|held| held.revision);
-        let wait = after.map_or(Duration::ZERO, |_| WAIT);
+        let after =
+            Some(self.current.borrow()).filter(|current| current.received).map(|current| current.revision);
+        let wait = after.map_or(Duration::ZERO, |_| POLL_WAIT);
         if let Some(after) = after {
-            path += &format!("&after={after}&wait_ms={}", WAIT.as_millis());
+            path += &format!("&after={after}&wait_ms={}", POLL_WAIT.as_millis());
         }
-        let asked = Call {
+        let request = Call {
             kind: Kind::RouteWatch,
             method: Method::GET,
             path: &path,
             body: Bytes::new(),
             wait,
-            max_answer: MAX_TABLE,
+            max_answer: MAX_TABLE_BYTES,
         };
-        let text = call(link, registry, asked, &self.traffic).await?;
+        let text = call(link, registry, request, &self.traffic).await?;
         serde_json::from_slice(&text).map_err(Fault::NoTable)
     }
 
-    /// Puts a table in force if it is news. One that cannot be taken leaves the last good one in force.
-    fn take(&self, page: Page) -> Result<bool, Fault> {
-        let mut held = self.held.borrow_mut();
-        held.newest = page.newest;
-        match page.news(&held) {
+    /// Puts a table in force if it is new, and says whether it was.
+    ///
+    /// # Errors
+    ///
+    /// The table is refused and counted; the one in force stays.
+    fn update_table(&self, response: TableResponse) -> Result<bool, Fault> {
+        let mut current = self.current.borrow_mut();
+        current.newest = response.newest;
+        match response.is_new(&current) {
             Ok(false) => Ok(false),
             Ok(true) => {
                 info!(
                     "routes: revision {} in force, digest {}, before {}",
-                    page.revision, page.digest, held.revision
+                    response.revision, response.digest, current.revision
                 );
-                held.take(&page);
-                drop(held);
-                self.proxy.put_in_force(page.revision, page.weights);
-                // What was counted until now was sent by other weights.
-                self.cut_window();
-                self.first.notify_one();
+                current.set(&response);
+                drop(current);
+                self.proxy.put_in_force(response.revision, response.weights);
+                // The calls counted so far followed other weights: a report must not mix both.
+                self.restart_window();
+                self.first_table.notify_one();
                 Ok(true)
             }
-            Err(spoilt) => {
-                held.refused += 1;
-                Err(spoilt.into())
+            Err(error) => {
+                current.refused += 1;
+                Err(error.into())
             }
         }
     }
