--- a/src/bin/registry/http/write_reply.rs
+++ b/src/bin/registry/http/write_reply.rs
@@ -47,7 +47,7 @@
 }
 
 fn accepted_proposal_json(record: &RouteRecord) -> Value {
-    let Some(work) = &record.work else { return json!({"revision": record.in_force.revision}) };
+    let Some(work) = &record.active else { return json!({"revision": record.in_force.revision}) };
     let state = if work.rollout.is_some() { "rolling_out" } else { "judging" };
     json!({
         "revision": work.table.revision,
--- a/src/bin/registry/writer/request.rs
+++ b/src/bin/registry/writer/request.rs
@@ -3,7 +3,7 @@
 use crate::lease::{LeaseDecision, LeaseError, LeaseRequest};
 use crate::route_table::TooLong;
 use load_balancer::catalog::{Entry, ServiceName};
-use load_balancer::route_table::{Proposal, Refused as ProposalError, RouteRecord};
+use load_balancer::route_table::{Proposal, ProposalError, RouteRecord};
 use serde::Deserialize;
 use std::time::Duration;
 use thiserror::Error;
--- a/tests/compatibility/registry_calls.rs
+++ b/tests/compatibility/registry_calls.rs
@@ -9,7 +9,7 @@
 use crate::proxy_traffic::{Asked, Recorder};
 use crate::rig::{Backend, Do, Orders, Proxy, settings};
 use crate::table_rig::table;
-use load_balancer::route_table::{LeftOut, Report, Witness};
+use load_balancer::route_table::{ExclusionReason, Report, Witness};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -100,7 +100,13 @@
 /// Every key of a report, and every word of `left_out`.
 #[test]
 fn a_report_has_this_form_both_ways() {
-    let why = [LeftOut::Ejected, LeftOut::Cold, LeftOut::Draining, LeftOut::Subset, LeftOut::Slow];
+    let why = [
+        ExclusionReason::Ejected,
+        ExclusionReason::Cold,
+        ExclusionReason::Draining,
+        ExclusionReason::Subset,
+        ExclusionReason::Slow,
+    ];
     let counts = |n: u64| BTreeMap::from([("s-1".to_string(), n), ("s-2".to_string(), 0)]);
     let report = Report {
         name: "n0".into(),
--- a/tests/compatibility/route_records.rs
+++ b/tests/compatibility/route_records.rs
@@ -8,7 +8,9 @@
 use crate::registry_golden::{compare, text};
 use load_balancer::catalog::{SavedService, Update};
 use load_balancer::replay::{Bounds, Verdict};
-use load_balancer::route_table::{Kind, Proposal, Report, RouteRecord, Weights, list_digest, rank};
+use load_balancer::route_table::{
+    FindingKind, Proposal, Report, RouteRecord, Weights, list_digest, proxy_rank,
+};
 use serde::{Serialize, de::DeserializeOwned};
 use serde_json::json;
 
@@ -60,18 +62,18 @@
 #[test]
 fn kinds_of_findings_keep_their_names_and_advice() {
     let all = [
-        Kind::Lagging,
-        Kind::Diverged,
-        Kind::Ahead,
-        Kind::Effect,
-        Kind::Silent,
-        Kind::Gone,
-        Kind::Zombie,
-        Kind::Flapping,
-        Kind::Blind,
+        FindingKind::Lagging,
+        FindingKind::Diverged,
+        FindingKind::Ahead,
+        FindingKind::Effect,
+        FindingKind::Silent,
+        FindingKind::Gone,
+        FindingKind::Zombie,
+        FindingKind::Flapping,
+        FindingKind::Blind,
     ];
     assert!(all.is_sorted());
-    let line = |kind: &Kind| format!("{} {}\n", json!(kind), kind.what_to_do());
+    let line = |kind: &FindingKind| format!("{} {}\n", json!(kind), kind.what_to_do());
     compare("kinds.txt", &all.iter().map(line).collect::<String>());
 }
 
@@ -81,6 +83,6 @@
         serde_json::from_str(r#"{"backends":{"s0":0.5,"s1":2.0},"classes":{"m2":1.25},"zones":{"a":0.0}}"#)
             .expect("weights");
     let mut lines = format!("{}\n{}\n{}\n", Weights::default().digest(), weights.digest(), list_digest(&[]));
-    lines += &["p0", "p1", "10.0.0.1:7000"].map(|name| format!("{name} {}\n", rank(name))).concat();
+    lines += &["p0", "p1", "10.0.0.1:7000"].map(|name| format!("{name} {}\n", proxy_rank(name))).concat();
     compare("digests.txt", &lines);
 }
