--- a/benches/membership.rs
+++ b/benches/membership.rs
@@ -11,14 +11,14 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
-use swim::{Id, Standing, Swim, Timing};
+use swim::{MemberId, MemberState, Swim, Timing};
 
 const LATENCY: u64 = 1000;
 const SECOND: u64 = 1_000_000;
 
 enum Due {
     Datagram(Vec<u8>),
-    Timer(Timer<Id>),
+    Timer(Timer<MemberId>),
 }
 
 /// Members, what is on its way to them, and the time in microseconds.
@@ -47,7 +47,8 @@
 impl Net {
     /// All have joined and know each other.
     fn joined(size: usize, timing: &Timing, seed: u64) -> Net {
-        let id = |n: usize| Id { addr: address(n), generation: 1, name: format!("n{n}"), zone: "a".into() };
+        let id =
+            |n: usize| MemberId { addr: address(n), generation: 1, name: format!("n{n}"), zone: "a".into() };
         let members =
             (0..size).map(|n| Some(Swim::new(id(n), timing, "bench", seed * 1000 + n as u64))).collect();
         let (due, waiting, chance) = (BinaryHeap::new(), Default::default(), fastrand::Rng::with_seed(seed));
@@ -90,7 +91,7 @@
             self.waiting.insert(self.next, Due::Timer(timer));
             self.next += 1;
         }
-        while member.news().is_some() {}
+        while member.next_notification().is_some() {}
     }
 
     /// Runs until a time, or until `done` says so; it is asked after every event with the member that had it.
@@ -101,7 +102,7 @@
             let due = self.waiting.remove(&key).expect("each is kept once");
             self.act(n, |m| match due {
                 Due::Datagram(datagram) => drop(m.receive(&datagram)),
-                Due::Timer(timer) => m.wake(timer),
+                Due::Timer(timer) => m.handle_timer(timer),
             });
             if self.members[n].as_ref().is_some_and(&mut done) {
                 return;
@@ -111,8 +112,8 @@
     }
 }
 
-fn standing(member: &Swim, of: usize) -> Option<Standing> {
-    member.members().find(|m| m.id.addr == address(of)).map(|m| m.standing)
+fn standing(member: &Swim, of: usize) -> Option<MemberState> {
+    member.members().find(|m| m.id.addr == address(of)).map(|m| m.state)
 }
 
 /// Time from a death to each other's knowing of it, over a number of deaths.
@@ -128,7 +129,7 @@
             let mut told = None;
             net.run(died + 600 * SECOND, |m| {
                 let n = number(m.id().addr);
-                let news = !aware[n] && standing(m, dead) == Some(Standing::Gone);
+                let news = !aware[n] && standing(m, dead) == Some(MemberState::Gone);
                 told = news.then_some(n);
                 news
             });
--- a/benches/scale/run/agent.rs
+++ b/benches/scale/run/agent.rs
@@ -4,16 +4,17 @@
 use super::plan::instances;
 use bytes::Bytes;
 use hyper::Method;
-use load_balancer::client::pauses::{Bounds, Pauses};
+use load_balancer::client::backoff::{Backoff, BackoffBounds};
 use load_balancer::client::registry::{Call, call};
-use load_balancer::client::traffic::{Kind, Traffic};
+use load_balancer::client::traffic::{Traffic, TrafficKind};
 use serde_json::json;
 use std::time::Duration;
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::sleep;
 
-/// Pauses after a failed registration.
-const PAUSES: Bounds = [Duration::from_millis(100), Duration::from_secs(5)];
+/// Delays after a failed registration.
+const BACKOFF_BOUNDS: BackoffBounds =
+    BackoffBounds { min: Duration::from_millis(100), max: Duration::from_secs(5) };
 /// Longest answer.
 const MAX_ANSWER: usize = 64 << 10;
 /// A registry that takes longer is asked again.
@@ -41,13 +42,13 @@
     let ttl = Duration::from_millis(plan.ttl_ms);
     let body = Bytes::from(json!({"ttl_ms": plan.ttl_ms, "hosts": [plan.entry]}).to_string());
     let path = instances(plan.service.as_deref());
-    let mut pauses = Pauses::new(PAUSES);
+    let mut backoff = Backoff::new(BACKOFF_BOUNDS);
     if !plan.fresh {
         sleep(ttl.mul_f64(fastrand::f64() / 4.0)).await;
     }
     loop {
         let put = Call {
-            kind: Kind::Registration,
+            kind: TrafficKind::Registration,
             method: Method::PUT,
             path: &path,
             body: body.clone(),
@@ -56,10 +57,10 @@
         };
         let pause = match call(&mut None, plan.agent_registry, put, &traffic).await {
             Ok(_) => {
-                pauses.reset();
+                backoff.reset();
                 ttl.mul_f64(0.25 + fastrand::f64() / 6.0)
             }
-            Err(_) => pauses.next_pause(),
+            Err(_) => backoff.next_delay(),
         };
         sleep(pause).await;
     }
--- a/benches/scale/run/entries.rs
+++ b/benches/scale/run/entries.rs
@@ -1,6 +1,6 @@
 //! A list of backends, kept as no more than is needed to compare it with another.
 
-use load_balancer::client::list::{Health, Host};
+use load_balancer::client::list::{EndpointEntry, Health};
 use load_balancer::interface::ListKind;
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -14,12 +14,12 @@
 
 impl Entries {
     /// Takes a list, or changes to it.
-    pub fn take(&mut self, kind: ListKind, hosts: &[Host]) {
+    pub fn take(&mut self, kind: ListKind, hosts: &[EndpointEntry]) {
         if kind == ListKind::Full {
             *self = Entries { by_name: HashMap::with_capacity(hosts.len()), sum: 0 };
         }
         for host in hosts {
-            let (name, says) = (hash(&host.host), said(host));
+            let (name, says) = (hash(&host.name), said(host));
             let before = if host.health == Health::Deleted {
                 self.by_name.remove(&name)
             } else {
@@ -47,8 +47,8 @@
     hasher.finish()
 }
 
-fn said(host: &Host) -> u64 {
+fn said(host: &EndpointEntry) -> u64 {
     let health = host.health as u8;
-    let numbers = (host.block, host.share.to_bits(), host.born_ms.to_bits());
-    hash((&host.host, host.dial, &host.site, &host.class, health, numbers))
+    let numbers = (host.cell, host.weight.to_bits(), host.started_ms.to_bits());
+    hash((&host.name, host.address, &host.zone, &host.class, health, numbers))
 }
--- a/benches/scale/run/hollow.rs
+++ b/benches/scale/run/hollow.rs
@@ -5,8 +5,8 @@
 use super::entries::Entries;
 use super::order::ProxyPlan;
 use super::standing::Standings;
-use load_balancer::client::discovery::{self, Backoff, Listener, Pace};
-use load_balancer::client::list::Host;
+use load_balancer::client::discovery::{self, EndpointListener, PollBackoff, PollSchedule};
+use load_balancer::client::list::EndpointEntry;
 use load_balancer::client::route_table::{Identity, RoutedProxy, Routes, Settings, Tally, Totals};
 use load_balancer::client::traffic::Traffic;
 use load_balancer::interface::ListKind;
@@ -86,10 +86,11 @@
         let (registries, moves) = watch::channel(vec![plan.registry]);
         let (wanting, wanted) = watch::channel(true);
         let stand_in = StandIn(inner.clone());
-        let pace = Pace::new(false, DRAIN_GRACE).with_backoff(Backoff::default());
+        let pace = PollSchedule::new(false, DRAIN_GRACE).with_backoff(PollBackoff::default());
         let service = plan.service.as_deref().and_then(|name| name.parse().ok());
         let follows = discovery::Settings { service, ..discovery::Settings::new(pace, traffic.clone()) };
-        let list = discovery::follow(stand_in.clone(), moves.clone(), follows, wanted, oneshot::channel().0);
+        let list =
+            discovery::run_watch(stand_in.clone(), moves.clone(), follows, wanted, oneshot::channel().0);
         let settings = Settings { report_ms: plan.report_ms, ..Settings::default() };
         let who = Identity::new(format!("p{}", plan.number), plan.zone.clone(), None);
         let routes = Routes::new(&settings, who, Box::new(stand_in), traffic.clone());
@@ -129,8 +130,8 @@
     }
 }
 
-impl Listener for StandIn {
-    fn list(&self, kind: ListKind, version: u64, hosts: Vec<Host>) {
+impl EndpointListener for StandIn {
+    fn apply(&self, kind: ListKind, version: u64, hosts: Vec<EndpointEntry>) {
         let held = &mut *self.0.held.borrow_mut();
         held.entries.take(kind, &hosts);
         self.0.lists.update(|lists| lists + 1);
@@ -139,9 +140,9 @@
         self.0.standings.borrow_mut().take(kind, version, &hosts, now_ms() as f64);
     }
 
-    fn list_failed(&self) {}
+    fn poll_failed(&self) {}
 
-    fn wants_whole_list(&self) -> bool {
+    fn take_resync_request(&self) -> bool {
         false
     }
 }
--- a/benches/scale/run/standing.rs
+++ b/benches/scale/run/standing.rs
@@ -1,7 +1,7 @@
 //! What the reports of hollow proxies say of their backends: the decision module's own answer for an idle proxy. One
 //! module stands for all hollow proxies of a service in a worker, since a module for each would be their data path.
 
-use load_balancer::client::list::{Health, Host};
+use load_balancer::client::list::{EndpointEntry, Health};
 use load_balancer::client::route_table::Tally;
 use load_balancer::interface::{BackendId, Entry, Event, ListKind, Phase, TrafficShare};
 use load_balancer::platform_settings::PlatformSettings;
@@ -37,7 +37,7 @@
     }
 
     /// A list, or changes to it, unless another proxy has brought it already.
-    pub fn take(&mut self, kind: ListKind, version: u64, hosts: &[Host], now: f64) {
+    pub fn take(&mut self, kind: ListKind, version: u64, hosts: &[EndpointEntry], now: f64) {
         if version <= self.version {
             return;
         }
@@ -48,16 +48,16 @@
         self.names.retain(|id, _| balancer.knows(*id));
     }
 
-    fn entry(&mut self, host: &Host) -> Entry {
-        let backend = backend_id(&host.host);
-        self.names.insert(backend, host.host.clone());
+    fn entry(&mut self, host: &EndpointEntry) -> Entry {
+        let backend = backend_id(&host.name);
+        self.names.insert(backend, host.name.clone());
         let phase = match host.health {
             Health::Serving => Phase::Ready,
             Health::Draining => Phase::Draining,
             Health::Deleted => Phase::Gone,
         };
-        let zone = self.zones.iter().position(|zone| *zone == host.site).unwrap_or_default() as u16;
-        let (started_at, weight, cell) = (host.born_ms, host.share, host.block);
+        let zone = self.zones.iter().position(|zone| *zone == host.zone).unwrap_or_default() as u16;
+        let (started_at, weight, cell) = (host.started_ms, host.weight, host.cell);
         Entry { backend, phase, zone, started_at_ms: started_at, weight, cell }
     }
 
--- a/benches/scale/run/traffic.rs
+++ b/benches/scale/run/traffic.rs
@@ -44,14 +44,14 @@
     }
 
     /// The client's own name for it.
-    fn of_client(kind: client::Kind) -> Kind {
+    fn of_client(kind: client::TrafficKind) -> Kind {
         match kind {
-            client::Kind::ListWhole => Kind::WholeList,
-            client::Kind::ListWatch => Kind::ListWatch,
-            client::Kind::RouteWatch => Kind::Table,
-            client::Kind::Report => Kind::Report,
-            client::Kind::Registration => Kind::Register,
-            client::Kind::Datagram | client::Kind::Trace => Kind::Other,
+            client::TrafficKind::FullList => Kind::WholeList,
+            client::TrafficKind::ListWatch => Kind::ListWatch,
+            client::TrafficKind::RouteWatch => Kind::Table,
+            client::TrafficKind::Report => Kind::Report,
+            client::TrafficKind::Registration => Kind::Register,
+            client::TrafficKind::Datagram | client::TrafficKind::Trace => Kind::Other,
         }
     }
 
@@ -110,7 +110,7 @@
     /// What clients that count together have counted.
     pub fn of_clients(counted: &client::Traffic) -> Traffic {
         let mut traffic = Traffic::default();
-        for kind in client::Kind::ALL {
+        for kind in client::TrafficKind::ALL {
             let count = counted.count(kind);
             traffic.record(
                 Kind::of_client(kind),
--- a/benches/scale/run/truth.rs
+++ b/benches/scale/run/truth.rs
@@ -3,7 +3,7 @@
 use super::entries::Entries;
 use super::order::Truth;
 use super::plan::{Plan, entry};
-use load_balancer::client::list::Host;
+use load_balancer::client::list::EndpointEntry;
 use load_balancer::interface::ListKind;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -48,8 +48,8 @@
     }
 
     fn sum(&self, service: &Option<String>) -> u64 {
-        let read = |entry: Value| serde_json::from_value::<Host>(entry).ok();
-        let hosts: Vec<Host> = self.entries(service).into_iter().filter_map(read).collect();
+        let read = |entry: Value| serde_json::from_value::<EndpointEntry>(entry).ok();
+        let hosts: Vec<EndpointEntry> = self.entries(service).into_iter().filter_map(read).collect();
         let mut entries = Entries::default();
         entries.take(ListKind::Full, &hosts);
         entries.sum()
--- a/benches/scale/run/worker.rs
+++ b/benches/scale/run/worker.rs
@@ -6,7 +6,7 @@
 use super::order::{Answer, Order, ProxyPlan, Truth};
 use super::standing::Standings;
 use super::traffic::{BUCKET_MS, Traffic};
-use load_balancer::client::traffic::{Kind, Traffic as Counted};
+use load_balancer::client::traffic::{Traffic as Counted, TrafficKind};
 use load_balancer::platform_settings::{self, PlatformSettings};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -81,7 +81,7 @@
     let mut before = 0;
     loop {
         ticks.tick().await;
-        let calls: u64 = Kind::ALL.iter().map(|kind| counted.count(*kind).messages_sent).sum();
+        let calls: u64 = TrafficKind::ALL.iter().map(|kind| counted.count(*kind).messages_sent).sum();
         rates.borrow_mut().at(now_ms(), calls - before);
         before = calls;
     }
--- a/src/bin/proxy/config/file.rs
+++ b/src/bin/proxy/config/file.rs
@@ -1,8 +1,8 @@
 //! What the configuration file may hold.
 
 use crate::recorder;
-use load_balancer::client::discovery::Backoff;
-use load_balancer::client::list::Page;
+use load_balancer::client::discovery::PollBackoff;
+use load_balancer::client::list::ListPage;
 use load_balancer::client::{membership, route_table};
 use serde::Deserialize;
 
@@ -15,10 +15,10 @@
     pub(super) ops: Option<String>,
     pub(super) seed: String,
     pub(super) limits: Limits,
-    pub(super) known: Option<Page>,
+    pub(super) known: Option<ListPage>,
     pub(super) settings: serde_json::Value,
     pub(super) list_guard: Option<Guard>,
-    pub(super) discovery_backoff: Option<Backoff>,
+    pub(super) discovery_backoff: Option<PollBackoff>,
     pub(super) membership: Option<membership::Settings>,
     pub(super) routes: Option<route_table::Settings>,
     pub(super) record: Option<recorder::Settings>,
@@ -38,7 +38,7 @@
     #[serde(default)]
     pub(super) list_guard: Guard,
     #[serde(default)]
-    pub(super) discovery_backoff: Backoff,
+    pub(super) discovery_backoff: PollBackoff,
     pub(super) membership: Option<membership::Settings>,
     pub(super) routes: Option<route_table::Settings>,
     pub(super) record: Option<recorder::Settings>,
--- a/src/bin/proxy/config/mod.rs
+++ b/src/bin/proxy/config/mod.rs
@@ -13,8 +13,8 @@
 use clap::Parser;
 use file::{Addresses, File};
 use load_balancer::catalog::ServiceName;
-use load_balancer::client::discovery::Backoff;
-use load_balancer::client::list::Page;
+use load_balancer::client::discovery::PollBackoff;
+use load_balancer::client::list::ListPage;
 use load_balancer::client::registry::MAX_REGISTRIES;
 use load_balancer::client::{membership, route_table};
 use load_balancer::interface::ListGuard;
@@ -32,7 +32,7 @@
     /// The service whose backends it calls, where registries tell services apart.
     pub service: Option<ServiceName>,
     /// How seldom discovery is asked while it cannot be reached; without it, and under the platform's protocol, often.
-    pub discovery_backoff: Option<Backoff>,
+    pub discovery_backoff: Option<PollBackoff>,
     /// Where operators call, if anywhere.
     pub ops: Option<SocketAddr>,
     /// Seed of the module's random numbers.
@@ -42,7 +42,7 @@
     /// How much memory it may hold.
     pub memory: usize,
     /// The list of backends as this proxy last had it.
-    pub known: Option<Page>,
+    pub known: Option<ListPage>,
     /// The settings.
     pub facts: PlatformSettings,
     /// How it takes part among the proxies of its tier, if it does.
@@ -116,7 +116,7 @@
     if let Some(what) = check::wrong(file.limits.sockets, &facts) {
         return Err(Error::Value(what));
     }
-    if let Some(why) = file.discovery_backoff.as_ref().and_then(Backoff::invalid) {
+    if let Some(why) = file.discovery_backoff.as_ref().and_then(PollBackoff::invalid) {
         return Err(Error::Value(format!("discovery_backoff.{why}")));
     }
     if let Some(why) = file.membership.as_ref().and_then(membership::Settings::invalid) {
--- a/src/bin/proxy/engine/list.rs
+++ b/src/bin/proxy/engine/list.rs
@@ -3,8 +3,8 @@
 use super::Engine;
 use super::state::State;
 use crate::upstream::Target;
-use load_balancer::client::discovery::Listener;
-use load_balancer::client::list::{Health, Host};
+use load_balancer::client::discovery::EndpointListener;
+use load_balancer::client::list::{EndpointEntry, Health};
 use load_balancer::interface::{Census, Entry, Event, ListKind, Phase};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -13,23 +13,23 @@
 /// The engine as discovery's client knows it.
 pub struct ListedEngine(pub Rc<Engine>);
 
-impl Listener for ListedEngine {
-    fn list(&self, kind: ListKind, version: u64, hosts: Vec<Host>) {
+impl EndpointListener for ListedEngine {
+    fn apply(&self, kind: ListKind, version: u64, hosts: Vec<EndpointEntry>) {
         self.0.list(kind, version, hosts);
     }
 
-    fn list_failed(&self) {
+    fn poll_failed(&self) {
         self.0.list_failed();
     }
 
-    fn wants_whole_list(&self) -> bool {
+    fn take_resync_request(&self) -> bool {
         self.0.wants_whole_list()
     }
 }
 
 impl Engine {
     /// A list of backends, or changes to it, and the version that it leads to.
-    pub fn list(self: &Rc<Self>, kind: ListKind, version: u64, hosts: Vec<Host>) {
+    pub fn list(self: &Rc<Self>, kind: ListKind, version: u64, hosts: Vec<EndpointEntry>) {
         let entries = {
             let s = &mut *self.state.borrow_mut();
             hosts.into_iter().filter_map(|h| self.entry(s, h)).collect()
@@ -66,8 +66,8 @@
         self.tell(Event::List { kind: ListKind::Failed, entries: Vec::new() });
     }
 
-    fn entry(&self, s: &mut State, h: Host) -> Option<Entry> {
-        let backend = s.id(&h.host);
+    fn entry(&self, s: &mut State, h: EndpointEntry) -> Option<Entry> {
+        let backend = s.id(&h.name);
         s.leaving.insert(backend);
         let phase = match h.health {
             Health::Serving => Phase::Ready,
@@ -77,22 +77,22 @@
         let zones = &self.facts.site.zones;
         // Without zones every backend is near.
         let alike = zones.is_empty().then_some(usize::from(self.facts.settings.zone));
-        let Some(zone) = alike.or_else(|| zones.iter().position(|z| *z == h.site)) else {
+        let Some(zone) = alike.or_else(|| zones.iter().position(|z| *z == h.zone)) else {
             if phase != Phase::Ready {
                 // Wherever it is, it takes nothing new.
                 return Some(Entry { backend, phase, ..Entry::default() });
             }
-            warn!("discovery: {}: zone {:?} is unknown, passed over", h.host, h.site);
+            warn!("discovery: {}: zone {:?} is unknown, passed over", h.name, h.zone);
             return None;
         };
         if let (Some(observer), Phase::Ready | Phase::Draining) = (&self.observer, phase) {
             observer.listed(backend, &h);
         }
         // The module says what becomes of those that the list has drain or gone.
-        if let (Phase::Ready, Some(dial)) = (phase, h.dial) {
+        if let (Phase::Ready, Some(dial)) = (phase, h.address) {
             // A new process knows nothing of the old one's connections. Where its machine fell silent
             // they look open still, and a request on one would end as a reset, which may have run.
-            let born_ms = h.born_ms;
+            let born_ms = h.started_ms;
             let same = |t: &Rc<Target>| t.dial == dial && t.born_ms == born_ms && t.drained.get().is_none();
             if !s.targets.get(&backend).is_some_and(same) {
                 s.withdraw(backend, &self.pool);
@@ -100,7 +100,8 @@
                 s.targets.insert(backend, Rc::new(target));
             }
         }
-        let (zone, started_at, weight, cell) = (zone as u16, h.born_ms.max(0.0), h.share.max(0.0), h.block);
+        let (zone, started_at, weight, cell) =
+            (zone as u16, h.started_ms.max(0.0), h.weight.max(0.0), h.cell);
         Some(Entry { backend, phase, zone, started_at_ms: started_at, weight, cell })
     }
 }
--- a/src/bin/proxy/main.rs
+++ b/src/bin/proxy/main.rs
@@ -98,7 +98,8 @@
     let (watching, wanted) = watch::channel(false);
     let observer = (config.routes.is_some() || config.record.is_some()).then(Observer::new);
     let engine = Engine::new(config.facts.clone(), config.seed, pool.clone(), watching, observer.clone())?;
-    let known = config.known.take().map(|page| (page.seq, page.entries().0)).unwrap_or_default();
+    let known =
+        config.known.take().map(|page| (page.version, page.into_entries().entries)).unwrap_or_default();
     engine.list(ListKind::Cached, known.0, known.1);
     let lifecycle = Rc::new(Lifecycle::new());
     let traffic = Traffic::default();
@@ -148,7 +149,7 @@
     });
     let (listed, first) = oneshot::channel();
     let asked = config.discovery_settings(traffic);
-    spawn_local(discovery::follow(ListedEngine(engine.clone()), discovery, asked, wanted, listed));
+    spawn_local(discovery::run_watch(ListedEngine(engine.clone()), discovery, asked, wanted, listed));
     let told = async {
         if config.ops.is_some() {
             // With no list in time, the one that it had must do.
--- a/src/bin/proxy/observer.rs
+++ b/src/bin/proxy/observer.rs
@@ -1,7 +1,7 @@
 //! What the engine tells of its backends and calls, counted where they pass: for the reports, and for the recorder.
 
 use crate::recorder::Recording;
-use load_balancer::client::list::Host;
+use load_balancer::client::list::EndpointEntry;
 use load_balancer::client::route_table::Tally;
 use load_balancer::interface::{Arrival, AttemptNo, BackendId, Outcome, RequestId};
 use load_balancer::replay::{Ending, Listed};
@@ -53,9 +53,9 @@
     }
 
     /// The list names a backend.
-    pub fn listed(&self, id: BackendId, host: &Host) {
-        let (class, zone, share) = (host.class.clone(), host.site.clone(), host.share.max(0.0));
-        let listed = Listed { host: host.host.clone(), class, zone, share };
+    pub fn listed(&self, id: BackendId, host: &EndpointEntry) {
+        let (class, zone, share) = (host.class.clone(), host.zone.clone(), host.weight.max(0.0));
+        let listed = Listed { host: host.name.clone(), class, zone, share };
         let mut places = self.places.borrow_mut();
         let place = match places.entry(id) {
             Entry::Occupied(place) => {
--- a/src/bin/proxy/recorder.rs
+++ b/src/bin/proxy/recorder.rs
@@ -2,9 +2,9 @@
 //! request: segments are cut from time to time, encoded on a thread of their own, and the oldest go where none takes them.
 
 use hyper::Method;
-use load_balancer::client::registry::{Call, Fault, PAUSES, Rotation, call};
+use load_balancer::client::registry::{Call, CallError, DEFAULT_BACKOFF, EndpointFailover, call};
 use load_balancer::client::route_table::Identity;
-use load_balancer::client::traffic::{Kind, Traffic};
+use load_balancer::client::traffic::{Traffic, TrafficKind};
 use load_balancer::interface::{Arrival, AttemptNo, BackendId, Outcome, RequestId};
 use load_balancer::replay::{
     About, Ending, Listed, MAX_BACKENDS, MAX_TRACES, Recorder, Reply, SAMPLED_OF, Segment,
@@ -182,7 +182,7 @@
     }
 
     async fn ship_to(&self, registries: Vec<SocketAddr>) {
-        let (mut source, mut link) = (Rotation::new("record", registries, PAUSES), None);
+        let (mut source, mut link) = (EndpointFailover::new("record", registries, DEFAULT_BACKOFF), None);
         loop {
             let Some(segment) = self.waiting.borrow_mut().pop_front() else {
                 self.ready.notified().await;
@@ -195,7 +195,7 @@
             };
             loop {
                 let put = Call {
-                    kind: Kind::Trace,
+                    kind: TrafficKind::Trace,
                     method: Method::PUT,
                     path: "/registry/traces",
                     body: bytes.clone(),
@@ -204,7 +204,7 @@
                 };
                 match call(&mut link, source.address(), put, &self.traffic).await {
                     Ok(_) => {
-                        if source.answered() {
+                        if source.record_success() {
                             info!("record: {} takes segments, on from {number}", source.address());
                         }
                         self.count(|s| {
@@ -212,7 +212,7 @@
                         });
                         break;
                     }
-                    Err(Fault::Status { status, why })
+                    Err(CallError::Status { status, why })
                         if status.is_client_error() && status != 429 && status != 408 =>
                     {
                         warn!("record: segment {number} lost: {} answered {status}{why}", source.address());
@@ -221,7 +221,7 @@
                     }
                     Err(fault) => {
                         link = None;
-                        sleep(source.failed(&fault)).await;
+                        sleep(source.record_failure(&fault)).await;
                         // Newer ones are worth more.
                         if self.waiting.borrow().len() >= WAITING {
                             self.count(|s| s.lost += 1);
--- a/src/client/discovery/listener.rs
+++ b/src/client/discovery/listener.rs
@@ -1,14 +1,14 @@
-//! Who the followed list is for.
+//! The interface to whoever uses the watched endpoint list.
 
-use crate::client::list::Host;
+use crate::client::list::EndpointEntry;
 use crate::interface::ListKind;
 
-/// Takes the list of backends as it changes. The proxy's engine is one.
-pub trait Listener {
-    /// A list of backends, or changes to it, and the version that it leads to.
-    fn list(&self, kind: ListKind, version: u64, hosts: Vec<Host>);
-    /// A call failed, where the list must be asked for.
-    fn list_failed(&self);
-    /// Whether the whole list is wanted anew; asked once for each call.
-    fn wants_whole_list(&self) -> bool;
+/// Receives the endpoint list and its updates from the watch. The proxy's engine implements it.
+pub trait EndpointListener {
+    /// Applies a full list, or an update to the list that was applied last, and the version that results.
+    fn apply(&self, kind: ListKind, version: u64, entries: Vec<EndpointEntry>);
+    /// A call failed. Only called where lists are polled on demand: there the listener decides when to poll again.
+    fn poll_failed(&self);
+    /// Whether the listener needs the full list again; read once before each call, which clears the request.
+    fn take_resync_request(&self) -> bool;
 }
--- /dev/null
+++ b/src/client/discovery/watch.rs
@@ -0,0 +1,133 @@
+//! The watch itself: polls, applies answers, and waits between calls.
+
+use super::missing_service::MissingServiceWarning;
+use super::poll::poll;
+use super::schedule::HedgeSchedule;
+use super::watch_state::WatchState;
+use super::{EndpointListener, Settings};
+use crate::client::list::{ListPage, ParsedEntries};
+use crate::client::registry::{CallError, Connection};
+use crate::interface::ListKind;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::sync::{oneshot, watch};
+use tokio::time::{Instant, sleep};
+
+/// Delay after an answer without a change that came at once.
+///
+/// Failure: a registry that answers watches without waiting would be polled in a tight loop. The platform needs the
+/// next watch within 200 ms of the last answer, whatever is configured.
+const UNCHANGED_DELAY: Duration = Duration::from_millis(100);
+
+/// Watches the endpoint list for as long as `on_demand` has a sender, at the registries that `addresses` names.
+///
+/// When `addresses` changes, the watch begins anew there with the full list. `on_demand` matters only where the
+/// schedule polls on demand: calls are made while it is true. `first_list` is notified once, of the first list that
+/// reaches the listener.
+pub async fn run_watch(
+    listener: impl EndpointListener,
+    mut addresses: watch::Receiver<Vec<SocketAddr>>,
+    settings: Settings,
+    on_demand: watch::Receiver<bool>,
+    first_list: oneshot::Sender<()>,
+) {
+    let mut first_list = Some(first_list);
+    loop {
+        let registries = addresses.borrow_and_update().clone();
+        let watch = EndpointWatch::new(&listener, registries, &settings, &mut first_list);
+        tokio::select! {
+            () = watch.watch_endpoint(on_demand.clone()) => return,
+            Ok(()) = addresses.changed() => {}
+        }
+    }
+}
+
+/// A watch at one set of registries.
+struct EndpointWatch<'a, L> {
+    listener: &'a L,
+    settings: &'a Settings,
+    state: WatchState,
+    connection: Option<Connection>,
+    hedges: HedgeSchedule,
+    missing_service: MissingServiceWarning,
+    /// Taken by the first list.
+    first_list: &'a mut Option<oneshot::Sender<()>>,
+}
+
+impl<'a, L: EndpointListener> EndpointWatch<'a, L> {
+    fn new(
+        listener: &'a L,
+        registries: Vec<SocketAddr>,
+        settings: &'a Settings,
+        first_list: &'a mut Option<oneshot::Sender<()>>,
+    ) -> Self {
+        let backoff = settings.schedule.backoff_bounds(registries.len());
+        EndpointWatch {
+            listener,
+            settings,
+            state: WatchState::new(registries, backoff),
+            connection: None,
+            hedges: settings.schedule.hedge_schedule(),
+            missing_service: MissingServiceWarning::default(),
+            first_list,
+        }
+    }
+
+    /// Polls until the sender of `on_demand` is gone; where lists are not polled on demand it never ends.
+    async fn watch_endpoint(mut self, mut on_demand: watch::Receiver<bool>) {
+        loop {
+            if self.settings.schedule.on_demand && on_demand.wait_for(|wanted| *wanted).await.is_err() {
+                return;
+            }
+            if self.listener.take_resync_request() {
+                self.state.resync();
+            }
+            let begun = Instant::now();
+            let resumed = self.state.resume_version();
+            let answer = poll(&mut self.connection, &self.state, self.settings, &mut self.hedges).await;
+            let accepted = answer.and_then(|page| self.state.accept(&page).map(|()| page));
+            let delay = match accepted {
+                Ok(page) => self.apply(page, resumed, begun),
+                Err(error) => self.record_failure(&error, begun),
+            };
+            if let Some(delay) = delay {
+                sleep(delay).await;
+            }
+        }
+    }
+
+    /// Passes an accepted answer to the listener; returns the delay before the next call, if there is one.
+    fn apply(&mut self, page: ListPage, resumed: Option<u64>, begun: Instant) -> Option<Duration> {
+        self.hedges.reset();
+        if let (Some(service), true) = (&self.settings.service, page.is_full) {
+            self.missing_service.record_full_list(service, page.entries.is_empty());
+        }
+        let has_content = page.is_full || !page.entries.is_empty();
+        let kind = if page.is_full { ListKind::Full } else { ListKind::Delta };
+        let version = page.version;
+        let ParsedEntries { entries, unreadable } = page.into_entries();
+        if unreadable > 0 && kind == ListKind::Delta {
+            // An update that was passed over is sent again only as a part of the full list.
+            self.state.resync();
+        }
+        if has_content {
+            self.listener.apply(kind, version, entries);
+            if let Some(first_list) = self.first_list.take() {
+                // The receiver is gone where nothing waits for the first list.
+                let _ = first_list.send(());
+            }
+        }
+        let has_changed = has_content && unreadable == 0 && resumed != Some(version);
+        (!has_changed && begun.elapsed() < UNCHANGED_DELAY).then_some(UNCHANGED_DELAY)
+    }
+
+    /// Records a failed call; returns the delay before the next one.
+    fn record_failure(&mut self, error: &CallError, begun: Instant) -> Option<Duration> {
+        self.connection = None;
+        if self.settings.schedule.on_demand {
+            self.listener.poll_failed();
+        }
+        let delay = self.state.record_failure(error);
+        Some(self.settings.schedule.remaining_delay(delay, error, begun.elapsed()))
+    }
+}
--- a/src/client/list.rs
+++ b/src/client/list.rs
@@ -1,103 +1,146 @@
-//! The list of backends as discovery gives it.
+//! The endpoint list in the form in which a registry sends it.
+//!
+//! A [`ListPage`] is a full list or an update to one. Its entries are parsed one by one, so that an entry that does
+//! not parse costs no other. The serde names are the protocol's.
 
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
 use tracing::warn;
 
-/// A list, or changes to one.
+/// A full endpoint list, or an update to one.
 #[derive(Deserialize)]
-pub struct Page {
-    /// Its version.
-    pub seq: u64,
-    /// Whether it is a whole list, not changes to one.
-    pub whole: bool,
-    /// Its entries, not looked at yet: one that cannot be read, or a number that no machine holds, spoils no other.
-    pub hosts: Vec<Box<RawValue>>,
+pub struct ListPage {
+    /// The list's version once this page is applied.
+    #[serde(rename = "seq")]
+    pub version: u64,
+    /// Whether it is the full list; an update otherwise.
+    #[serde(rename = "whole")]
+    pub is_full: bool,
+    /// Its entries as JSON text, not parsed yet.
+    ///
+    /// Failure: one entry that does not parse, or a number that no type holds, would fail the parse of the full list.
+    /// As raw text it is found by [`ListPage::into_entries`] and fails alone.
+    #[serde(rename = "hosts")]
+    pub entries: Vec<Box<RawValue>>,
 }
 
-/// An entry of a list.
+/// A list's entries once parsed.
+pub struct ParsedEntries {
+    /// Those that parse.
+    pub entries: Vec<EndpointEntry>,
+    /// How many do not; they were logged.
+    pub unreadable: usize,
+}
+
+/// A backend in an endpoint list.
 #[derive(Deserialize)]
-pub struct Host {
+pub struct EndpointEntry {
     /// The backend's name.
-    pub host: String,
-    /// Its address; one that takes nothing new needs none.
-    pub dial: Option<SocketAddr>,
-    /// Its zone.
-    #[serde(default)]
-    pub site: String,
-    /// Its class of machine.
+    #[serde(rename = "host")]
+    pub name: String,
+    /// Its address; only one that is draining or deleted may have none.
+    #[serde(rename = "dial")]
+    pub address: Option<SocketAddr>,
+    /// Its zone; by default empty.
+    #[serde(rename = "site", default)]
+    pub zone: String,
+    /// Its machine class; by default empty.
     #[serde(default)]
     pub class: String,
-    /// Its cell.
-    #[serde(default)]
-    pub block: u16,
-    /// Whether it takes new work.
+    /// Its cell; by default 0.
+    #[serde(rename = "block", default)]
+    pub cell: u16,
+    /// Whether it accepts new calls.
     pub health: Health,
-    /// Its size beside the others'.
-    #[serde(default)]
-    pub share: f64,
-    /// When it started, Unix time in milliseconds; 0 for long ago.
-    #[serde(default)]
-    pub born_ms: f64,
+    /// Its size relative to the others; by default 0.
+    #[serde(rename = "share", default)]
+    pub weight: f64,
+    /// When it started, Unix time in milliseconds; by default 0, for long ago.
+    #[serde(rename = "born_ms", default)]
+    pub started_ms: f64,
 }
 
-/// Whether a backend takes new work.
+/// Whether a backend accepts new calls.
 #[derive(Deserialize, Clone, Copy, PartialEq, Eq)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Health {
-    /// Takes work.
+    /// It accepts calls.
     Serving,
-    /// Finishes its work.
+    /// It finishes the calls that it has.
     Draining,
-    /// Gone.
+    /// It is gone.
     Deleted,
 }
 
-/// What is read of an entry that cannot be read whole: enough to know that a backend takes nothing new.
+/// The part of an entry that tells that a backend accepts no new calls; parsed where the entry as such does not parse.
 #[derive(Deserialize)]
-struct Ending {
-    host: String,
+struct EndedEntry {
+    #[serde(rename = "host")]
+    name: String,
     health: Health,
 }
 
-/// So much of an entry that cannot be read is logged.
-const MAX_EXAMPLE: usize = 200;
+/// Characters of an unreadable entry that are logged.
+const MAX_LOGGED_ENTRY: usize = 200;
 
-impl Page {
-    /// Its entries, and how many of them can't be read: those are logged in one line and passed over. That a backend
-    /// drains or is gone is heard whatever else its entry says.
-    pub fn entries(self) -> (Vec<Host>, usize) {
-        let (mut good, mut bad, mut example) = (Vec::new(), 0, String::new());
-        for text in self.hosts.iter().map(|raw| raw.get()) {
-            let read = serde_json::from_str::<Host>(text).map_err(|e| e.to_string());
-            match read.and_then(|h| if h.usable() { Ok(h) } else { Err("no address".into()) }) {
-                Ok(host) => good.push(host),
-                Err(e) => match serde_json::from_str::<Ending>(text) {
-                    Ok(ending) if ending.health != Health::Serving => good.push(ending.into()),
-                    _ => {
-                        let begins: String = text.chars().take(MAX_EXAMPLE).collect();
-                        (bad, example) = (bad + 1, format!("{begins}: {e}"));
-                    }
-                },
+impl ListPage {
+    /// Parses the entries. Those that do not parse are counted, and one line logs them with one as an example.
+    pub fn into_entries(self) -> ParsedEntries {
+        let mut entries = Vec::new();
+        let mut unreadable = 0;
+        let mut example = String::new();
+        for text in self.entries.iter().map(|raw| raw.get()) {
+            match parse_entry(text) {
+                Ok(entry) => entries.push(entry),
+                Err(error) => {
+                    unreadable += 1;
+                    let beginning: String = text.chars().take(MAX_LOGGED_ENTRY).collect();
+                    example = format!("{beginning}: {error}");
+                }
             }
         }
-        if bad > 0 {
-            warn!("discovery: {bad} entries passed over, such as {example}");
+        if unreadable > 0 {
+            warn!("discovery: {unreadable} entries passed over, such as {example}");
         }
-        (good, bad)
+        ParsedEntries { entries, unreadable }
     }
 }
 
-impl Host {
-    fn usable(&self) -> bool {
-        self.health != Health::Serving || self.dial.is_some()
+/// Parses an entry.
+///
+/// Failure: a backend that drains or is gone would go on receiving calls because another field of its entry does not
+/// parse. Its name and health are enough to end them.
+fn parse_entry(text: &str) -> Result<EndpointEntry, String> {
+    let parsed = serde_json::from_str::<EndpointEntry>(text).map_err(|error| error.to_string());
+    let error = match parsed {
+        Ok(entry) if entry.is_usable() => return Ok(entry),
+        Ok(_) => "no address".to_string(),
+        Err(error) => error,
+    };
+    match serde_json::from_str::<EndedEntry>(text) {
+        Ok(ended) if ended.health != Health::Serving => Ok(ended.into()),
+        _ => Err(error),
     }
 }
 
-impl From<Ending> for Host {
-    fn from(Ending { host, health }: Ending) -> Self {
-        let (site, class) = (String::new(), String::new());
-        Host { host, health, dial: None, site, class, block: 0, share: 0.0, born_ms: 0.0 }
+impl EndpointEntry {
+    fn is_usable(&self) -> bool {
+        self.health != Health::Serving || self.address.is_some()
+    }
+}
+
+impl From<EndedEntry> for EndpointEntry {
+    fn from(ended: EndedEntry) -> Self {
+        EndpointEntry {
+            name: ended.name,
+            health: ended.health,
+            address: None,
+            zone: String::new(),
+            class: String::new(),
+            cell: 0,
+            weight: 0.0,
+            started_ms: 0.0,
+        }
     }
 }
--- a/src/client/membership/listing.rs
+++ b/src/client/membership/listing.rs
@@ -3,10 +3,10 @@
 
 use super::Membership;
 use super::seek::SEEK;
-use crate::client::list::{Health, Page};
-use crate::client::pauses::Pauses;
-use crate::client::registry::{self, Call, Fault};
-use crate::client::traffic::Kind;
+use crate::client::backoff::Backoff;
+use crate::client::list::{Health, ListPage};
+use crate::client::registry::{self, Call, CallError};
+use crate::client::traffic::TrafficKind;
 use bytes::Bytes;
 use hyper::Method;
 use serde_json::json;
@@ -27,20 +27,20 @@
 
 /// Registers and reads for ever, at the first registry that answers.
 pub async fn keep(membership: Rc<Membership>, registries: Vec<SocketAddr>) {
-    let (mut at, mut pauses, mut failing) = (0, Pauses::new(SEEK), false);
+    let (mut at, mut pauses, mut failing) = (0, Backoff::new(SEEK), false);
     loop {
         let registry = registries[at];
         let exchange = async {
             register(&membership, registry, "SERVING").await?;
             call(&membership, registry, Method::GET, Bytes::new()).await
         };
-        let answer = timeout(PATIENCE, exchange).await.unwrap_or(Err(Fault::Silent));
-        let page = answer.and_then(|text| Ok(serde_json::from_slice::<Page>(&text)?));
+        let answer = timeout(PATIENCE, exchange).await.unwrap_or(Err(CallError::TimedOut));
+        let page = answer.and_then(|text| Ok(serde_json::from_slice::<ListPage>(&text)?));
         let pause = match page {
             Ok(page) => {
-                let hosts = page.entries().0;
+                let hosts = page.into_entries().entries;
                 let serving = hosts.into_iter().filter(|h| h.health == Health::Serving);
-                membership.listed(serving.filter_map(|h| h.dial).collect());
+                membership.set_listed_members(serving.filter_map(|h| h.address).collect());
                 pauses.reset();
                 failing = false;
                 // A third of the TTL, so that two renewals may fail; by chance, so that they do not come together.
@@ -51,7 +51,7 @@
                     warn!("membership: registry {registry}: {e}");
                 }
                 at = (at + 1) % registries.len();
-                pauses.next_pause()
+                pauses.next_delay()
             }
         };
         sleep(pause).await;
@@ -67,7 +67,7 @@
     }
 }
 
-async fn register(membership: &Membership, registry: SocketAddr, health: &str) -> Result<(), Fault> {
+async fn register(membership: &Membership, registry: SocketAddr, health: &str) -> Result<(), CallError> {
     let entry = {
         let swim = membership.swim.borrow();
         let id = swim.id();
@@ -83,8 +83,8 @@
     registry: SocketAddr,
     method: Method,
     body: Bytes,
-) -> Result<Bytes, Fault> {
-    let kind = Kind::Registration;
+) -> Result<Bytes, CallError> {
+    let kind = TrafficKind::Registration;
     let asked = Call { kind, method, path: PATH, body, wait: PATIENCE, max_answer: MAX_LIST };
-    registry::call(&mut None, registry, asked, &membership.control).await
+    registry::call(&mut None, registry, asked, &membership.control_traffic).await
 }
--- a/src/client/membership/mod.rs
+++ b/src/client/membership/mod.rs
@@ -10,14 +10,14 @@
 
 pub use settings::Settings;
 
-use crate::client::traffic::{self, Kind};
+use crate::client::traffic::{self, TrafficKind};
 use foca::OwnedNotification;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use swim::{Count, Dropped, Id, Swim};
+use swim::{DropReason, MemberCount, MemberId, Swim};
 use tokio::net::UdpSocket;
 use tokio::sync::{Notify, watch};
 use tokio::task::spawn_local;
@@ -45,16 +45,16 @@
     socket: UdpSocket,
     /// From the configuration, and behind them those that a registry lists.
     seeds: RefCell<Vec<SocketAddr>>,
-    configured: usize,
+    configured_seeds: usize,
     registries: Vec<SocketAddr>,
     /// Who is alone looks for others again at once when there is somebody new to ask.
-    found: Notify,
-    heard: RefCell<HashMap<SocketAddr, Instant>>,
-    traffic: Cell<Traffic>,
+    new_seeds: Notify,
+    last_received: RefCell<HashMap<SocketAddr, Instant>>,
+    datagram_counts: Cell<Traffic>,
     /// Counts this client's control traffic, that of other kinds too.
-    control: traffic::Traffic,
-    count: watch::Sender<Count>,
-    left: Cell<bool>,
+    control_traffic: traffic::Traffic,
+    count: watch::Sender<MemberCount>,
+    has_left: Cell<bool>,
 }
 
 impl Membership {
@@ -72,32 +72,32 @@
         let addr = settings.advertise.unwrap_or(bound);
         let name = settings.name.clone().unwrap_or_else(|| addr.to_string());
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let id = Id { addr, generation: unix.as_micros() as u64, name, zone: zone.to_string() };
+        let id = MemberId { addr, generation: unix.as_micros() as u64, name, zone: zone.to_string() };
         let swim = Swim::new(id, &settings.timing, &settings.cluster, seed);
         let count = watch::Sender::new(swim.count());
         Ok(Rc::new(Membership {
             swim: RefCell::new(swim),
             socket,
             seeds: RefCell::new(settings.seeds.clone()),
-            configured: settings.seeds.len(),
+            configured_seeds: settings.seeds.len(),
             registries: settings.registries.clone(),
-            found: Notify::new(),
-            heard: RefCell::default(),
-            traffic: Cell::default(),
-            control,
+            new_seeds: Notify::new(),
+            last_received: RefCell::default(),
+            datagram_counts: Cell::default(),
+            control_traffic: control,
             count,
-            left: Cell::default(),
+            has_left: Cell::default(),
         }))
     }
 
     /// How many members there are, whenever that changes.
-    pub fn count(&self) -> watch::Receiver<Count> {
+    pub fn count(&self) -> watch::Receiver<MemberCount> {
         self.count.subscribe()
     }
 
     /// Takes part for ever.
     pub async fn run(self: Rc<Self>) {
-        spawn_local(self.clone().seek());
+        spawn_local(self.clone().run_seeding());
         if !self.registries.is_empty() {
             spawn_local(listing::keep(self.clone(), self.registries.clone()));
         }
@@ -109,34 +109,34 @@
             }
             for _ in 0..BATCH {
                 let Ok(n) = self.socket.try_recv(&mut datagram) else { break };
-                self.take(&datagram[..n]);
+                self.handle_datagram(&datagram[..n]);
             }
-            self.carry_out();
+            self.flush_protocol();
             sleep(REST).await;
         }
     }
 
     /// Tells the others that this process goes.
     pub fn leave(self: &Rc<Self>) {
-        if !self.left.replace(true) {
+        if !self.has_left.replace(true) {
             self.swim.borrow_mut().leave();
-            self.carry_out();
+            self.flush_protocol();
             if !self.registries.is_empty() {
                 spawn_local(listing::leave(self.clone(), self.registries.clone()));
             }
         }
     }
 
-    fn take(&self, datagram: &[u8]) {
-        let mut traffic = self.traffic.get();
+    fn handle_datagram(&self, datagram: &[u8]) {
+        let mut traffic = self.datagram_counts.get();
         traffic.received += 1;
         traffic.received_bytes += datagram.len() as u64;
-        self.control.received(Kind::Datagram, 1, datagram.len() as u64);
+        self.control_traffic.record_received(TrafficKind::Datagram, 1, datagram.len() as u64);
         match self.swim.borrow_mut().receive(datagram) {
-            Ok(from) => drop(self.heard.borrow_mut().insert(from.addr, Instant::now())),
-            Err(Dropped::Garbage) => traffic.garbage += 1,
-            Err(Dropped::OtherCluster) => traffic.other_cluster += 1,
-            Err(Dropped::TooMany) => {
+            Ok(from) => drop(self.last_received.borrow_mut().insert(from.addr, Instant::now())),
+            Err(DropReason::Malformed) => traffic.garbage += 1,
+            Err(DropReason::OtherCluster) => traffic.other_cluster += 1,
+            Err(DropReason::TooManyMembers) => {
                 if traffic.too_many_members == 0 {
                     let most = swim::MAX_MEMBERS;
                     warn!(
@@ -146,34 +146,34 @@
                 traffic.too_many_members += 1;
             }
         }
-        self.traffic.set(traffic);
+        self.datagram_counts.set(traffic);
     }
 
     /// Does what the protocol wants done.
-    fn carry_out(self: &Rc<Self>) {
+    fn flush_protocol(self: &Rc<Self>) {
         let swim = &mut *self.swim.borrow_mut();
-        let mut traffic = self.traffic.get();
+        let mut traffic = self.datagram_counts.get();
         while let Some((to, datagram)) = swim.next_datagram() {
             // One that cannot be sent now is lost, as any may be.
             match self.socket.try_send_to(&datagram, to) {
                 Ok(n) => {
                     (traffic.sent, traffic.sent_bytes) = (traffic.sent + 1, traffic.sent_bytes + n as u64);
-                    self.control.sent(Kind::Datagram, 1, n as u64);
+                    self.control_traffic.record_sent(TrafficKind::Datagram, 1, n as u64);
                 }
                 Err(_) => traffic.unsent += 1,
             }
         }
-        self.traffic.set(traffic);
+        self.datagram_counts.set(traffic);
         while let Some((after, timer)) = swim.next_timer() {
             let member = self.clone();
             spawn_local(async move {
                 sleep(after).await;
-                member.swim.borrow_mut().wake(timer);
-                member.carry_out();
+                member.swim.borrow_mut().handle_timer(timer);
+                member.flush_protocol();
             });
         }
         let mut changed = false;
-        while let Some(news) = swim.news() {
+        while let Some(news) = swim.next_notification() {
             changed = true;
             match news {
                 OwnedNotification::MemberUp(id) => info!("membership: {} is alive", told(&id)),
@@ -189,7 +189,7 @@
         }
         if changed {
             let known: Vec<SocketAddr> = swim.members().map(|m| m.id.addr).collect();
-            self.heard.borrow_mut().retain(|addr, _| known.contains(addr));
+            self.last_received.borrow_mut().retain(|addr, _| known.contains(addr));
             let count = swim.count();
             self.count.send_if_modified(|was| std::mem::replace(was, count) != count);
         }
--- a/src/client/membership/seek.rs
+++ b/src/client/membership/seek.rs
@@ -1,14 +1,15 @@
 //! Looks for others: seeds, and those that a registry lists.
 
 use super::{Membership, swim};
-use crate::client::pauses::{Bounds, Pauses};
+use crate::client::backoff::{Backoff, BackoffBounds};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Pauses after which one who is alone asks its seeds again.
-pub(super) const SEEK: Bounds = [Duration::from_millis(100), Duration::from_secs(5)];
+/// Backoff after which one who is alone asks its seeds again.
+pub(super) const SEEK: BackoffBounds =
+    BackoffBounds { min: Duration::from_millis(100), max: Duration::from_secs(5) };
 /// At most so many are asked at once.
 const MAX_ASKED: usize = 16;
 /// Who is not alone still asks one seed so often: two sides of a long split have forgotten each other.
@@ -16,11 +17,11 @@
 
 impl Membership {
     /// Asks the seeds to be taken in, often while alone and now and then later on.
-    pub(super) async fn seek(self: Rc<Self>) {
-        let mut pauses = Pauses::new(SEEK);
-        while !self.left.get() {
-            let alone = self.count.borrow().alone();
-            let pause = if alone { pauses.next_pause() } else { REMIND };
+    pub(super) async fn run_seeding(self: Rc<Self>) {
+        let mut pauses = Backoff::new(SEEK);
+        while !self.has_left.get() {
+            let alone = self.count.borrow().is_alone();
+            let pause = if alone { pauses.next_delay() } else { REMIND };
             if !alone {
                 pauses.reset();
             }
@@ -32,23 +33,23 @@
                     self.swim.borrow_mut().announce(*seed);
                 }
             }
-            self.carry_out();
+            self.flush_protocol();
             tokio::select! {
                 () = sleep(pause) => {}
-                () = self.found.notified() => {}
+                () = self.new_seeds.notified() => {}
             }
         }
     }
 
     /// A registry lists these proxies, this one maybe among them.
-    pub(super) fn listed(&self, addresses: Vec<SocketAddr>) {
+    pub(super) fn set_listed_members(&self, addresses: Vec<SocketAddr>) {
         let own = self.swim.borrow().id().addr;
         let mut seeds = self.seeds.borrow_mut();
         let news = addresses.iter().any(|a| *a != own && !seeds.contains(a));
-        seeds.truncate(self.configured);
+        seeds.truncate(self.configured_seeds);
         seeds.extend(addresses.into_iter().filter(|a| *a != own).take(swim::MAX_MEMBERS));
-        if news && self.count.borrow().alone() {
-            self.found.notify_one();
+        if news && self.count.borrow().is_alone() {
+            self.new_seeds.notify_one();
         }
     }
 }
--- a/src/client/membership/swim/frame.rs
+++ b/src/client/membership/swim/frame.rs
@@ -1,6 +1,6 @@
 //! How datagrams are framed.
 
-use super::Dropped;
+use super::DropReason;
 
 /// `magic | crc32 of the cluster's name | crc32 of the rest`, each u32 little-endian.
 pub(super) const FRAME: usize = 12;
@@ -15,13 +15,13 @@
     out
 }
 
-pub(super) fn unframe(datagram: &[u8], cluster: u32) -> Result<&[u8], Dropped> {
-    let (head, body) = datagram.split_at_checked(FRAME).ok_or(Dropped::Garbage)?;
+pub(super) fn unframe(datagram: &[u8], cluster: u32) -> Result<&[u8], DropReason> {
+    let (head, body) = datagram.split_at_checked(FRAME).ok_or(DropReason::Malformed)?;
     let part = |n: usize| head[n..n + 4].iter().rev().fold(0, |sum, &byte| sum << 8 | u32::from(byte));
     match [part(0), part(4), part(8)] {
-        [MAGIC, _, crc] if crc != crc32fast::hash(body) => Err(Dropped::Garbage),
-        [MAGIC, of, _] if of != cluster => Err(Dropped::OtherCluster),
+        [MAGIC, _, crc] if crc != crc32fast::hash(body) => Err(DropReason::Malformed),
+        [MAGIC, of, _] if of != cluster => Err(DropReason::OtherCluster),
         [MAGIC, _, _] => Ok(body),
-        _ => Err(Dropped::Garbage),
+        _ => Err(DropReason::Malformed),
     }
 }
--- a/src/client/membership/swim/member.rs
+++ b/src/client/membership/swim/member.rs
@@ -6,7 +6,7 @@
 
 /// A member's identity. Its address is its place; of two at one address the later generation is the member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Id {
+pub struct MemberId {
     /// Where its datagrams go.
     pub addr: SocketAddr,
     /// Its start, Unix time in microseconds, or later: rises with each start, and with each return after a death.
@@ -17,11 +17,11 @@
     pub zone: String,
 }
 
-impl Identity for Id {
+impl Identity for MemberId {
     type Addr = SocketAddr;
 
     fn renew(&self) -> Option<Self> {
-        Some(Id { generation: self.generation + 1, ..self.clone() })
+        Some(MemberId { generation: self.generation + 1, ..self.clone() })
     }
 
     fn addr(&self) -> SocketAddr {
@@ -36,7 +36,7 @@
 /// What has become of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Standing {
+pub enum MemberState {
     /// It answers.
     Alive,
     /// It did not answer, nor did it refute that yet.
@@ -49,16 +49,17 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct Member {
     /// Who.
-    pub id: Id,
+    pub id: MemberId,
     /// What has become of it.
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub state: MemberState,
     /// How often it has refuted a suspicion.
     pub incarnation: u16,
 }
 
 /// How many proxies there are, this one included.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Count {
+pub struct MemberCount {
     /// Alive or suspect.
     pub alive: u32,
     /// Of them in this one's zone.
@@ -70,9 +71,9 @@
     pub rank: u32,
 }
 
-impl Count {
+impl MemberCount {
     /// Whether there is nobody else.
-    pub fn alone(&self) -> bool {
+    pub fn is_alone(&self) -> bool {
         self.alive <= 1
     }
 }
--- a/src/client/membership/swim/mod.rs
+++ b/src/client/membership/swim/mod.rs
@@ -6,7 +6,7 @@
 mod member;
 mod timing;
 
-pub use member::{Count, Id, Member, Standing};
+pub use member::{Member, MemberCount, MemberId, MemberState};
 pub use timing::Timing;
 
 use frame::{frame, unframe};
@@ -32,48 +32,48 @@
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Dropped {
+pub enum DropReason {
     /// It is no datagram of this protocol, or is spoilt.
-    Garbage,
+    Malformed,
     /// It is another cluster's.
     OtherCluster,
     /// There are too many members to take one more in.
-    TooMany,
+    TooManyMembers,
 }
 
 /// One process's part in the protocol.
 pub struct Swim {
-    foca: Foca<Id, PostcardCodec, StdRng, NoCustomBroadcast>,
-    out: AccumulatingRuntime<Id>,
+    foca: Foca<MemberId, PostcardCodec, StdRng, NoCustomBroadcast>,
+    out: AccumulatingRuntime<MemberId>,
     cluster: u32,
 }
 
 impl Swim {
     /// Alone at first.
-    pub fn new(id: Id, timing: &Timing, cluster: &str, seed: u64) -> Self {
+    pub fn new(id: MemberId, timing: &Timing, cluster: &str, seed: u64) -> Self {
         let rng = StdRng::seed_from_u64(seed);
         let foca = Foca::new(id, timing.config(), rng, PostcardCodec);
         Swim { foca, out: AccumulatingRuntime::new(), cluster: crc32fast::hash(cluster.as_bytes()) }
     }
 
     /// This process.
-    pub fn id(&self) -> &Id {
+    pub fn id(&self) -> &MemberId {
         self.foca.identity()
     }
 
     /// Takes a datagram in; says who sent it.
-    pub fn receive(&mut self, datagram: &[u8]) -> Result<Id, Dropped> {
+    pub fn receive(&mut self, datagram: &[u8]) -> Result<MemberId, DropReason> {
         let body = unframe(datagram, self.cluster)?;
-        let header = PostcardCodec.decode_header(body).map_err(|_| Dropped::Garbage)?;
-        let Id { name, zone, .. } = &header.src;
+        let header = PostcardCodec.decode_header(body).map_err(|_| DropReason::Malformed)?;
+        let MemberId { name, zone, .. } = &header.src;
         if name.is_empty() || name.len() > MAX_NAME || zone.len() > MAX_NAME {
-            return Err(Dropped::Garbage);
+            return Err(DropReason::Malformed);
         }
         if self.foca.iter_membership_state().len() >= MAX_MEMBERS && !self.knows(header.src.addr) {
-            return Err(Dropped::TooMany);
+            return Err(DropReason::TooManyMembers);
         }
         // What comes late, twice or for an earlier generation is passed over there.
-        self.foca.handle_data(body, &mut self.out).map_err(|_| Dropped::Garbage)?;
+        self.foca.handle_data(body, &mut self.out).map_err(|_| DropReason::Malformed)?;
         Ok(header.src)
     }
 
@@ -82,7 +82,7 @@
     }
 
     /// A timer is due. Timers that a change has overtaken are passed over.
-    pub fn wake(&mut self, timer: Timer<Id>) {
+    pub fn handle_timer(&mut self, timer: Timer<MemberId>) {
         if let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = &timer {
             // With `notify_down_members`, foca 2.0.0 tells even one who refuted in time that it is down, and it gives
             // up its generation for nothing.
@@ -99,7 +99,7 @@
 
     /// Asks whoever is at an address to be taken in.
     pub fn announce(&mut self, seed: SocketAddr) {
-        let id = Id { addr: seed, generation: 0, name: String::new(), zone: String::new() };
+        let id = MemberId { addr: seed, generation: 0, name: String::new(), zone: String::new() };
         if seed != self.id().addr {
             let _ = self.foca.announce(id, &mut self.out);
         }
@@ -117,12 +117,12 @@
     }
 
     /// The next timer to set.
-    pub fn next_timer(&mut self) -> Option<(Duration, Timer<Id>)> {
+    pub fn next_timer(&mut self) -> Option<(Duration, Timer<MemberId>)> {
         self.out.to_schedule()
     }
 
     /// The next thing that has happened.
-    pub fn news(&mut self) -> Option<OwnedNotification<Id>> {
+    pub fn next_notification(&mut self) -> Option<OwnedNotification<MemberId>> {
         self.out.to_notify()
     }
 
@@ -130,17 +130,17 @@
     pub fn members(&self) -> impl Iterator<Item = Member> {
         self.foca.iter_membership_state().map(|m| Member {
             id: m.id().clone(),
-            standing: match m.state() {
-                State::Alive => Standing::Alive,
-                State::Suspect => Standing::Suspect,
-                State::Down => Standing::Gone,
+            state: match m.state() {
+                State::Alive => MemberState::Alive,
+                State::Suspect => MemberState::Suspect,
+                State::Down => MemberState::Gone,
             },
             incarnation: m.incarnation(),
         })
     }
 
     /// How many there are. One that has moved to another address counts once, as its latest generation.
-    pub fn count(&self) -> Count {
+    pub fn count(&self) -> MemberCount {
         let mut latest: HashMap<String, Member> = HashMap::new();
         for member in self.members().filter(|m| m.id.name != self.id().name) {
             let held = latest.get(&member.id.name);
@@ -148,12 +148,17 @@
                 latest.insert(member.id.name.clone(), member);
             }
         }
-        let alive = || latest.values().filter(|m| m.standing != Standing::Gone);
+        let alive = || latest.values().filter(|m| m.state != MemberState::Gone);
         let in_zone = alive().filter(|m| m.id.zone == self.id().zone).count();
         let place = |name: &str| (crc32fast::hash(name.as_bytes()), name.to_string());
         let own = place(&self.id().name);
         let rank = alive().filter(|m| place(&m.id.name) < own).count() as u32;
         let count = |others: usize| 1 + others as u32;
-        Count { alive: count(alive().count()), in_zone: count(in_zone), known: count(latest.len()), rank }
+        MemberCount {
+            alive: count(alive().count()),
+            in_zone: count(in_zone),
+            known: count(latest.len()),
+            rank,
+        }
     }
 }
--- a/src/client/membership/view.rs
+++ b/src/client/membership/view.rs
@@ -1,7 +1,7 @@
 //! What operators are told of the members.
 
 use super::Membership;
-use super::swim::{Count, Id};
+use super::swim::{MemberCount, MemberId};
 use serde::Serialize;
 use serde_json::{Value, json};
 
@@ -21,22 +21,22 @@
 impl Membership {
     /// The view, for operators.
     pub fn page(&self) -> Value {
-        let (swim, heard) = (self.swim.borrow(), self.heard.borrow());
+        let (swim, heard) = (self.swim.borrow(), self.last_received.borrow());
         let members: Vec<Value> = swim
             .members()
             .map(|m| {
                 let heard_ms = heard.get(&m.id.addr).map(|at| at.elapsed().as_millis() as u64);
                 json!({"name": m.id.name, "addr": m.id.addr, "zone": m.id.zone, "generation": m.id.generation,
-                       "standing": m.standing, "incarnation": m.incarnation, "heard_ms_ago": heard_ms})
+                       "standing": m.state, "incarnation": m.incarnation, "heard_ms_ago": heard_ms})
             })
             .collect();
-        let Count { alive, in_zone, known, rank } = swim.count();
+        let MemberCount { alive, in_zone, known, rank } = swim.count();
         let id = swim.id();
         json!({"name": id.name, "addr": id.addr, "zone": id.zone, "generation": id.generation, "alive": alive,
-               "in_zone": in_zone, "known": known, "rank": rank, "members": members, "traffic": self.traffic.get()})
+               "in_zone": in_zone, "known": known, "rank": rank, "members": members, "traffic": self.datagram_counts.get()})
     }
 }
 
-pub(super) fn told(id: &Id) -> String {
+pub(super) fn told(id: &MemberId) -> String {
     format!("{} at {} (generation {})", id.name, id.addr, id.generation)
 }
--- a/src/client/membership/witness.rs
+++ b/src/client/membership/witness.rs
@@ -1,7 +1,7 @@
 //! What this process says of the other members to those who compare what the proxies know.
 
 use super::Membership;
-use super::swim::Standing;
+use super::swim::MemberState;
 use crate::route_table::Witness;
 
 impl Membership {
@@ -16,7 +16,7 @@
     }
 
     /// At most `most` of the others, going on from the place `from` in a fixed order.
-    pub fn witnesses(&self, from: usize, most: usize) -> Vec<Witness> {
+    pub fn witnessed_members(&self, from: usize, most: usize) -> Vec<Witness> {
         let mut all: Vec<Witness> = self
             .swim
             .borrow()
@@ -24,7 +24,7 @@
             .map(|m| Witness {
                 name: m.id.name,
                 generation: m.id.generation,
-                alive: m.standing != Standing::Gone,
+                alive: m.state != MemberState::Gone,
             })
             .collect();
         all.sort_by(|a, b| (&a.name, a.generation).cmp(&(&b.name, b.generation)));
--- a/src/client/route_table/report.rs
+++ b/src/client/route_table/report.rs
@@ -2,7 +2,7 @@
 
 use super::{Routes, Totals};
 use crate::client::registry::{Call, call};
-use crate::client::traffic::Kind;
+use crate::client::traffic::TrafficKind;
 use crate::route_table::{LeftOut, MAX_REPORTED, MAX_WITNESSED, Report};
 use hyper::Method;
 use serde_json::{Value, json};
@@ -59,7 +59,7 @@
             let Some(registry) = self.registry.get() else { continue };
             let body = serde_json::to_vec(&report).unwrap_or_default();
             let put = Call {
-                kind: Kind::Report,
+                kind: TrafficKind::Report,
                 method: Method::PUT,
                 path: "/registry/reports",
                 body: body.into(),
@@ -122,7 +122,7 @@
             left_out.pop_last();
         }
         let witnesses =
-            members.as_ref().map_or_else(Vec::new, |m| m.witnesses(reports.witness, MAX_WITNESSED));
+            members.as_ref().map_or_else(Vec::new, |m| m.witnessed_members(reports.witness, MAX_WITNESSED));
         reports.witness = reports.witness.wrapping_add(MAX_WITNESSED);
         let now = self.proxy.totals();
         let before = std::mem::replace(&mut reports.before, now);
--- a/src/client/route_table/watch.rs
+++ b/src/client/route_table/watch.rs
@@ -2,8 +2,8 @@
 
 use super::Routes;
 use super::table::Page;
-use crate::client::registry::{Call, Fault, Link, PAUSES, Rotation, call};
-use crate::client::traffic::Kind;
+use crate::client::registry::{Call, CallError, Connection, DEFAULT_BACKOFF, EndpointFailover, call};
+use crate::client::traffic::TrafficKind;
 use bytes::Bytes;
 use hyper::Method;
 use std::net::SocketAddr;
@@ -34,14 +34,14 @@
     }
 
     async fn follow_at(&self, registries: Vec<SocketAddr>) {
-        let (mut source, mut link) = (Rotation::new("routes", registries, PAUSES), None);
+        let (mut source, mut link) = (EndpointFailover::new("routes", registries, DEFAULT_BACKOFF), None);
         loop {
             self.registry.set(Some(source.address()));
             let asked = Instant::now();
             let answer = self.ask(&mut link, source.address()).await;
             match answer.and_then(|page| self.take(page)) {
                 Ok(news) => {
-                    if source.answered() {
+                    if source.record_success() {
                         info!(
                             "routes: {} answers, revision {}",
                             source.address(),
@@ -55,14 +55,14 @@
                 }
                 Err(fault) => {
                     self.held.borrow_mut().error = Some(format!("{}: {fault}", source.address()));
-                    sleep(source.failed(&fault)).await;
+                    sleep(source.record_failure(&fault)).await;
                 }
             }
         }
     }
 
     /// The table that this process should have: at once where it has none yet, else when there is another.
-    async fn ask(&self, link: &mut Option<Link>, registry: SocketAddr) -> Result<Page, Fault> {
+    async fn ask(&self, link: &mut Option<Connection>, registry: SocketAddr) -> Result<Page, CallError> {
         let (name, generation) = (self.who.name(), self.who.generation());
         let mut path = format!("/registry/routes?name={name}&generation={generation}");
         let after = Some(self.held.borrow()).filter(|held| held.any).map(|held| held.revision);
@@ -71,7 +71,7 @@
             path += &format!("&after={after}&wait_ms={}", WAIT.as_millis());
         }
         let asked = Call {
-            kind: Kind::RouteWatch,
+            kind: TrafficKind::RouteWatch,
             method: Method::GET,
             path: &path,
             body: Bytes::new(),
@@ -79,11 +79,11 @@
             max_answer: MAX_TABLE,
         };
         let text = call(link, registry, asked, &self.traffic).await?;
-        serde_json::from_slice(&text).map_err(Fault::NoTable)
+        serde_json::from_slice(&text).map_err(CallError::InvalidTable)
     }
 
     /// Puts a table in force if it is news. One that cannot be taken leaves the last good one in force.
-    fn take(&self, page: Page) -> Result<bool, Fault> {
+    fn take(&self, page: Page) -> Result<bool, CallError> {
         let mut held = self.held.borrow_mut();
         held.newest = page.newest;
         match page.news(&held) {
--- a/src/client/traffic.rs
+++ b/src/client/traffic.rs
@@ -9,9 +9,9 @@
 
 /// What a message belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum TrafficKind {
     /// The whole list of backends.
-    ListWhole,
+    FullList,
     /// A watch on the list's changes.
     ListWatch,
     /// A watch on the route table, and the first call for it.
@@ -26,22 +26,22 @@
     Trace,
 }
 
-impl Kind {
+impl TrafficKind {
     /// All kinds.
-    pub const ALL: [Kind; 7] = [
-        Kind::ListWhole,
-        Kind::ListWatch,
-        Kind::RouteWatch,
-        Kind::Report,
-        Kind::Registration,
-        Kind::Datagram,
-        Kind::Trace,
+    pub const ALL: [TrafficKind; 7] = [
+        TrafficKind::FullList,
+        TrafficKind::ListWatch,
+        TrafficKind::RouteWatch,
+        TrafficKind::Report,
+        TrafficKind::Registration,
+        TrafficKind::Datagram,
+        TrafficKind::Trace,
     ];
 }
 
 /// What went and came.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Count {
+pub struct TrafficCount {
     /// Requests or datagrams sent.
     pub messages_sent: u64,
     /// Whole answers or datagrams received.
@@ -55,30 +55,30 @@
 /// Counts one client's traffic; copies of it count together.
 #[derive(Clone, Debug, Default)]
 pub struct Traffic {
-    counts: Rc<[Cell<Count>; Kind::ALL.len()]>,
+    counts: Rc<[Cell<TrafficCount>; TrafficKind::ALL.len()]>,
 }
 
 impl Traffic {
     /// What has gone and come so far.
-    pub fn count(&self, kind: Kind) -> Count {
+    pub fn count(&self, kind: TrafficKind) -> TrafficCount {
         self.counts[kind as usize].get()
     }
 
-    pub(super) fn sent(&self, kind: Kind, messages: u64, bytes: u64) {
+    pub(super) fn record_sent(&self, kind: TrafficKind, messages: u64, bytes: u64) {
         self.change(kind, |count| {
             count.messages_sent += messages;
             count.bytes_sent += bytes;
         });
     }
 
-    pub(super) fn received(&self, kind: Kind, messages: u64, bytes: u64) {
+    pub(super) fn record_received(&self, kind: TrafficKind, messages: u64, bytes: u64) {
         self.change(kind, |count| {
             count.messages_received += messages;
             count.bytes_received += bytes;
         });
     }
 
-    fn change(&self, kind: Kind, change: impl FnOnce(&mut Count)) {
+    fn change(&self, kind: TrafficKind, change: impl FnOnce(&mut TrafficCount)) {
         let cell = &self.counts[kind as usize];
         let mut count = cell.get();
         change(&mut count);
@@ -87,35 +87,35 @@
 }
 
 /// Where a connection's bytes are counted: those of the call that it carries now.
-pub(super) struct Meter {
-    kind: Cell<Kind>,
+pub(super) struct StreamMeter {
+    kind: Cell<TrafficKind>,
     traffic: Traffic,
 }
 
-impl Meter {
-    pub(super) fn new(kind: Kind, traffic: Traffic) -> Rc<Self> {
-        Rc::new(Meter { kind: Cell::new(kind), traffic })
+impl StreamMeter {
+    pub(super) fn new(kind: TrafficKind, traffic: Traffic) -> Rc<Self> {
+        Rc::new(StreamMeter { kind: Cell::new(kind), traffic })
     }
 
     /// The next call on this connection is of that kind.
-    pub(super) fn carries(&self, kind: Kind) {
+    pub(super) fn set_kind(&self, kind: TrafficKind) {
         self.kind.set(kind);
     }
 }
 
 /// A connection whose bytes are counted.
-pub(super) struct Metered {
+pub(super) struct MeteredStream {
     stream: TcpStream,
-    meter: Rc<Meter>,
+    meter: Rc<StreamMeter>,
 }
 
-impl Metered {
-    pub(super) fn new(stream: TcpStream, meter: Rc<Meter>) -> Self {
-        Metered { stream, meter }
+impl MeteredStream {
+    pub(super) fn new(stream: TcpStream, meter: Rc<StreamMeter>) -> Self {
+        MeteredStream { stream, meter }
     }
 }
 
-impl AsyncRead for Metered {
+impl AsyncRead for MeteredStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -124,12 +124,12 @@
         let before = to.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, to);
         let bytes = to.filled().len() - before;
-        self.meter.traffic.received(self.meter.kind.get(), 0, bytes as u64);
+        self.meter.traffic.record_received(self.meter.kind.get(), 0, bytes as u64);
         read
     }
 }
 
-impl AsyncWrite for Metered {
+impl AsyncWrite for MeteredStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -137,7 +137,7 @@
     ) -> Poll<std::io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(cx, from);
         if let Poll::Ready(Ok(bytes)) = written {
-            self.meter.traffic.sent(self.meter.kind.get(), 0, bytes as u64);
+            self.meter.traffic.record_sent(self.meter.kind.get(), 0, bytes as u64);
         }
         written
     }
@@ -149,7 +149,7 @@
     ) -> Poll<std::io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(cx, from);
         if let Poll::Ready(Ok(bytes)) = written {
-            self.meter.traffic.sent(self.meter.kind.get(), 0, bytes as u64);
+            self.meter.traffic.record_sent(self.meter.kind.get(), 0, bytes as u64);
         }
         written
     }
--- a/tests/client_rig/mod.rs
+++ b/tests/client_rig/mod.rs
@@ -2,9 +2,9 @@
 //! many of them in the test's own process.
 #![allow(dead_code)]
 
-use load_balancer::client::discovery::{Listener, Settings, follow};
-use load_balancer::client::list::{Health, Host};
-use load_balancer::client::traffic::{Kind, Traffic};
+use load_balancer::client::discovery::{EndpointListener, Settings, run_watch};
+use load_balancer::client::list::{EndpointEntry, Health};
+use load_balancer::client::traffic::{Traffic, TrafficKind};
 use load_balancer::interface::ListKind;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -30,8 +30,8 @@
     changed: Rc<Notify>,
 }
 
-impl Listener for Holder {
-    fn list(&self, kind: ListKind, version: u64, hosts: Vec<Host>) {
+impl EndpointListener for Holder {
+    fn apply(&self, kind: ListKind, version: u64, hosts: Vec<EndpointEntry>) {
         let held = &mut *self.held.borrow_mut();
         if kind == ListKind::Full {
             held.serving.clear();
@@ -40,7 +40,7 @@
             held.went_back |= version <= held.version;
         }
         held.version = version;
-        for Host { host, dial, health, .. } in hosts {
+        for EndpointEntry { name: host, address: dial, health, .. } in hosts {
             match dial.filter(|_| health == Health::Serving) {
                 Some(dial) => drop(held.serving.insert(host, dial)),
                 None => drop(held.serving.remove(&host)),
@@ -49,9 +49,9 @@
         self.changed.notify_one();
     }
 
-    fn list_failed(&self) {}
+    fn poll_failed(&self) {}
 
-    fn wants_whole_list(&self) -> bool {
+    fn take_resync_request(&self) -> bool {
         false
     }
 }
@@ -77,7 +77,7 @@
         let (wanted, wants) = watch::channel(true);
         let (tell, listed) = oneshot::channel();
         let traffic = settings.traffic.clone();
-        let task = spawn_local(follow(holder, at, settings, wants, tell));
+        let task = spawn_local(run_watch(holder, at, settings, wants, tell));
         Client { held, changed, traffic, task, _addresses: addresses, _wanted: wanted, _listed: listed }
     }
 
@@ -105,7 +105,10 @@
 
     /// Calls for the list that it has sent.
     pub fn calls(&self) -> u64 {
-        [Kind::ListWhole, Kind::ListWatch].map(|kind| self.traffic.count(kind).messages_sent).iter().sum()
+        [TrafficKind::FullList, TrafficKind::ListWatch]
+            .map(|kind| self.traffic.count(kind).messages_sent)
+            .iter()
+            .sum()
     }
 }
 
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,6 +1,6 @@
 //! Limits of the library at their border and one over: what fits is whole, and what does not is refused with what to do.
 
-use load_balancer::client::membership::swim::{Dropped, Id, MAX_MEMBERS, Swim, Timing};
+use load_balancer::client::membership::swim::{DropReason, MAX_MEMBERS, MemberId, Swim, Timing};
 use load_balancer::interface::Arrival;
 use load_balancer::replay::*;
 use load_balancer::route_table::*;
@@ -149,7 +149,7 @@
 
 fn member(n: usize) -> Swim {
     let addr = SocketAddr::from(([10, 0, (n >> 8) as u8, n as u8], 7946));
-    let id = Id { addr, generation: 1, name: format!("n{n}"), zone: "z".into() };
+    let id = MemberId { addr, generation: 1, name: format!("n{n}"), zone: "z".into() };
     Swim::new(id, &Timing::default(), "tier", n as u64)
 }
 
@@ -168,10 +168,13 @@
         let from = swim.receive(&asks(n, &swim)).expect("taken in");
         assert_eq!(from.name, format!("n{n}"));
         // What follows upon it is somebody else's.
-        while swim.next_datagram().is_some() || swim.next_timer().is_some() || swim.news().is_some() {}
+        while swim.next_datagram().is_some()
+            || swim.next_timer().is_some()
+            || swim.next_notification().is_some()
+        {}
     }
     assert_eq!(swim.members().count(), MAX_MEMBERS);
-    assert_eq!(swim.receive(&asks(MAX_MEMBERS + 1, &swim)), Err(Dropped::TooMany));
+    assert_eq!(swim.receive(&asks(MAX_MEMBERS + 1, &swim)), Err(DropReason::TooManyMembers));
     assert_eq!(swim.members().count(), MAX_MEMBERS);
     for n in [1, MAX_MEMBERS] {
         assert!(swim.receive(&asks(n, &swim)).is_ok(), "who is known is heard still");
--- a/tests/registry_return/main.rs
+++ b/tests/registry_return/main.rs
@@ -15,7 +15,7 @@
 mod waits;
 
 use crate::rig::{Proxy, settings, soon};
-use load_balancer::client::discovery::{Backoff, Pace, Settings};
+use load_balancer::client::discovery::{PollBackoff, PollSchedule, Settings};
 use load_balancer::client::traffic::Traffic;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -27,8 +27,8 @@
 
 /// So many clients that follow the list at an address, under a backoff.
 fn clients(count: usize, at: SocketAddr) -> Vec<client_rig::Client> {
-    let backoff = Backoff { max_ms: MAX_PAUSE.as_millis() as u64 };
-    let pace = Pace::new(false, Duration::from_millis(500)).with_backoff(backoff);
+    let backoff = PollBackoff { max_ms: MAX_PAUSE.as_millis() as u64 };
+    let pace = PollSchedule::new(false, Duration::from_millis(500)).with_backoff(backoff);
     let client = |_| client_rig::Client::start(at, Settings::new(pace, Traffic::default()));
     (0..count).map(client).collect()
 }
--- a/tests/scale/parts.rs
+++ b/tests/scale/parts.rs
@@ -7,7 +7,7 @@
 use crate::run::sample::Sample;
 use crate::run::spread::Spread;
 use crate::run::traffic::{Count, Kind, Traffic};
-use load_balancer::client::list::Host;
+use load_balancer::client::list::EndpointEntry;
 use load_balancer::interface::ListKind;
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -119,7 +119,7 @@
     assert_eq!(Plan::new(64, 0, 10.0).names(), [None], "without services there is one list");
 }
 
-fn host(name: &str, share: f64, health: &str) -> Host {
+fn host(name: &str, share: f64, health: &str) -> EndpointEntry {
     serde_json::from_value(json!({"host": name, "dial": "127.0.0.1:1", "health": health, "share": share}))
         .expect("a host")
 }
--- a/tests/unit/client/discovery/ask.rs
+++ b/tests/unit/client/discovery/poll.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `src/client/discovery/ask.rs`, which names this file.
+//! Unit tests of `src/client/discovery/poll.rs`, which names this file.
 
 use super::*;
 
--- a/tests/unit/client/traffic.rs
+++ b/tests/unit/client/traffic.rs
@@ -30,7 +30,7 @@
     let (traffic, mut link) = (Traffic::default(), None);
     let client = LocalSet::new();
     let calls = client.run_until(async {
-        for kind in [Kind::ListWhole, Kind::ListWatch, Kind::ListWatch] {
+        for kind in [TrafficKind::FullList, TrafficKind::ListWatch, TrafficKind::ListWatch] {
             let wait = Duration::from_secs(600);
             let asked =
                 Call { kind, method: Method::GET, path: "/x", body: Bytes::new(), wait, max_answer: 99 };
@@ -40,16 +40,20 @@
     });
     let (came, ()) = tokio::join!(answer_calls(listener, ANSWER, 3), calls);
     let answer = ANSWER.len() as u64;
-    let one = Count { messages_sent: 1, messages_received: 1, bytes_sent: came / 3, bytes_received: answer };
-    assert_eq!(traffic.count(Kind::ListWhole), one);
-    let two = Count {
+    let one =
+        TrafficCount { messages_sent: 1, messages_received: 1, bytes_sent: came / 3, bytes_received: answer };
+    assert_eq!(traffic.count(TrafficKind::FullList), one);
+    let two = TrafficCount {
         messages_sent: 2,
         messages_received: 2,
         bytes_sent: came / 3 * 2,
         bytes_received: answer * 2,
     };
-    assert_eq!(traffic.count(Kind::ListWatch), two);
-    for kind in Kind::ALL.into_iter().filter(|kind| ![Kind::ListWhole, Kind::ListWatch].contains(kind)) {
-        assert_eq!(traffic.count(kind), Count::default(), "{kind:?}");
+    assert_eq!(traffic.count(TrafficKind::ListWatch), two);
+    for kind in TrafficKind::ALL
+        .into_iter()
+        .filter(|kind| ![TrafficKind::FullList, TrafficKind::ListWatch].contains(kind))
+    {
+        assert_eq!(traffic.count(kind), TrafficCount::default(), "{kind:?}");
     }
 }
