--- a/src/client/route_table/report.rs
+++ b/src/client/route_table/report.rs
@@ -3,8 +3,8 @@
 //! A report that no registry accepts is dropped with its counts; the registry sees the gap in the numbers.
 
 use super::{CallCounts, RequestTotals, RouteTableClient};
-use crate::client::registry::{Call, Fault, call};
-use crate::client::traffic::Kind;
+use crate::client::registry::{Call, CallError, call};
+use crate::client::traffic::TrafficKind;
 use crate::route_table::{ExclusionReason, MAX_REPORTED, MAX_WITNESSED, Report};
 use hyper::Method;
 use serde_json::{Value, json};
@@ -79,7 +79,7 @@
             let Some(registry) = self.registry.get() else { continue };
             let body = serde_json::to_vec(&report).unwrap_or_default();
             let request = Call {
-                kind: Kind::Report,
+                kind: TrafficKind::Report,
                 method: Method::PUT,
                 path: "/registry/reports",
                 body: body.into(),
@@ -104,7 +104,7 @@
     }
 
     /// Counts a lost report. Only the first of several in a row is logged.
-    fn report_lost(&self, number: u64, registry: SocketAddr, fault: &Fault) {
+    fn report_lost(&self, number: u64, registry: SocketAddr, fault: &CallError) {
         let mut reports = self.reports.borrow_mut();
         reports.lost += 1;
         if reports.error.is_none() {
@@ -137,7 +137,8 @@
         while left_out.len() > MAX_REPORTED {
             left_out.pop_last();
         }
-        let members = membership.map_or_else(Vec::new, |m| m.witnesses(reports.next_member, MAX_WITNESSED));
+        let members =
+            membership.map_or_else(Vec::new, |m| m.witnessed_members(reports.next_member, MAX_WITNESSED));
         reports.next_member = reports.next_member.wrapping_add(MAX_WITNESSED);
         let window_ms = reports.window_began.elapsed().as_millis() as u64;
         let before = reports.totals_before;
--- a/src/client/route_table/watch.rs
+++ b/src/client/route_table/watch.rs
@@ -4,8 +4,8 @@
 
 use super::RouteTableClient;
 use super::table::TableResponse;
-use crate::client::registry::{Call, Fault, Link, PAUSES, Rotation, call};
-use crate::client::traffic::Kind;
+use crate::client::registry::{Call, CallError, Connection, DEFAULT_BACKOFF, EndpointFailover, call};
+use crate::client::traffic::TrafficKind;
 use bytes::Bytes;
 use hyper::Method;
 use std::net::SocketAddr;
@@ -38,7 +38,7 @@
 
     /// Polls one registry until it fails, then the next one, with the pauses that the rotation gives.
     async fn watch_registries(&self, registries: Vec<SocketAddr>) {
-        let mut source = Rotation::new("routes", registries, PAUSES);
+        let mut source = EndpointFailover::new("routes", registries, DEFAULT_BACKOFF);
         let mut link = None;
         loop {
             self.registry.set(Some(source.address()));
@@ -46,7 +46,7 @@
             let answer = self.poll(&mut link, source.address()).await;
             match answer.and_then(|response| self.update_table(response)) {
                 Ok(is_new) => {
-                    if source.answered() {
+                    if source.record_success() {
                         info!(
                             "routes: {} answers, revision {}",
                             source.address(),
@@ -60,7 +60,7 @@
                 }
                 Err(fault) => {
                     self.current.borrow_mut().error = Some(format!("{}: {fault}", source.address()));
-                    sleep(source.failed(&fault)).await;
+                    sleep(source.record_failure(&fault)).await;
                 }
             }
         }
@@ -68,7 +68,11 @@
 
     /// Asks for the table that this process should have. Without a table the registry answers at once, else
     /// when there is a newer one or after [`POLL_WAIT`].
-    async fn poll(&self, link: &mut Option<Link>, registry: SocketAddr) -> Result<TableResponse, Fault> {
+    async fn poll(
+        &self,
+        link: &mut Option<Connection>,
+        registry: SocketAddr,
+    ) -> Result<TableResponse, CallError> {
         let name = self.identity.name();
         let generation = self.identity.generation();
         let mut path = format!("/registry/routes?name={name}&generation={generation}");
@@ -79,7 +83,7 @@
             path += &format!("&after={after}&wait_ms={}", POLL_WAIT.as_millis());
         }
         let request = Call {
-            kind: Kind::RouteWatch,
+            kind: TrafficKind::RouteWatch,
             method: Method::GET,
             path: &path,
             body: Bytes::new(),
@@ -87,7 +91,7 @@
             max_answer: MAX_TABLE_BYTES,
         };
         let text = call(link, registry, request, &self.traffic).await?;
-        serde_json::from_slice(&text).map_err(Fault::NoTable)
+        serde_json::from_slice(&text).map_err(CallError::InvalidTable)
     }
 
     /// Puts a table in force if it is new, and says whether it was.
@@ -95,7 +99,7 @@
     /// # Errors
     ///
     /// The table is refused and counted; the one in force stays.
-    fn update_table(&self, response: TableResponse) -> Result<bool, Fault> {
+    fn update_table(&self, response: TableResponse) -> Result<bool, CallError> {
         let mut current = self.current.borrow_mut();
         current.newest = response.newest;
         match response.is_new(&current) {
--- a/tests/compatibility/membership_frame.rs
+++ b/tests/compatibility/membership_frame.rs
@@ -6,7 +6,7 @@
 use crate::proxy_golden::{golden_bytes, hex, same};
 use crate::rig::{Discovery, Proxy, settings};
 use crate::waits::soon;
-use load_balancer::client::membership::swim::{Dropped, Id, Standing, Swim, Timing};
+use load_balancer::client::membership::swim::{DropReason, MemberId, MemberState, Swim, Timing};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,9 +16,14 @@
 const GENERATION: u64 = 1_764_633_600_000_000;
 
 /// An identity in the fixed addresses of the golden files.
-fn id(port: u16, name: &str, zone: &str) -> Id {
+fn id(port: u16, name: &str, zone: &str) -> MemberId {
     let generation = GENERATION + u64::from(port);
-    Id { addr: SocketAddr::from(([127, 0, 0, 1], port)), generation, name: name.into(), zone: zone.into() }
+    MemberId {
+        addr: SocketAddr::from(([127, 0, 0, 1], port)),
+        generation,
+        name: name.into(),
+        zone: zone.into(),
+    }
 }
 
 fn varint(mut value: u64) -> Vec<u8> {
@@ -58,7 +63,7 @@
     std::iter::from_fn(|| swim.next_datagram()).map(|(_, datagram)| datagram).collect()
 }
 
-fn swim(id: Id, cluster: &str) -> Swim {
+fn swim(id: MemberId, cluster: &str) -> Swim {
     Swim::new(id, &Timing::default(), cluster, 7)
 }
 
@@ -68,10 +73,10 @@
     let bytes = postcard::to_stdvec(&member).expect("encoded");
     same("membership_identity.hex", &hex(&bytes));
     assert_eq!(bytes, identity(member.addr, member.generation, "n1", "zone-a"));
-    assert_eq!(postcard::from_bytes::<Id>(&golden_bytes("membership_identity.hex")), Ok(member));
-    let v6 = Id { addr: "[::1]:40001".parse().expect("an address"), ..id(40_001, "n1", "zone-a") };
+    assert_eq!(postcard::from_bytes::<MemberId>(&golden_bytes("membership_identity.hex")), Ok(member));
+    let v6 = MemberId { addr: "[::1]:40001".parse().expect("an address"), ..id(40_001, "n1", "zone-a") };
     same("membership_identity_v6.hex", &hex(&postcard::to_stdvec(&v6).expect("encoded")));
-    assert_eq!(postcard::from_bytes::<Id>(&golden_bytes("membership_identity_v6.hex")), Ok(v6));
+    assert_eq!(postcard::from_bytes::<MemberId>(&golden_bytes("membership_identity_v6.hex")), Ok(v6));
 }
 
 /// An exchange of two members, every datagram of it as recorded, in the order in which they are sent: announce, feed,
@@ -93,18 +98,18 @@
     let from = identity(a.id().addr, a.id().generation, "n1", "zone-a");
     assert_eq!(sent, [announce("tier-1", &from, b.id().addr)]);
     exchange("membership_feed.hex", &mut b, &mut a);
-    let seen = |swim: &Swim| swim.members().map(|m| (m.id, m.standing)).collect::<Vec<_>>();
-    assert_eq!(seen(&a), [(b.id().clone(), Standing::Alive)]);
-    assert_eq!(seen(&b), [(a.id().clone(), Standing::Alive)]);
+    let seen = |swim: &Swim| swim.members().map(|m| (m.id, m.state)).collect::<Vec<_>>();
+    assert_eq!(seen(&a), [(b.id().clone(), MemberState::Alive)]);
+    assert_eq!(seen(&b), [(a.id().clone(), MemberState::Alive)]);
     drain(&mut a);
     // The timers that are set now, and not those that these set in turn.
     let timers: Vec<_> = std::iter::from_fn(|| a.next_timer()).collect();
-    timers.into_iter().for_each(|(_, timer)| a.wake(timer));
+    timers.into_iter().for_each(|(_, timer)| a.handle_timer(timer));
     exchange("membership_probe.hex", &mut a, &mut b);
     exchange("membership_answer.hex", &mut b, &mut a);
     b.leave();
     exchange("membership_leave.hex", &mut b, &mut a);
-    assert_eq!(seen(&a), [(b.id().clone(), Standing::Gone)]);
+    assert_eq!(seen(&a), [(b.id().clone(), MemberState::Gone)]);
 }
 
 #[test]
@@ -112,11 +117,11 @@
     let recorded = golden_bytes("membership_announce.hex");
     let own = || id(40_002, "n2", "zone-b");
     assert_eq!(swim(own(), "tier-1").receive(&recorded), Ok(id(40_001, "n1", "zone-a")));
-    assert_eq!(swim(own(), "tier-2").receive(&recorded), Err(Dropped::OtherCluster));
+    assert_eq!(swim(own(), "tier-2").receive(&recorded), Err(DropReason::OtherCluster));
     for at in [0, 3, 8, 12, recorded.len() - 1] {
         let mut spoilt = recorded.clone();
         spoilt[at] ^= 1;
-        assert_eq!(swim(own(), "tier-1").receive(&spoilt), Err(Dropped::Garbage), "byte {at}");
+        assert_eq!(swim(own(), "tier-1").receive(&spoilt), Err(DropReason::Malformed), "byte {at}");
     }
 }
 
--- a/tests/compatibility/platform_settings.rs
+++ b/tests/compatibility/platform_settings.rs
@@ -8,7 +8,7 @@
 use crate::proxy_program::{Running, exchange, file, proxy, refusal, without_types};
 use crate::rig::{Backend, Orders};
 use crate::waits::soon;
-use load_balancer::client::list::{Health, Host, Page};
+use load_balancer::client::list::{EndpointEntry, Health, ListPage, ParsedEntries};
 use load_balancer::interface::{DedupScope, Idempotency};
 use load_balancer::platform_settings::{PlatformSettings, parse};
 use serde_json::{Value, json};
@@ -101,17 +101,18 @@
 /// An entry of the list, which discovery writes in the same form as the platform does under `known`.
 #[test]
 fn every_key_of_a_listed_backend_is_read_into_its_value() {
-    let page: Page = serde_json::from_value(config()["known"].clone()).expect("a list");
-    assert_eq!((page.seq, page.whole), (41, true));
-    let (hosts, bad) = page.entries();
-    assert_eq!((hosts.len(), bad), (3, 0));
-    let told =
-        |h: &Host| (h.host.clone(), h.dial.map(|at| at.port()), h.site.clone(), h.class.clone(), h.block);
+    let page: ListPage = serde_json::from_value(config()["known"].clone()).expect("a list");
+    assert_eq!((page.version, page.is_full), (41, true));
+    let ParsedEntries { entries: hosts, unreadable } = page.into_entries();
+    assert_eq!((hosts.len(), unreadable), (3, 0));
+    let told = |h: &EndpointEntry| {
+        (h.name.clone(), h.address.map(|at| at.port()), h.zone.clone(), h.class.clone(), h.cell)
+    };
     let text = String::from;
     assert_eq!(told(&hosts[0]), (text("s-1"), Some(9), text("b"), text("m2"), 3));
     assert_eq!(told(&hosts[1]), (text("s-2"), Some(9), text("a"), text("m2"), 4));
     assert_eq!(told(&hosts[2]), (text("s-3"), None, text(""), text(""), 0));
-    let figures: Vec<_> = hosts.iter().map(|h| (h.share, h.born_ms)).collect();
+    let figures: Vec<_> = hosts.iter().map(|h| (h.weight, h.started_ms)).collect();
     assert_eq!(figures, [(1.5, 1_764_633_600_000.0), (1.0, 0.0), (0.0, 0.0)]);
     let health = |n: usize| hosts[n].health;
     assert!(health(0) == Health::Serving && health(1) == Health::Draining && health(2) == Health::Deleted);
