--- a/src/balancer/interface/mod.rs
+++ b/src/balancer/interface/mod.rs
@@ -10,6 +10,7 @@
 mod list;
 mod settings;
 mod settings_error;
+mod validation;
 
 pub use action::Action;
 pub use attempt::{Arrival, Outcome, Resolved};
--- a/src/balancer/interface/settings.rs
+++ b/src/balancer/interface/settings.rs
@@ -62,7 +62,8 @@
 pub enum Idempotency {
     /// Safe to repeat anywhere.
     Idempotent,
-    /// Repeats are dropped by the backends of `scope` for `dedup_window_ms` after the first send that may have run.
+    /// Repeats are dropped by the backends of `scope` for `dedup_window_ms` after the first send that may
+    /// have run.
     Keyed {
         /// Which backends drop each other's repeats.
         scope: DedupScope,
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,170 +1,154 @@
-//! Every decision of a balancer copy: one learned concurrency limit, split into slices by worth, over a
-//! load-sized subset of the tier. The interface (settings, events, actions) is in `src/balancer/interface/`.
+//! The decisions of a proxy instance, without I/O: whether a request is sent, queued or shed, which endpoint
+//! gets it, and whether it is retried.
+//!
+//! [`Balancer`] holds the state of each rule, one part a module, and passes each event to the rule that
+//! handles it. The interface (settings, events, actions) is in `interface`.
 
 mod admission;
-mod attempts;
-mod backends;
-mod fleet;
-mod health;
-mod housekeep;
+mod class_latency;
+mod concurrency_limit;
+mod endpoint_set;
+mod endpoints;
+mod fleet_share;
 pub mod interface;
-mod limiter;
-mod list;
+mod introspection;
+mod key_order;
+mod list_guard;
+mod list_updates;
+mod observation;
 mod ordered_sum;
-mod pick;
+mod outlier_detection;
 pub mod platform_settings;
-mod roster;
-mod state;
+mod priority;
+mod request;
+mod retry;
+mod selection;
+mod stalled_calls;
 mod subset;
-mod view;
+mod tenant_quota;
+mod tick;
+mod timer;
+mod warm_up;
+mod zone_spill;
 
-use self::admission::RETRY_DEPTH;
-use self::attempts::HOLD;
-use self::backends::Backends;
-use self::housekeep::HOUSEKEEPING;
-use self::list::{ASK, ASK_FIRST, RELIST};
-use self::state::{Latency, Limiter, Line, Request, Roster, Segment, Slice};
-use self::subset::CROSS_CHEAP;
+use self::admission::Admission;
+use self::concurrency_limit::ConcurrencyLimit;
+use self::endpoint_set::EndpointSet;
+use self::endpoints::Endpoints;
+use self::fleet_share::FleetShare;
+use self::key_order::KeyQueue;
+use self::list_guard::ListGuardState;
+use self::list_updates::ListUpdates;
+use self::outlier_detection::OutlierDetection;
+use self::request::Request;
+use self::retry::RetryBudget;
+use self::selection::Selection;
+use self::subset::Subset;
+use self::tenant_quota::TokenBucket;
+use self::timer::Timer;
+use self::warm_up::WarmUp;
+use self::zone_spill::ZoneSpill;
 use crate::interface::*;
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::collections::{BTreeMap, HashMap};
 
-const HOUSE_TICKS: f64 = 10.0; // ticks between housekeepings: often enough for holds, rare enough to be cheap
-
-/// One balancer copy. See the crate's documentation for how a proxy drives it.
-#[derive(Default)]
+/// The decisions of one proxy instance. See the crate's documentation for how a proxy drives it.
 pub struct Balancer {
-    s: Settings,
+    settings: Settings,
     rng: fastrand::Rng,
     started: bool,
-    backends: Backends,
-    roster: Roster,
-    busy: BTreeSet<BackendId>, // those with calls out, and some whose last has just ended
-    subset: Vec<BackendId>,
-    segments: [Segment; 2], // what the subset is, of the roster's parts
-    spill: f64,             // share of calls that are to leave the zone ...
-    drift: f64,             // ... and its slow part
-    excess: [f64; 2],       // latency over the baseline, in aims: in the zone, beyond it
-    width: f64,
-    weight: f64,
-    capacity: f64,                         // backends in the list, cold ones in part
-    member_rate: f64,                      // answers per ms that a warm member has proved to give
-    requests: HashMap<RequestId, Request>, // looked up, never iterated: its order decides nothing
-    lines: BTreeMap<u64, Line>,
-    limiter: Limiter,
-    slices: Vec<Slice>, // most worth first
-    slice_of: Vec<[usize; 2]>,
-    buckets: Vec<(f64, f64)>,
-    inflight: f64,
-    peak: f64,
-    error: f64,
-    heard: f64,
-    retry_tokens: f64,
-    house: f64,
-    ask_backoff: f64,
-    asking: bool,
-    relisting: bool, // a timer for it is out
-    hold: f64,
-    processes: f64,                   // processes that share this copy's cold budgets
-    present: f64,                     // copies that share what the fleet shares ...
-    fleet: f64,                       // ... and by how many it is divided so far
-    place: [f64; 2],                  // this copy's place among so many
-    routes: BTreeMap<BackendId, f64>, // the route table's weights, listed or not
-    heaviest: f64,                    // weight of the heaviest in the ring
-    turn: f64,                        // the latest turn that was taken
-    slowness_moved: bool,             // a member's, since `usual` was found
-    usual: f64, // the middle one of the members' slownesses: one slow member of few moves the mean of all
-    scatter: f64, // mean square of an answer's latency over its class's mean, beside that mean
+    last_tick_ms: f64,
+    /// Looked up, never iterated: its order decides nothing.
+    requests: HashMap<RequestId, Request>,
+    admission: Admission,
+    tenant_buckets: Vec<TokenBucket>,
+    /// By key of an ordered class.
+    key_queues: BTreeMap<u64, KeyQueue>,
+    concurrency_limit: ConcurrencyLimit,
+    retry_budget: RetryBudget,
+    endpoints: Endpoints,
+    endpoint_set: EndpointSet,
+    subset: Subset,
+    selection: Selection,
+    outliers: OutlierDetection,
+    zone_spill: ZoneSpill,
+    warm_up: WarmUp,
+    fleet_share: FleetShare,
+    list_updates: ListUpdates,
+    list_guard: ListGuardState,
 }
 
 impl Balancer {
-    /// Starts a copy that knows nothing yet; `seed` feeds its only random numbers.
+    /// Starts an instance without endpoints; `seed` seeds its only source of random numbers.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        crate::check(&settings)?;
-        let mean =
-            settings.classes.iter().map(|c| c.priority_weight).sum::<f64>() / settings.classes.len() as f64;
-        let (even, over) = (settings.goal.worst_class_weight, settings.over_quota_weight);
-        // The goal's weight on the worst-served class is worth that every class has alike.
-        let worth = |c: &Class| (1.0 - even) * c.priority_weight / mean.max(1e-9) + even;
-        let worths: Vec<[f64; 2]> = settings.classes.iter().map(|c| [worth(c), worth(c) * over]).collect();
-        let demoted = usize::from(settings.tier == 0 && !settings.tenants.is_empty());
-        let mut levels: Vec<f64> = worths.iter().flat_map(|w| w[..=demoted].to_vec()).collect();
-        levels.sort_by(|a, b| b.total_cmp(a));
-        levels.dedup_by(|a, b| (*a - *b).abs() < 1e-9);
-        // Work beyond its tenant's share has no claim but what is left over and the floor of one slot.
-        let claim = |l: &f64| if worths.iter().any(|w| (w[0] - l).abs() < 1e-9) { *l } else { 0.0 };
-        let sum = levels.iter().map(claim).sum::<f64>().max(1e-9);
-        let place = |w: f64| levels.iter().position(|l| (l - w).abs() < 1e-9).unwrap_or(0);
-        let classes = settings
-            .classes
-            .iter()
-            .map(|c| Latency { aim: c.latency_objective_ms, ..Latency::default() })
-            .collect();
-        let home = (settings.goal.cross_zone_price > CROSS_CHEAP).then_some(settings.zone);
+        settings.validate()?;
+        let prefers_local = ZoneSpill::prefers_local_zone(settings.goal.cross_zone_price);
         Ok(Balancer {
             rng: fastrand::Rng::with_seed(seed),
-            slice_of: worths.iter().map(|w| w.map(place)).collect(),
-            slices: levels.iter().map(|l| Slice { share: claim(l) / sum, ..Slice::default() }).collect(),
-            limiter: Limiter { classes, ..Limiter::default() },
-            roster: Roster::at(home),
-            buckets: vec![(f64::MAX, 0.0); settings.tenants.len()],
-            retry_tokens: RETRY_DEPTH,
-            ask_backoff: 1.0,
-            capacity: 1.0,
-            processes: 1.0,
-            present: f64::from(settings.instance_count),
-            fleet: f64::from(settings.instance_count),
-            place: [f64::from(settings.instance_index), f64::from(settings.instance_count)],
-            scatter: 1.0,
-            usual: 1.0,
-            // One for all classes: in a full queue the longer hold would take every slot of its slice.
-            hold: HOLD[settings.tier.min(1) as usize]
-                * settings.classes.iter().map(|c| c.latency_objective_ms).fold(f64::MAX, f64::min),
-            s: settings,
-            ..Balancer::default()
+            started: false,
+            last_tick_ms: 0.0,
+            requests: HashMap::new(),
+            admission: Admission::new(&settings),
+            tenant_buckets: settings.tenants.iter().map(|_| TokenBucket::full()).collect(),
+            key_queues: BTreeMap::new(),
+            concurrency_limit: ConcurrencyLimit::new(&settings),
+            retry_budget: RetryBudget::new(),
+            endpoints: Endpoints::default(),
+            endpoint_set: EndpointSet::new(prefers_local.then_some(settings.zone)),
+            subset: Subset::default(),
+            selection: Selection::default(),
+            outliers: OutlierDetection::new(),
+            zone_spill: ZoneSpill::default(),
+            warm_up: WarmUp::new(),
+            fleet_share: FleetShare::new(&settings),
+            list_updates: ListUpdates::new(),
+            list_guard: ListGuardState::default(),
+            settings,
         })
     }
 
-    /// Takes one event at clock time `now` and appends what is to be done about it.
-    pub fn handle(&mut self, now: f64, event: Event, out: &mut Vec<Action>) {
+    /// Takes one event at clock time `now_ms` and appends the actions that follow from it.
+    pub fn handle(&mut self, now_ms: f64, event: Event, out: &mut Vec<Action>) {
         if !self.started {
-            (self.started, self.house, self.heard) = (true, now, now);
-            out.push(Action::SetTimer { delay_ms: self.period(), token: HOUSEKEEPING });
-            let nobody = matches!(&event, Event::List { entries, .. } if entries.is_empty());
-            if self.s.must_subscribe && nobody {
-                // It can serve nobody until it has a list.
-                out.push(Action::Watch { on: true });
-            } else if self.s.must_subscribe {
-                // Copies start together: the first call is spread so that discovery is not run over.
-                let share = 0.4 * self.rng.f64();
-                self.ask_later(share, ASK_FIRST, out);
-            }
+            self.start(now_ms, &event, out);
         }
         match event {
-            Event::List { kind, entries } => self.on_list(now, kind, entries, out),
-            Event::Request(arrival) => self.on_request(now, &arrival, out),
-            Event::BodyComplete { request, deadline_ms: deadline } => self.on_whole(now, request, deadline),
-            Event::Resolved(resolved) => self.on_resolved(now, &resolved, out),
-            Event::LocalProcesses { processes } => self.processes = f64::from(processes.max(1)),
-            Event::Peers { alive, known, rank } => self.on_peers(now, alive, known, rank),
-            Event::RouteWeights { weights } => self.on_weights(now, weights),
-            Event::ClientGone { request } => self.end(now, request, out),
-            Event::TimerFired { token: HOUSEKEEPING } => self.housekeep(now, out),
-            Event::TimerFired { token: ASK } => {
-                self.asking = false;
-                out.push(Action::Watch { on: true });
+            Event::List { kind, entries } => self.on_list(now_ms, kind, entries, out),
+            Event::Request(arrival) => self.on_request(now_ms, &arrival, out),
+            Event::BodyComplete { request, deadline_ms } => {
+                self.on_body_complete(now_ms, request, deadline_ms);
             }
-            Event::TimerFired { token: RELIST } => {
-                self.relisting = false;
-                self.doubt(out);
-                out.extend(self.relisting.then_some(Action::Resync));
+            Event::Resolved(resolved) => self.on_resolved(now_ms, &resolved, out),
+            Event::LocalProcesses { processes } => {
+                self.warm_up.local_processes = f64::from(processes.max(1));
             }
-            Event::TimerFired { .. } => {}
+            Event::Peers { alive, known, rank } => self.on_peers(now_ms, alive, known, rank),
+            Event::RouteWeights { weights } => self.on_route_weights(now_ms, weights),
+            Event::ClientGone { request } => self.end_request(now_ms, request, out),
+            Event::TimerFired { token } => self.on_timer(now_ms, token, out),
         }
-        self.free_held(now, false, out);
+        self.send_queued(now_ms, out);
     }
 
-    pub(super) fn period(&self) -> f64 {
-        (self.s.tick_ms * HOUSE_TICKS).max(1.0)
+    /// Sets the first timers, on the first event.
+    fn start(&mut self, now_ms: f64, first: &Event, out: &mut Vec<Action>) {
+        self.started = true;
+        self.last_tick_ms = now_ms;
+        self.outliers.last_answer_ms = now_ms;
+        out.push(Timer::Tick.set(self.tick_interval_ms()));
+        self.subscribe_at_start(first, out);
+    }
+
+    /// A timer fired; tokens that no timer has are ignored.
+    fn on_timer(&mut self, now_ms: f64, token: u64, out: &mut Vec<Action>) {
+        match Timer::from_token(token) {
+            Some(Timer::Tick) => self.tick(now_ms, out),
+            Some(Timer::Subscribe) => {
+                self.list_updates.subscribe_timer_set = false;
+                out.push(Action::Watch { on: true });
+            }
+            Some(Timer::Resync) => self.on_resync_timer(out),
+            None => {}
+        }
     }
 }
 
--- a/src/balancer/ordered_sum.rs
+++ b/src/balancer/ordered_sum.rs
@@ -3,7 +3,7 @@
 use crate::interface::BackendId;
 
 /// Where an id is, or would be, among sorted ones, not before `from`; quick if it is near.
-pub fn place_from(ids: &[BackendId], mut from: usize, id: BackendId) -> usize {
+pub fn lower_bound_from(ids: &[BackendId], mut from: usize, id: BackendId) -> usize {
     let mut step = 1;
     while ids.get(from + step).is_some_and(|other| *other < id) {
         from += step;
--- /dev/null
+++ b/src/balancer/retry.rs
@@ -0,0 +1,83 @@
+//! Retries: when a failed attempt is sent again, and when not.
+//!
+//! After an attempt has failed, the request is sent again at once if all of this holds:
+//! - its failure is not the request's own fault (`Malformed`), and its body is still there;
+//! - it has attempts left, and more than a tick before its deadline;
+//! - it may run again: no attempt ran, or its class is idempotent, or its repeats are still dropped;
+//! - for a request that may have run, the retry budget has a token;
+//! - an endpoint can take it (`selection`).
+//!
+//! Otherwise it waits in its slice's queue, if no attempt can have run and time is left, or is given up
+//! ([`Balancer::reject_or_fail`]).
+
+use super::Balancer;
+use super::request::Request;
+use crate::interface::*;
+
+/// Tokens that each request adds to the retry budget: retries are at most a tenth of the requests, no storm.
+const TOKENS_PER_REQUEST: f64 = 0.1;
+/// Tokens that the budget holds at least when full, and at the start.
+const MIN_BUDGET_TOKENS: f64 = 10.0;
+
+/// The budget for retries of requests that may have run.
+pub(super) struct RetryBudget {
+    tokens: f64,
+}
+
+impl RetryBudget {
+    pub(super) fn new() -> Self {
+        RetryBudget { tokens: MIN_BUDGET_TOKENS }
+    }
+
+    /// Adds a request's part; the budget holds at most a tenth of the concurrency limit, or the minimum.
+    pub(super) fn earn(&mut self, concurrency_limit: f64) {
+        let earned = self.tokens + TOKENS_PER_REQUEST;
+        self.tokens = earned.min(MIN_BUDGET_TOKENS.max(concurrency_limit * TOKENS_PER_REQUEST));
+    }
+}
+
+impl Balancer {
+    /// Whether a request may run once more somewhere: no attempt ran, its class is idempotent, or the
+    /// backends still drop its repeats. Their window counts from the first attempt that may have run.
+    fn may_run_again(&self, now_ms: f64, request: &Request) -> bool {
+        let Some(first) = request.first_that_may_have_run() else { return true };
+        match self.settings.classes[request.class].idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::Keyed { dedup_window_ms, .. } => {
+                now_ms < first.sent_ms + dedup_window_ms - self.settings.tick_ms
+            }
+            Idempotency::NonIdempotent => false,
+        }
+    }
+
+    /// Whether a further try by the client is harmless. It may reach any backend: repeats must be dropped by
+    /// all.
+    pub(super) fn client_may_retry(&self, now_ms: f64, request: &Request) -> bool {
+        let anywhere = matches!(
+            self.settings.classes[request.class].idempotency,
+            Idempotency::Idempotent | Idempotency::Keyed { scope: DedupScope::All, .. }
+        );
+        self.may_run_again(now_ms, request) && (anywhere || request.never_ran())
+    }
+
+    /// Sends another attempt, if the class, the deadline and, for a request that may have run, the budget
+    /// allow.
+    pub(super) fn retry(
+        &mut self,
+        now_ms: f64,
+        id: RequestId,
+        never_ran: bool,
+        out: &mut Vec<Action>,
+    ) -> bool {
+        let request = &self.requests[&id];
+        let attempts_left = request.attempts.len() < self.settings.caps.max_attempts as usize;
+        let time_left = now_ms + self.settings.tick_ms < request.deadline_ms;
+        let within_budget = never_ran || self.retry_budget.tokens >= 1.0;
+        let allowed = attempts_left && time_left && within_budget && self.may_run_again(now_ms, request);
+        let sent = allowed && self.send(now_ms, id, out);
+        if sent && !never_ran {
+            self.retry_budget.tokens -= 1.0;
+        }
+        sent
+    }
+}
--- a/src/balancer/subset.rs
+++ b/src/balancer/subset.rs
@@ -1,79 +1,136 @@
-//! The load-sized subset of the tier, and what of the calls leaves the zone.
+//! The subset: the endpoints that this instance sends to, as many as its load needs.
+//!
+//! It is a segment of each zone partition's ordered ring of endpoints, from this instance's position onwards
+//! until enough endpoints in service are in. It is sized again on each tick and when endpoints or instances
+//! change; it widens at once and narrows slowly.
 
 use super::Balancer;
-use super::list::OVERLAP;
-use super::state::Segment;
-use crate::interface::*;
+use super::endpoint_set::{Capacity, LOCAL, REMOTE};
+use crate::interface::BackendId;
 
-const MIN_SUBSET: f64 = 5.0; // room for two picks when a member or two are out
-const CALLS_PER_MEMBER: f64 = 1.0; // own calls that a member carries before the subset widens
-const NARROW_PER_S: f64 = 0.03; // connections cost, so the subset does not follow every lull
-pub(super) const CROSS_CHEAP: f64 = 0.01; // a price of crossing up to which pooling all zones is worth more
+/// Fewest endpoints: enough for two candidates when one or two are out of service.
+const MIN_ENDPOINTS: f64 = 5.0;
+/// Calls of this instance that an endpoint carries before the subset widens.
+const CALLS_PER_ENDPOINT: f64 = 1.0;
+/// Instances that share an endpoint at least, so that none depends on a single one.
+pub(super) const MIN_INSTANCES_PER_ENDPOINT: f64 = 2.0;
+/// Share by which the subset narrows in a second: connections cost, so it does not follow each dip in load.
+const NARROWING_PER_S: f64 = 0.03;
+
+/// The subset's part of a zone partition.
+#[derive(Default)]
+pub(super) struct Segment {
+    /// Index in the partition where it starts.
+    start: usize,
+    /// Endpoints in service that it is to hold.
+    wanted: f64,
+    /// Endpoints that it holds.
+    pub(super) taken: usize,
+}
+
+/// The endpoints that this instance sends to.
+#[derive(Default)]
+pub(super) struct Subset {
+    pub(super) members: Vec<BackendId>,
+    /// Local zone and other zones, in the order of the members.
+    pub(super) segments: [Segment; 2],
+    /// Endpoints in service that it is to hold, before the division by zone.
+    pub(super) width: f64,
+}
 
 impl Segment {
-    /// The place here of who has that rank in a part of that length.
-    pub(super) fn seat(&self, rank: usize, length: usize) -> Option<usize> {
-        let seat = (rank + length - self.from % length) % length;
-        (seat < self.taken).then_some(seat)
+    /// Index in the segment of the endpoint with that rank in a partition of that length.
+    pub(super) fn index_of(&self, rank: usize, partition_len: usize) -> Option<usize> {
+        let index = (rank + partition_len - self.start % partition_len) % partition_len;
+        (index < self.taken).then_some(index)
     }
 }
 
 impl Balancer {
-    /// The subset: from this copy's place in the roster onwards until enough healthy ones are in.
-    pub(super) fn resize(&mut self, now: f64, passed: f64) {
-        // The limit follows what the list surely bears: who leaves takes a part, a successor brings it back.
-        let capacity = self.roster.capacity(&self.s.rules, now);
-        let capable = capacity.all;
-        let part = if capable > 0.0 { capable / std::mem::replace(&mut self.capacity, capable) } else { 1.0 };
-        self.limiter.total *= part;
-        self.limiter.best *= part;
-        let size = self.roster.members.len() as f64;
-        let want = (self.peak / CALLS_PER_MEMBER).max(OVERLAP * size / self.fleet).max(MIN_SUBSET);
-        self.width = want.max(self.width * (1.0 - NARROW_PER_S * passed / 1000.0)).min(size);
-        // Where crossing has a price, only what is spilt or the smallest subset lacks leaves the zone. Each
-        // zone gets its part of the calls; what its members, new or ill, bear less than that is spilt at
-        // once: latency tells only once the rest of them are crowded. Those due for a trial count.
-        let [within, beyond] = capacity.parts;
-        let (zones, all) = (self.roster.zone_count() as f64, within + beyond);
-        let uneven = if all > 0.0 { 1.0 - zones * within / all } else { 0.0 };
-        let [near, far] = self.roster.parts.each_ref().map(Vec::len);
-        let lacking = uneven.max(1.0 - near as f64 / MIN_SUBSET.min(size.max(1.0)));
-        self.spill = if far == 0 { 0.0 } else { self.spill.max(lacking) };
-        let segment = |length: usize, share: f64| Segment {
-            from: (self.place[0] * length as f64 / self.place[1]) as usize,
-            healthy: (self.width * share).ceil().max(MIN_SUBSET),
+    /// Sizes the subset anew, and scales the concurrency limit with the tier's capacity.
+    ///
+    /// Failure: too few endpoints concentrate the load, too many cost connections. Inputs: peak of the calls
+    /// in flight, endpoints, instances; `passed_ms` is the time since the last tick, 0 between ticks.
+    pub(super) fn resize_subset(&mut self, now_ms: f64, passed_ms: f64) {
+        let capacity = self.endpoint_set.capacity(&self.settings.rules, now_ms);
+        self.follow_capacity(capacity.total);
+        let size = self.endpoint_set.members.len() as f64;
+        let for_load = self.admission.peak_in_flight / CALLS_PER_ENDPOINT;
+        let for_overlap = MIN_INSTANCES_PER_ENDPOINT * size / self.fleet_share.divisor;
+        let wanted = for_load.max(for_overlap).max(MIN_ENDPOINTS);
+        let narrowed = self.subset.width * (1.0 - NARROWING_PER_S * passed_ms / 1000.0);
+        self.subset.width = wanted.max(narrowed).min(size);
+        self.spill_missing_capacity(&capacity, size);
+        let spilled = self.zone_spill.fraction;
+        let segments = [self.segment(LOCAL, 1.0 - spilled), self.segment(REMOTE, spilled)];
+        self.draw_subset(segments);
+    }
+
+    /// Scales the limit with the capacity: an endpoint that leaves takes its part of the limit with it, and
+    /// its successor brings it back.
+    fn follow_capacity(&mut self, capacity: f64) {
+        if capacity > 0.0 {
+            let before = std::mem::replace(&mut self.warm_up.tier_capacity, capacity);
+            self.concurrency_limit.scale(capacity / before);
+        }
+    }
+
+    /// Spills at once what the local zone's endpoints lack of the zone's part of the tier.
+    ///
+    /// Failure: where crossing zones has a price, calls stay in a zone whose endpoints are new or ejected
+    /// until latency shows it, when the remaining ones are already overloaded. Endpoints that are due for a
+    /// trial count as capacity.
+    fn spill_missing_capacity(&mut self, capacity: &Capacity, size: f64) {
+        let [local, remote] = capacity.in_service;
+        let (zones, total) = (self.endpoint_set.zone_count() as f64, local + remote);
+        let missing_capacity = if total > 0.0 { 1.0 - zones * local / total } else { 0.0 };
+        let [local_len, remote_len] = self.endpoint_set.partitions.each_ref().map(Vec::len);
+        let missing_endpoints = 1.0 - local_len as f64 / MIN_ENDPOINTS.min(size.max(1.0));
+        let missing = missing_capacity.max(missing_endpoints);
+        self.zone_spill.fraction = if remote_len == 0 { 0.0 } else { self.zone_spill.fraction.max(missing) };
+    }
+
+    /// The segment that a share of the calls needs in a partition.
+    fn segment(&self, partition: usize, share: f64) -> Segment {
+        let partition_len = self.endpoint_set.partitions[partition].len();
+        Segment {
+            start: self.fleet_share.start_in(partition_len),
+            wanted: (self.subset.width * share).ceil().max(MIN_ENDPOINTS),
             taken: 0,
-        };
-        self.draw_subset([segment(near, 1.0 - self.spill), segment(far, self.spill)]);
+        }
     }
 
-    /// Fills the subset, if it is not the one that is there.
+    /// Fills the subset, if it differs from the present one.
     fn draw_subset(&mut self, segments: [Segment; 2]) {
-        let same = |(old, new): (&Segment, &Segment)| old.from == new.from && old.healthy == new.healthy;
-        if !std::mem::take(&mut self.roster.moved) && self.segments.iter().zip(&segments).all(same) {
+        let is_same = |(old, new): (&Segment, &Segment)| old.start == new.start && old.wanted == new.wanted;
+        let redraw = std::mem::take(&mut self.endpoint_set.needs_redraw);
+        if !redraw && self.subset.segments.iter().zip(&segments).all(is_same) {
             return;
         }
-        self.subset.clear();
-        self.segments = segments;
-        let any_ejected = self.roster.ejected_count() > 0;
-        for (part, segment) in self.roster.parts.iter().zip(&mut self.segments) {
-            let (before, mut missing) = (self.subset.len(), segment.healthy);
-            let mut members = (0..part.len()).map(|i| part[(segment.from + i) % part.len()]);
-            while let Some(id) = members.next().filter(|_| missing > 0.0) {
-                self.subset.push(id);
-                missing -= f64::from(u8::from(!(any_ejected && self.backends[&id].ejected())));
+        self.subset.members.clear();
+        self.subset.segments = segments;
+        let any_ejected = self.endpoint_set.ejected_count() > 0;
+        for (partition, segment) in self.endpoint_set.partitions.iter().zip(&mut self.subset.segments) {
+            let before = self.subset.members.len();
+            let mut missing = segment.wanted;
+            let mut ring = (0..partition.len()).map(|i| partition[(segment.start + i) % partition.len()]);
+            while let Some(id) = ring.next().filter(|_| missing > 0.0) {
+                self.subset.members.push(id);
+                if !(any_ejected && self.endpoints[&id].ejected()) {
+                    missing -= 1.0;
+                }
             }
-            segment.taken = self.subset.len() - before;
+            segment.taken = self.subset.members.len() - before;
         }
-        self.slowness_moved = true;
+        self.outliers.median_outdated = true;
     }
 
-    /// A backend's place in the subset.
-    pub(super) fn seat(&self, id: BackendId) -> Option<usize> {
+    /// An endpoint's index in the subset.
+    pub(super) fn subset_index(&self, id: BackendId) -> Option<usize> {
         let mut before = 0;
-        for (part, segment) in self.roster.parts.iter().zip(&self.segments) {
-            if let Ok(rank) = part.binary_search(&id) {
-                return segment.seat(rank, part.len()).map(|seat| before + seat);
+        for (partition, segment) in self.endpoint_set.partitions.iter().zip(&self.subset.segments) {
+            if let Ok(rank) = partition.binary_search(&id) {
+                return segment.index_of(rank, partition.len()).map(|index| before + index);
             }
             before += segment.taken;
         }
--- /dev/null
+++ b/src/balancer/tick.rs
@@ -0,0 +1,35 @@
+//! The tick: the order of the periodic work, nothing else. What each step does is in the module of its rule.
+
+use super::{Balancer, Timer};
+use crate::interface::Action;
+
+/// Ticks of the embedding proxy between two ticks of the balancer: often enough for queues, rare enough to be
+/// cheap.
+const PROXY_TICKS: f64 = 10.0;
+
+impl Balancer {
+    /// Time (ms) between two ticks.
+    pub(super) fn tick_interval_ms(&self) -> f64 {
+        (self.settings.tick_ms * PROXY_TICKS).max(1.0)
+    }
+
+    /// Does the periodic work and sets the timer for the next tick.
+    pub(super) fn tick(&mut self, now_ms: f64, out: &mut Vec<Action>) {
+        out.push(Timer::Tick.set(self.tick_interval_ms()));
+        let passed_ms = (now_ms - self.last_tick_ms).max(0.0);
+        self.last_tick_ms = now_ms;
+        self.concurrency_limit.update(passed_ms, self.warm_up.tier_capacity);
+        self.zone_spill.update(passed_ms, self.settings.goal.cross_zone_price);
+        self.fleet_share.take_over(passed_ms);
+        self.resize_subset(now_ms, passed_ms);
+        self.outliers.update_median(&self.subset.members, &self.endpoints);
+        self.admission.decay_peak(passed_ms);
+        self.shed_overdue_in_key_queues(now_ms, out);
+        self.dispatch_key_heads(now_ms);
+        self.release_stalled_calls(now_ms);
+        self.withdraw_confirmed_removals(now_ms, out);
+        self.sweep_queues(now_ms, out);
+        self.grant_warm_up_tokens(now_ms, passed_ms);
+        self.eject_hung_endpoints(now_ms);
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
 //! The decisions of a load balancer for services that call services, as a library without I/O.
 //!
 //! A [`Balancer`] belongs to one proxy instance in front of one tier. It learns one concurrency limit for the
-//! calls of that instance, divides it among classes by their priority weight, sheds low-priority requests first
-//! once the limit is reached, and selects backends inside a subset of the tier that grows with its load. It is
-//! notified of what happens ([`interface::Event`]) at a given time and answers with what to do
+//! calls of that instance, divides it among classes by their priority weight, sheds low-priority requests
+//! first once the limit is reached, and selects backends inside a subset of the tier that grows with its
+//! load. It is notified of what happens ([`interface::Event`]) at a given time and answers with what to do
 //! ([`interface::Action`]). It owns no clock, thread or socket: the same settings, seed and events give the
 //! same actions.
 //!
@@ -66,8 +66,8 @@
 //!
 //! - It passes on every event, in order, with a clock that only goes forward, and an
 //!   [`interface::Event::TimerFired`] for every timer that was set.
-//! - It passes on one [`interface::Event::Resolved`] for every [`interface::Action::Send`], also after the end of
-//!   the request, and no later than its `deadline_ms`.
+//! - It passes on one [`interface::Event::Resolved`] for every [`interface::Action::Send`], also after the
+//!   end of the request, and no later than its `deadline_ms`.
 //! - It passes on one [`interface::Event::BodyComplete`] for a request that arrived with `body_pending` set,
 //!   unless the request ends before its last byte.
 //! - It sets `request_ended` once the request is over: the first successful answer is forwarded to the client
@@ -88,49 +88,13 @@
 
 pub use balancer::{Balancer, interface, platform_settings};
 
-use interface::{BackendId, Settings, SettingsError, Tenant};
+use interface::BackendId;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// The number that a proxy gives to the backend of that name, or the next one that is free. It is made from
-/// the name, since every copy orders the backends by it: the copies' subsets are to overlap evenly.
+/// The id that a proxy gives to the backend of that name, or the next one that is free. It is a hash of the
+/// name, the same at every instance: all order the backends by it, so that their subsets overlap evenly.
 pub fn backend_id(host: &str) -> BackendId {
     let mut hasher = DefaultHasher::new();
     host.hash(&mut hasher);
     hasher.finish() as BackendId
 }
-
-/// Turns down settings that no decision could be made by; names the first that is wrong.
-fn check(s: &Settings) -> Result<(), SettingsError> {
-    let r = &s.rules;
-    let mut figures = vec![
-        ("copies".into(), f64::from(s.instance_count) - 1.0),
-        ("copy".into(), f64::from(s.instance_count) - f64::from(s.instance_index) - 1.0),
-        ("tick".into(), s.tick_ms),
-        ("over_share_worth".into(), s.over_quota_weight),
-        ("rules.cold_from".into(), r.initial_capacity),
-        ("rules.cold".into(), r.warm_up_ms),
-        ("rules.fall_multiple".into(), r.overload_multiple),
-        ("rules.ask_within".into(), r.max_silence_ms),
-        ("rules.release_within".into(), r.idle_close_within_ms),
-        ("rules.settle_after_doubt".into(), r.key_settle_ms),
-        ("goal.worst_class".into(), s.goal.worst_class_weight),
-        ("goal.cross_zone".into(), s.goal.cross_zone_price),
-        ("caps.max_retry_after".into(), s.caps.max_retry_after_ms),
-        ("classes".into(), s.classes.len() as f64 - 1.0),
-        ("list_guard.panic_threshold".into(), s.list_guard.panic_threshold),
-        ("list_guard.panic_threshold".into(), 1.0 - s.list_guard.panic_threshold),
-        ("list_guard.hold".into(), s.list_guard.confirm_after_ms),
-    ];
-    for (i, c) in s.classes.iter().enumerate() {
-        let of_class = [("aim", c.latency_objective_ms - 1e-3), ("points", c.priority_weight)];
-        figures.extend(of_class.map(|(name, x)| (format!("classes[{i}].{name}"), x)));
-    }
-    let quota = |(i, t): (usize, &Tenant)| (format!("tenants[{i}].quota_per_s"), t.quota_per_s);
-    figures.extend(s.tenants.iter().enumerate().map(quota));
-    match figures.into_iter().find(|(_, x)| !x.is_finite() || *x < 0.0) {
-        Some((field, _)) => {
-            Err(SettingsError { field, reason: "is missing, negative, not finite or out of range" })
-        }
-        None => Ok(()),
-    }
-}
--- a/src/replay/records.rs
+++ b/src/replay/records.rs
@@ -134,7 +134,7 @@
         let mut classes: Vec<u16> = Vec::new();
         for s in kept {
             let Ok(facts) = platform_settings::parse(s.settings.as_bytes()) else { continue };
-            if crate::check(&facts.settings).is_err() {
+            if facts.settings.validate().is_err() {
                 continue;
             }
             copies = copies.max(facts.settings.instance_count);
--- a/tests/unit/balancer/ordered_sum.rs
+++ b/tests/unit/balancer/ordered_sum.rs
@@ -43,6 +43,6 @@
         ids.dedup();
         let id = rng.u32(..1000);
         let place = ids.partition_point(|other| *other < id);
-        assert_eq!(place_from(&ids, rng.usize(..=place), id), place, "{id} in {ids:?}");
+        assert_eq!(lower_bound_from(&ids, rng.usize(..=place), id), place, "{id} in {ids:?}");
     }
 }
--- a/tests/unit/balancer/steps.rs
+++ b/tests/unit/balancer/steps.rs
@@ -47,11 +47,11 @@
         let mut fleet = Fleet { balancer, now: 1e6, next: 1, size, actions: Vec::new() };
         let entries = (0..size).map(|n| fleet.entry(n)).collect();
         fleet.steps(Event::List { kind: ListKind::Full, entries });
-        for id in fleet.balancer.subset.clone().into_iter().take(ILL as usize) {
+        for id in fleet.balancer.subset.members.clone().into_iter().take(ILL as usize) {
             fleet.balancer.eject(fleet.now, id);
         }
         fleet.house();
-        assert_eq!(fleet.balancer.roster.members.len(), size as usize);
+        assert_eq!(fleet.balancer.endpoint_set.members.len(), size as usize);
         fleet
     }
 
@@ -65,14 +65,14 @@
     /// How many records one event looks at.
     fn steps(&mut self, event: Event) -> usize {
         self.actions.clear();
-        self.balancer.backends.take_looked_at();
+        self.balancer.endpoints.take_looked_at();
         self.balancer.handle(self.now, event, &mut self.actions);
-        self.balancer.backends.take_looked_at()
+        self.balancer.endpoints.take_looked_at()
     }
 
     fn house(&mut self) -> usize {
         self.now += 50.0;
-        self.steps(Event::TimerFired { token: HOUSEKEEPING })
+        self.steps(Event::TimerFired { token: Timer::Tick.token() })
     }
 
     /// One entry that drains, and one that takes work again.
@@ -137,8 +137,8 @@
 fn only_those_cold_or_out_of_service_are_told_apart() {
     for size in [400, 4000] {
         let fleet = Fleet::new(size, 0.0);
-        let exceptions = fleet.balancer.roster.exceptions.len();
-        assert!(exceptions <= (COLD + ILL) as usize, "{exceptions} of {size}");
+        let degraded = fleet.balancer.endpoint_set.degraded.len();
+        assert!(degraded <= (COLD + ILL) as usize, "{degraded} of {size}");
     }
 }
 
