--- a/src/balancer/interface/action.rs
+++ b/src/balancer/interface/action.rs
@@ -1,34 +1,34 @@
-//! What a copy decides.
+//! The actions that a balancer decides on.
 
 #[cfg(doc)]
 use super::Event;
 use super::{AttemptNo, BackendId, RequestId};
 
-/// What the copy decides, to be carried out in order.
+/// An action of the balancer, to be carried out in order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send an attempt of a request.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The backend that gets it.
         backend: BackendId,
-        /// When the attempt is abandoned.
+        /// Clock time (ms) at which the attempt is abandoned.
         deadline_ms: f64,
     },
-    /// Final answer: rejected, a further try is harmless.
+    /// Final answer: the request is rejected, a further try by the client is harmless.
     Reject {
         /// The request.
         request: RequestId,
-        /// How long the client should stay away; 0 is no advice.
+        /// Time (ms) after which the client may try again; 0 gives it none.
         retry_after_ms: f64,
     },
-    /// Final answer: failed, nothing is promised.
+    /// Final answer: the request failed, and a further try may run it twice.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Abandon one attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         request: RequestId,
@@ -37,9 +37,9 @@
     },
     /// Ask for an [`Event::TimerFired`].
     SetTimer {
-        /// Time from now.
+        /// Time (ms) from now.
         delay_ms: f64,
-        /// Comes back with the event.
+        /// Passed back with the event.
         token: u64,
     },
     /// Close idle connections to a backend.
@@ -49,15 +49,15 @@
     },
     /// Subscribe to the list of backends, or end the subscription.
     Watch {
-        /// On or off.
+        /// True to subscribe.
         on: bool,
     },
-    /// The list has told, or calls have proved, that a backend takes nothing new: nothing goes to it any
-    /// more.
+    /// Send nothing more to a backend: the list has it draining or removed, or its own calls confirmed its
+    /// removal.
     Withdraw {
         /// The backend.
         backend: BackendId,
     },
-    /// Ask for the whole list, which may confirm what a suspicious one told.
+    /// Ask for the full list, which may confirm the removals of a suspicious one.
     Resync,
 }
--- a/src/balancer/interface/attempt.rs
+++ b/src/balancer/interface/attempt.rs
@@ -1,19 +1,19 @@
-//! A request as it arrives, and its attempts as they end.
+//! A request as it arrives, and the outcomes of its attempts.
 
 #[cfg(doc)]
 use super::Event;
 use super::{AttemptNo, BackendId, RequestId};
 
-/// How an attempt or a probe ended.
+/// The outcome of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// Served.
     Ok,
     /// The backend answered with an error; the request may have run.
     Error,
-    /// The backend found fault with the request itself, as any other would.
+    /// The backend rejected the request as malformed, as any other would.
     Malformed,
-    /// Turned away unseen; never ran.
+    /// Rejected by the backend unprocessed; never ran.
     Rejected,
     /// No answer in time; may have run.
     Timeout,
@@ -21,7 +21,7 @@
     ConnectFailed,
     /// The connection broke; may have run.
     Reset,
-    /// Withdrawn; may have run.
+    /// Cancelled; may have run.
     Cancelled,
     /// Never sent.
     NotSent,
@@ -39,20 +39,20 @@
 pub struct Arrival {
     /// The request.
     pub request: RequestId,
-    /// What it is about; requests with one key belong together. 0 is none.
+    /// Key of the object that it concerns; requests of an ordered class run in order by key. 0 is none.
     pub key: u64,
-    /// Its class.
+    /// Index of its class.
     pub class: u16,
-    /// Its tenant; 0 where there are none.
+    /// Index of its tenant; 0 where there are none.
     pub tenant: u16,
-    /// When its client gives up.
+    /// Clock time (ms) at which its client gives up.
     pub deadline_ms: f64,
-    /// Its body still comes and flows through the attempt that is out; [`Event::BodyComplete`] tells of its
-    /// last byte.
+    /// Its body is still arriving and is forwarded to the attempt in flight; [`Event::BodyComplete`] follows
+    /// its last byte.
     pub body_pending: bool,
 }
 
-/// How an attempt ended.
+/// An attempt that ended.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Resolved {
     /// The request.
@@ -61,12 +61,12 @@
     pub attempt: AttemptNo,
     /// Its backend.
     pub backend: BackendId,
-    /// How it ended.
+    /// Its outcome.
     pub outcome: Outcome,
-    /// Time since it was sent.
+    /// Time (ms) since it was sent.
     pub latency_ms: f64,
-    /// The request is over; nothing more is owed.
+    /// The request is over; no further answer is due.
     pub request_ended: bool,
-    /// Part of its body is gone: it cannot be sent again.
+    /// Part of its body was consumed: it cannot be sent again.
     pub body_consumed: bool,
 }
--- a/src/balancer/interface/census.rs
+++ b/src/balancer/interface/census.rs
@@ -1,32 +1,32 @@
-//! What operators are told of the backends.
+//! Figures about the backends for operators.
 
 #[cfg(doc)]
 use super::ListGuard;
 
-/// What a backend gets of this copy's calls, and why it is less than its weight says.
+/// The share that a backend gets of this instance's calls, and why it is less than its weight says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TrafficShare {
-    /// Its part.
+    /// Its full share.
     Full,
-    /// Out of service for its errors, its slowness or its silence.
+    /// Ejected for errors, slowness or a hang.
     Ejected,
-    /// It started a short while ago.
+    /// Its process started a short while ago.
     WarmingUp,
-    /// It finishes its work.
+    /// It finishes its work and gets none.
     Draining,
-    /// Not in this copy's subset.
+    /// Not in this instance's subset.
     OutsideSubset,
-    /// It fails calls or is surely slower than the others.
+    /// It fails calls or is significantly slower than the others.
     Slow,
 }
 
-/// The backends in the list, for operators.
+/// Numbers of backends.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Census {
-    /// Those that take work or drain.
+    /// Listed: those that take work or drain.
     pub listed: usize,
-    /// Those of them that get no ordinary work now: out of service or draining.
+    /// Those of them that get no ordinary work now: ejected or draining.
     pub excluded: usize,
-    /// Those that stay in service though the list has lost them ([`ListGuard`]).
+    /// Those that stay in service though the list lacks them ([`ListGuard`]).
     pub unlisted: usize,
 }
--- a/src/balancer/interface/list.rs
+++ b/src/balancer/interface/list.rs
@@ -8,13 +8,13 @@
     /// Takes work.
     #[default]
     Ready,
-    /// Finishes its work; to be sent nothing new.
+    /// Finishes its work and takes nothing new.
     Draining,
     /// Removed.
     Gone,
 }
 
-/// One backend, as the list tells it.
+/// A backend's entry in the list.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Entry {
     /// The backend.
@@ -23,22 +23,22 @@
     pub phase: Phase,
     /// Its zone.
     pub zone: u16,
-    /// When its process last started; 0 is long ago.
+    /// Clock time (ms) at which its process started; 0 is long ago.
     pub started_at_ms: f64,
-    /// Its size beside the others'.
+    /// Its size in relation to the others; 1 is ordinary.
     pub weight: f64,
     /// Its cell.
     pub cell: u16,
 }
 
-/// How a list event relates to what the copy holds.
+/// How a list event relates to the list so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListKind {
-    /// The whole list; what it lacks is gone.
+    /// The full list; backends that it lacks are gone.
     Full,
     /// Changed entries only.
     Delta,
-    /// The whole list as last held; may be old.
+    /// The full list as last stored; may be old.
     Cached,
     /// A call failed or a subscription broke; no entries.
     Failed,
--- a/src/balancer/interface/mod.rs
+++ b/src/balancer/interface/mod.rs
@@ -1,4 +1,4 @@
-//! The decision module's interface: settings, events in, actions out. No logic lives here.
+//! The decision module's interface: settings, events in, actions out. It decides nothing.
 //!
 //! Times and durations are milliseconds as `f64`; the clock is whatever the embedding proxy passes
 //! to [`Balancer::handle`](crate::Balancer::handle), starts anywhere and only goes forward.
@@ -20,9 +20,9 @@
 pub use settings::{Caps, Class, DedupScope, Goal, Idempotency, ListGuard, Rules, Settings, Tenant};
 pub use settings_error::SettingsError;
 
-/// Identifies a client request at one copy; never reused.
+/// Identifies a client request at one instance; never reused.
 pub type RequestId = u64;
-/// Identifies a backend; the same at every copy and across restarts of its process.
+/// Identifies a backend; the same at every instance and across restarts of its process.
 pub type BackendId = u32;
 /// Number of an attempt within its request, counted from 0 in the order of sends.
 pub type AttemptNo = u8;
--- a/src/balancer/interface/settings.rs
+++ b/src/balancer/interface/settings.rs
@@ -1,59 +1,66 @@
-//! What a copy is told once, at its start: the site, its classes and its rules.
+//! The settings of an instance, given once at its start.
+//!
+//! `Settings::default()` is all zeros and empty lists, which [`Balancer::new`](crate::Balancer::new) rejects:
+//! at least one instance and one class are required. "Default" below is what a proxy's settings get where the
+//! platform's JSON leaves the key out; settings without one are required there.
 
 #[cfg(doc)]
 use super::Action;
 
-/// What a copy is told once, at its start.
+/// The settings of an instance.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Settings {
-    /// This copy's number among [`instance_count`](Self::instance_count), from 0.
+    /// Index of this instance among [`instance_count`](Self::instance_count), from 0.
     pub instance_index: u32,
-    /// How many copies send to this tier.
+    /// Number of instances that send to this tier; 1 or more.
     pub instance_count: u32,
-    /// Place of the tier that this copy sends to; 0 is the one that clients reach.
+    /// Index of the tier that this instance sends to; 0 is the one that clients reach.
     pub tier: u32,
-    /// Zone of this copy.
+    /// Index of this instance's zone.
     pub zone: u16,
-    /// Shortest time between two rounds of events.
+    /// Shortest time (ms) between two rounds of events.
     pub tick_ms: f64,
     /// Whether the list of backends must be asked for ([`Action::Watch`]) rather than being pushed.
     pub must_subscribe: bool,
-    /// What a request beyond its tenant's quota is worth, as a share of its class's worth.
+    /// Priority of a request over its tenant's quota, as a share of its class's priority.
     pub over_quota_weight: f64,
-    /// Request classes; a request names its place in this list.
+    /// Request classes; a request names its index in this list. One or more.
     pub classes: Vec<Class>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// What the site allows.
     pub caps: Caps,
-    /// Figures of the four rules.
+    /// Figures of the rules that an instance must keep.
     pub rules: Rules,
     /// How the operators weigh and price results.
     pub goal: Goal,
-    /// When a list is too bad to be believed at once.
+    /// When the removals of a list are not believed at once.
     pub list_guard: ListGuard,
 }
 
-/// Protects a copy from a list service that has lost its state: what a suspicious list lacks stays in service
-/// until the list has stood for a while or the backend's own calls prove it right.
+/// Protects an instance from a list service that has lost its state: backends that a suspicious list lacks
+/// stay in service until lists have lacked them for a while or their own calls confirm the removal.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ListGuard {
-    /// News that leaves this share of the backends in service, or less, is suspicious; 0 believes all news.
+    /// An update that leaves this share of the backends in service, or less, is suspicious: 0 to 1. Default:
+    /// 0, which believes every update; a proxy with its own configuration has 0.1.
     pub panic_threshold: f64,
-    /// The removals of suspicious news are believed if a whole list still lacks the backends after this time.
+    /// Time (ms) for which a full list must lack the backends before their removal is believed. Default: 0; a
+    /// proxy with its own configuration has 30 000.
     pub confirm_after_ms: f64,
 }
 
 /// A class of requests.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Class {
-    /// An answer within this time earns the full worth.
+    /// An answer within this time (ms) has its full value; over 0.001.
     pub latency_objective_ms: f64,
-    /// Worth of a request.
+    /// Value of a request, in relation to the other classes.
     pub priority_weight: f64,
     /// Whether and where a request may run again.
     pub idempotency: Idempotency,
-    /// Requests with one key run one at a time, in the order they came; all such classes share their keys.
+    /// Requests with one key run one at a time, in the order of arrival; all such classes share their keys.
+    /// Default: false.
     pub in_order: bool,
 }
 
@@ -67,7 +74,7 @@
     Keyed {
         /// Which backends drop each other's repeats.
         scope: DedupScope,
-        /// For how long they do.
+        /// For how long (ms) they do.
         dedup_window_ms: f64,
     },
     /// Must never run twice.
@@ -75,7 +82,7 @@
     NonIdempotent,
 }
 
-/// The backends that drop repeats of a request which one of them has seen.
+/// The backends that drop repeats of a request which one of them has received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DedupScope {
     /// All backends.
@@ -89,45 +96,47 @@
 /// A tenant.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Tenant {
-    /// Requests a second, over all copies, within its share.
+    /// Requests per second, over all instances, that have their class's full priority.
     pub quota_per_s: f64,
 }
 
 /// What the site allows.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Caps {
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancelling: bool,
-    /// Clients are told when to come back.
+    /// Whether clients get a Retry-After with a rejection.
     pub retry_after: bool,
-    /// Longest such advice that a client heeds.
+    /// Longest Retry-After (ms) that a client heeds.
     pub max_retry_after_ms: f64,
     /// Most attempts for one request.
     pub max_attempts: u32,
 }
 
-/// Figures of the four rules.
+/// Figures of the rules that an instance must keep.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Rules {
-    /// Share of its capacity at which a backend starts, at least.
+    /// Share of its full capacity that a backend has at its start, at least.
     pub initial_capacity: f64,
-    /// Time after which it is warm, at most.
+    /// Time (ms) after its start by which a backend has its full capacity.
     pub warm_up_ms: f64,
-    /// Sent more than this multiple of its present capacity, a cold backend falls over.
+    /// Multiple of its present capacity over which a cold backend fails.
     pub overload_multiple: f64,
-    /// Where the list must be asked for: silence longer than this counts as knowledge.
+    /// Longest time (ms) without asking for the list, where it must be asked for: a change counts as known
+    /// after it. Default: 0.
     pub max_silence_ms: f64,
-    /// Idle connections to a draining backend are closed within this time; 0 where no such rule holds.
+    /// Time (ms) within which idle connections to a draining backend are closed. Default: 0, no such rule.
     pub idle_close_within_ms: f64,
-    /// A key of an ordered class rests so long after an attempt that may still be running.
+    /// Time (ms) for which a key of an ordered class is blocked after an attempt that may still be running.
+    /// Default: 0.
     pub key_settle_ms: f64,
 }
 
 /// How the operators weigh and price results.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Goal {
-    /// Weight of the worst-served class.
+    /// Weight of the worst-served class, as a share of the goal. Default: 0.
     pub worst_class_weight: f64,
-    /// Price of attempts that cross zones.
+    /// Price of attempts that cross zones. Default: 0.
     pub cross_zone_price: f64,
 }
--- a/src/balancer/interface/settings_error.rs
+++ b/src/balancer/interface/settings_error.rs
@@ -1,8 +1,8 @@
-//! Why settings were turned down.
+//! Why settings were rejected.
 
 use std::fmt;
 
-/// Why settings were turned down.
+/// Why settings were rejected.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SettingsError {
     /// The setting, as a path such as `classes[1].aim`.
--- a/src/balancer/ordered_sum.rs
+++ b/src/balancer/ordered_sum.rs
@@ -1,9 +1,12 @@
-//! Arithmetic over long ordered rows in few steps.
+//! Exact sums and searches over long sorted rows, at the cost of the entries that differ and not of the row.
+//!
+//! The sums are rounded as if all entries were added one by one, so that which entries are stored one by one
+//! changes no decision.
 
 use crate::interface::BackendId;
 
-/// Where an id is, or would be, among sorted ones, not before `from`; quick if it is near.
-pub fn lower_bound_from(ids: &[BackendId], mut from: usize, id: BackendId) -> usize {
+/// Index of the first id that is not less than `id`, at `from` or later; quick if it is near `from`.
+pub(super) fn lower_bound_from(ids: &[BackendId], mut from: usize, id: BackendId) -> usize {
     let mut step = 1;
     while ids.get(from + step).is_some_and(|other| *other < id) {
         from += step;
@@ -13,27 +16,27 @@
     from + ids[from..end].partition_point(|other| *other < id)
 }
 
-/// A sum over a row of which all but the added are 1, rounded as if all were added one by one: it is the same
-/// whichever of them are told apart.
+/// A sum over a row of ones, except for the entries that are added one by one.
 #[derive(Default, Clone, Copy)]
-pub struct OrderedSum {
+pub(super) struct OrderedSum {
     sum: f64,
     next: usize,
 }
 
 impl OrderedSum {
-    /// Adds the value at a place, which lies behind those added before; what lies between counts 1 each.
-    pub fn add(&mut self, rank: usize, value: f64) {
+    /// Adds the entry of that rank, which is higher than the ranks added before; entries between them are 1.
+    pub(super) fn add(&mut self, rank: usize, value: f64) {
         self.sum = add_ones(self.sum, rank - self.next) + value;
         self.next = rank + 1;
     }
+
     /// The sum over a row of that length.
-    pub fn total(self, length: usize) -> f64 {
+    pub(super) fn total(self, length: usize) -> f64 {
         add_ones(self.sum, length - self.next)
     }
 }
 
-/// Adds 1 so many times. Up to the next power of two nothing is rounded, and all steps are one.
+/// Adds 1 `ones` times. Up to the next power of two no addition is rounded, and they are done in one step.
 fn add_ones(mut sum: f64, mut ones: usize) -> f64 {
     const EXACT: f64 = (1_u64 << 52) as f64;
     while ones > 0 && sum + 1.0 != sum {
--- a/tests/unit/balancer/ordered_sum.rs
+++ b/tests/unit/balancer/ordered_sum.rs
@@ -1,4 +1,4 @@
-//! Sums and places in few steps are those of the plain way, bit for bit.
+//! Sums and searches give the results of the plain loops, bit for bit.
 
 use super::*;
 
