--- a/benches/scale/run/standing.rs
+++ b/benches/scale/run/standing.rs
@@ -1,11 +1,11 @@
 //! What the reports of hollow proxies say of their backends: the decision module's own answer for an idle proxy. One
 //! module stands for all hollow proxies of a service in a worker, since a module for each would be their data path.
 
-use load_balancer::client::list::{Health, Host};
-use load_balancer::client::route_table::Tally;
+use load_balancer::client::list::{EndpointEntry, Health};
+use load_balancer::client::route_table::CallCounts;
 use load_balancer::interface::{BackendId, Entry, Event, ListKind, Phase, TrafficShare};
 use load_balancer::platform_settings::PlatformSettings;
-use load_balancer::route_table::{LeftOut, MAX_REPORTED};
+use load_balancer::route_table::{ExclusionReason, MAX_REPORTED};
 use load_balancer::{Balancer, backend_id};
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -14,9 +14,9 @@
 #[derive(Default)]
 pub struct Picture {
     /// Those that can get calls, with none.
-    pub calls: BTreeMap<String, Tally>,
+    pub calls: BTreeMap<String, CallCounts>,
     /// The first that get less, and why: no report has more.
-    pub left_out: BTreeMap<String, LeftOut>,
+    pub left_out: BTreeMap<String, ExclusionReason>,
 }
 
 /// The module, the newest list that any of the proxies has heard of, and what follows from it.
@@ -37,7 +37,7 @@
     }
 
     /// A list, or changes to it, unless another proxy has brought it already.
-    pub fn take(&mut self, kind: ListKind, version: u64, hosts: &[Host], now: f64) {
+    pub fn take(&mut self, kind: ListKind, version: u64, hosts: &[EndpointEntry], now: f64) {
         if version <= self.version {
             return;
         }
@@ -48,16 +48,16 @@
         self.names.retain(|id, _| balancer.knows(*id));
     }
 
-    fn entry(&mut self, host: &Host) -> Entry {
-        let backend = backend_id(&host.host);
-        self.names.insert(backend, host.host.clone());
+    fn entry(&mut self, host: &EndpointEntry) -> Entry {
+        let backend = backend_id(&host.name);
+        self.names.insert(backend, host.name.clone());
         let phase = match host.health {
             Health::Serving => Phase::Ready,
             Health::Draining => Phase::Draining,
             Health::Deleted => Phase::Gone,
         };
-        let zone = self.zones.iter().position(|zone| *zone == host.site).unwrap_or_default() as u16;
-        let (started_at, weight, cell) = (host.born_ms, host.share, host.block);
+        let zone = self.zones.iter().position(|zone| *zone == host.zone).unwrap_or_default() as u16;
+        let (started_at, weight, cell) = (host.started_ms, host.weight, host.cell);
         Entry { backend, phase, zone, started_at_ms: started_at, weight, cell }
     }
 
@@ -70,9 +70,11 @@
         for (id, standing) in self.balancer.standings(now) {
             let Some(name) = self.names.get(&id) else { continue };
             match why(standing) {
-                Some(LeftOut::Subset) => drop(picture.left_out.insert(name.clone(), LeftOut::Subset)),
+                Some(ExclusionReason::Subset) => {
+                    picture.left_out.insert(name.clone(), ExclusionReason::Subset);
+                }
                 other => {
-                    picture.calls.insert(name.clone(), Tally::default());
+                    picture.calls.insert(name.clone(), CallCounts::default());
                     picture.left_out.extend(other.map(|why| (name.clone(), why)));
                 }
             }
@@ -84,13 +86,13 @@
     }
 }
 
-fn why(standing: TrafficShare) -> Option<LeftOut> {
+fn why(standing: TrafficShare) -> Option<ExclusionReason> {
     match standing {
         TrafficShare::Full => None,
-        TrafficShare::Ejected => Some(LeftOut::Ejected),
-        TrafficShare::WarmingUp => Some(LeftOut::Cold),
-        TrafficShare::Draining => Some(LeftOut::Draining),
-        TrafficShare::OutsideSubset => Some(LeftOut::Subset),
-        TrafficShare::Slow => Some(LeftOut::Slow),
+        TrafficShare::Ejected => Some(ExclusionReason::Ejected),
+        TrafficShare::WarmingUp => Some(ExclusionReason::Cold),
+        TrafficShare::Draining => Some(ExclusionReason::Draining),
+        TrafficShare::OutsideSubset => Some(ExclusionReason::Subset),
+        TrafficShare::Slow => Some(ExclusionReason::Slow),
     }
 }
--- a/src/bin/proxy/config/mod.rs
+++ b/src/bin/proxy/config/mod.rs
@@ -16,8 +16,8 @@
 use clap::Parser;
 use file::{Addresses, File};
 use load_balancer::catalog::ServiceName;
-use load_balancer::client::discovery::Backoff;
-use load_balancer::client::list::Page;
+use load_balancer::client::discovery::PollBackoff;
+use load_balancer::client::list::ListPage;
 use load_balancer::client::registry::MAX_REGISTRIES;
 use load_balancer::client::{membership, route_table};
 use load_balancer::interface::ListGuard;
@@ -34,8 +34,8 @@
     pub discovery: Vec<SocketAddr>,
     /// The service whose backends are called, where the registries have several services.
     pub service: Option<ServiceName>,
-    /// Backoff of calls to discovery while it cannot be reached; without it, and under the platform's protocol, a short one.
-    pub discovery_backoff: Option<Backoff>,
+    /// PollBackoff of calls to discovery while it cannot be reached; without it, and under the platform's protocol, a short one.
+    pub discovery_backoff: Option<PollBackoff>,
     /// The operators' address, if there is one.
     pub ops: Option<SocketAddr>,
     /// Seed of the module's random numbers.
@@ -45,7 +45,7 @@
     /// How much memory the process may hold, bytes.
     pub memory: usize,
     /// The list of backends that this proxy had before its start.
-    pub cached_list: Option<Page>,
+    pub cached_list: Option<ListPage>,
     /// The platform's settings.
     pub platform: PlatformSettings,
     /// Membership among the proxies of the tier, where configured.
@@ -149,13 +149,13 @@
 
 /// Checks the sections that check themselves; an error names the section.
 fn check_sections(
-    discovery_backoff: &Option<Backoff>,
+    discovery_backoff: &Option<PollBackoff>,
     membership: &Option<membership::Settings>,
     routes: &Option<route_table::Settings>,
     record: &Option<recorder::Settings>,
 ) -> Result<(), Error> {
     let invalid = |section, why| Err(Error::Value(format!("{section}.{why}")));
-    if let Some(why) = discovery_backoff.as_ref().and_then(Backoff::invalid) {
+    if let Some(why) = discovery_backoff.as_ref().and_then(PollBackoff::invalid) {
         return invalid("discovery_backoff", why);
     }
     if let Some(why) = membership.as_ref().and_then(membership::Settings::invalid) {
@@ -183,7 +183,7 @@
     }
     let own = routes.as_ref().and_then(|r| r.name.as_deref());
     let member = membership.as_ref().and_then(|m| m.name.as_deref());
-    route_table::named(own, member, listen).map_err(|why| Error::Value(format!("routes.{why}")))
+    route_table::resolve_name(own, member, listen).map_err(|why| Error::Value(format!("routes.{why}")))
 }
 
 /// Discovery's addresses, the preferred one first.
--- a/src/bin/proxy/counters.rs
+++ b/src/bin/proxy/counters.rs
@@ -3,7 +3,7 @@
 //! Each request and each attempt is counted once, where it ends: a request when its [`RequestRecord`] is dropped. Owns the
 //! counts of this process. Their JSON keys are read by operators' scripts and do not change.
 
-use load_balancer::client::route_table::Totals;
+use load_balancer::client::route_table::RequestTotals;
 use load_balancer::interface::Census;
 use serde_json::{Map, Value, json};
 use std::cell::{Cell, RefCell};
@@ -47,12 +47,12 @@
     }
 
     /// Of all classes together.
-    pub fn totals(&self) -> Totals {
+    pub fn totals(&self) -> RequestTotals {
         let ended = self.ended.borrow();
         let of = |counted_as: CountedAs| ended.iter().map(|n| n[counted_as as usize]).sum();
         let rejected = of(CountedAs::Rejected);
         let failed = of(CountedAs::Failed);
-        Totals { requests: of(CountedAs::Served) + rejected + failed, refused: rejected, failed }
+        RequestTotals { requests: of(CountedAs::Served) + rejected + failed, refused: rejected, failed }
     }
 
     /// The figures as operators read them.
--- a/src/bin/proxy/engine/list.rs
+++ b/src/bin/proxy/engine/list.rs
@@ -6,8 +6,8 @@
 use super::Engine;
 use super::state::State;
 use crate::upstream::Target;
-use load_balancer::client::discovery::Listener;
-use load_balancer::client::list::{Health, Host};
+use load_balancer::client::discovery::EndpointListener;
+use load_balancer::client::list::{EndpointEntry, Health};
 use load_balancer::interface::{BackendId, Census, Entry, Event, ListKind, Phase};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -16,23 +16,23 @@
 /// The engine as the receiver of discovery's lists.
 pub struct ListedEngine(pub Rc<Engine>);
 
-impl Listener for ListedEngine {
-    fn list(&self, kind: ListKind, version: u64, hosts: Vec<Host>) {
+impl EndpointListener for ListedEngine {
+    fn apply(&self, kind: ListKind, version: u64, hosts: Vec<EndpointEntry>) {
         self.0.apply_list(kind, version, hosts);
     }
 
-    fn list_failed(&self) {
+    fn poll_failed(&self) {
         self.0.discovery_failed();
     }
 
-    fn wants_whole_list(&self) -> bool {
+    fn take_resync_request(&self) -> bool {
         self.0.take_resync_request()
     }
 }
 
 impl Engine {
     /// A list of backends, or changes to it, and the version that it leads to.
-    pub fn apply_list(self: &Rc<Self>, kind: ListKind, version: u64, hosts: Vec<Host>) {
+    pub fn apply_list(self: &Rc<Self>, kind: ListKind, version: u64, hosts: Vec<EndpointEntry>) {
         let entries = {
             let s = &mut *self.state.borrow_mut();
             hosts.into_iter().filter_map(|host| self.list_entry(s, host)).collect()
@@ -71,8 +71,8 @@
 
     /// A backend of the list as the module knows it; `None` where its zone is unknown. A backend that takes work is
     /// reachable from here on.
-    fn list_entry(&self, s: &mut State, host: Host) -> Option<Entry> {
-        let backend = s.id_of(&host.host);
+    fn list_entry(&self, s: &mut State, host: EndpointEntry) -> Option<Entry> {
+        let backend = s.id_of(&host.name);
         s.removal_candidates.insert(backend);
         let phase = match host.health {
             Health::Serving => Phase::Ready,
@@ -84,7 +84,7 @@
                 // Wherever it is, it takes nothing new.
                 return Some(Entry { backend, phase, ..Entry::default() });
             }
-            warn!("discovery: {}: zone {:?} is unknown, passed over", host.host, host.site);
+            warn!("discovery: {}: zone {:?} is unknown, passed over", host.name, host.zone);
             return None;
         };
         if let (Some(observer), Phase::Ready | Phase::Draining) = (&self.observer, phase) {
@@ -98,19 +98,19 @@
             backend,
             phase,
             zone: zone as u16,
-            started_at_ms: host.born_ms.max(0.0),
-            weight: host.share.max(0.0),
-            cell: host.block,
+            started_at_ms: host.started_ms.max(0.0),
+            weight: host.weight.max(0.0),
+            cell: host.cell,
         })
     }
 
     /// Index of a backend's zone. Without zones every backend is in this proxy's own.
-    fn zone_of(&self, host: &Host) -> Option<usize> {
+    fn zone_of(&self, host: &EndpointEntry) -> Option<usize> {
         let zones = &self.platform.site.zones;
         if zones.is_empty() {
             return Some(usize::from(self.platform.settings.zone));
         }
-        zones.iter().position(|zone| *zone == host.site)
+        zones.iter().position(|zone| *zone == host.zone)
     }
 
     /// Where a backend that takes work is reached.
@@ -118,9 +118,9 @@
     /// Guards against a request that is sent on a connection of the backend's previous process: where its machine fell silent
     /// such a connection still looks open, and the request would end as a reset, which may have run. So another address or
     /// start time makes another target, and closes the idle connections of the old one.
-    fn update_target(&self, s: &mut State, backend: BackendId, host: &Host) {
-        let Some(address) = host.dial else { return };
-        let started_at_ms = host.born_ms;
+    fn update_target(&self, s: &mut State, backend: BackendId, host: &EndpointEntry) {
+        let Some(address) = host.address else { return };
+        let started_at_ms = host.started_ms;
         let unchanged = |target: &Rc<Target>| {
             target.address == address
                 && target.started_at_ms == started_at_ms
--- a/src/bin/proxy/engine/observe.rs
+++ b/src/bin/proxy/engine/observe.rs
@@ -6,7 +6,7 @@
 use hyper::header::HeaderValue;
 use load_balancer::interface::{Arrival, BackendId, Event, Outcome, RequestId, TrafficShare};
 use load_balancer::replay::Ending;
-use load_balancer::route_table::{LeftOut, Revision, Weights};
+use load_balancer::route_table::{ExclusionReason, Revision, Weights};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -26,14 +26,14 @@
     }
 
     /// All backends in the list, each with the reason why it gets less traffic than its weight says.
-    pub fn left_out(&self) -> Vec<(BackendId, Option<LeftOut>)> {
+    pub fn left_out(&self) -> Vec<(BackendId, Option<ExclusionReason>)> {
         let reason = |share| match share {
             TrafficShare::Full => None,
-            TrafficShare::Ejected => Some(LeftOut::Ejected),
-            TrafficShare::WarmingUp => Some(LeftOut::Cold),
-            TrafficShare::Draining => Some(LeftOut::Draining),
-            TrafficShare::OutsideSubset => Some(LeftOut::Subset),
-            TrafficShare::Slow => Some(LeftOut::Slow),
+            TrafficShare::Ejected => Some(ExclusionReason::Ejected),
+            TrafficShare::WarmingUp => Some(ExclusionReason::Cold),
+            TrafficShare::Draining => Some(ExclusionReason::Draining),
+            TrafficShare::OutsideSubset => Some(ExclusionReason::Subset),
+            TrafficShare::Slow => Some(ExclusionReason::Slow),
         };
         let state = self.state.borrow();
         state.balancer.standings(self.now_ms()).map(|(backend, share)| (backend, reason(share))).collect()
--- a/src/bin/proxy/observer.rs
+++ b/src/bin/proxy/observer.rs
@@ -4,8 +4,8 @@
 //! route table in force, the calls counted since the last report, and the recording.
 
 use crate::recorder::Recording;
-use load_balancer::client::list::Host;
-use load_balancer::client::route_table::Tally;
+use load_balancer::client::list::EndpointEntry;
+use load_balancer::client::route_table::CallCounts;
 use load_balancer::interface::{Arrival, AttemptNo, BackendId, Outcome, RequestId};
 use load_balancer::replay::{Ending, Listed};
 use load_balancer::route_table::{Revision, Weights};
@@ -18,7 +18,7 @@
 /// A backend as the list names it, and its calls.
 struct ObservedBackend {
     listed: Listed,
-    tally: Tally,
+    tally: CallCounts,
     in_flight: u32,
     /// The weight that the module has.
     applied_weight: Option<f64>,
@@ -64,12 +64,12 @@
     }
 
     /// The list names a backend.
-    pub fn backend_listed(&self, id: BackendId, host: &Host) {
+    pub fn backend_listed(&self, id: BackendId, host: &EndpointEntry) {
         let listed = Listed {
-            host: host.host.clone(),
+            host: host.name.clone(),
             class: host.class.clone(),
-            zone: host.site.clone(),
-            share: host.share.max(0.0),
+            zone: host.zone.clone(),
+            share: host.weight.max(0.0),
         };
         let mut backends = self.backends.borrow_mut();
         let backend = match backends.entry(id) {
@@ -80,7 +80,7 @@
             }
             Entry::Vacant(none) => none.insert(ObservedBackend {
                 listed,
-                tally: Tally::default(),
+                tally: CallCounts::default(),
                 in_flight: 0,
                 applied_weight: None,
             }),
@@ -208,7 +208,7 @@
     }
 
     /// The calls counted since the last time, by backend.
-    pub fn drain_tallies(&self) -> BTreeMap<String, Tally> {
+    pub fn drain_tallies(&self) -> BTreeMap<String, CallCounts> {
         let mut backends = self.backends.borrow_mut();
         backends
             .values_mut()
--- a/src/bin/proxy/route_table/proxy.rs
+++ b/src/bin/proxy/route_table/proxy.rs
@@ -3,8 +3,8 @@
 use crate::counters::Counters;
 use crate::engine::Engine;
 use crate::observer::Observer;
-use load_balancer::client::route_table::{RoutedProxy, Tally, Totals};
-use load_balancer::route_table::{LeftOut, Revision, Weights};
+use load_balancer::client::route_table::{CallCounts, RequestTotals, RoutedProxy};
+use load_balancer::route_table::{ExclusionReason, Revision, Weights};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -30,7 +30,7 @@
         self.observer.digest(&self.engine.weights_in_force())
     }
 
-    fn left_out(&self) -> BTreeMap<String, LeftOut> {
+    fn left_out(&self) -> BTreeMap<String, ExclusionReason> {
         let hosts = self.observer.hosts();
         let left_out = self.engine.left_out().into_iter();
         left_out.filter_map(|(id, reason)| Some((hosts.get(&id)?.clone(), reason?))).collect()
@@ -40,11 +40,11 @@
         self.observer.list_version()
     }
 
-    fn drain_calls(&self) -> BTreeMap<String, Tally> {
+    fn drain_calls(&self) -> BTreeMap<String, CallCounts> {
         self.observer.drain_tallies()
     }
 
-    fn totals(&self) -> Totals {
+    fn totals(&self) -> RequestTotals {
         self.counters.totals()
     }
 }
--- a/src/bin/proxy/route_table/start.rs
+++ b/src/bin/proxy/route_table/start.rs
@@ -9,7 +9,7 @@
 use crate::observer::Observer;
 use crate::recorder::Recording;
 use load_balancer::client::membership::Membership;
-use load_balancer::client::route_table::{Identity, Routes};
+use load_balancer::client::route_table::{Identity, RouteTableClient};
 use load_balancer::client::traffic::Traffic;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -38,7 +38,7 @@
     config: &Config,
     observer: &Rc<Observer>,
     parts: Parts,
-) -> (Option<Rc<Routes>>, Option<Rc<Recording>>) {
+) -> (Option<Rc<RouteTableClient>>, Option<Rc<Recording>>) {
     let site = &config.platform.site;
     let engine = parts.engine;
     let zone = site.zones.get(usize::from(config.platform.settings.zone)).cloned().unwrap_or_default();
@@ -66,9 +66,9 @@
             observer: observer.clone(),
             counters: parts.counters.clone(),
         });
-        let routes = Routes::new(settings, identity, proxy, parts.traffic.clone());
-        spawn_local(routes.clone().follow(registries));
-        spawn_local(routes.clone().report());
+        let routes = RouteTableClient::new(settings, identity, proxy, parts.traffic.clone());
+        spawn_local(routes.clone().run_watch(registries));
+        spawn_local(routes.clone().run_reports());
         routes
     });
     (routes, recording)
--- a/src/bin/proxy/startup/core_parts.rs
+++ b/src/bin/proxy/startup/core_parts.rs
@@ -57,8 +57,11 @@
         let observer = is_observed(config).then(Observer::new);
         let platform = config.platform.clone();
         let engine = Engine::new(platform, config.seed, pool.clone(), watch_wanted_sender, observer.clone())?;
-        let (version, hosts) =
-            config.cached_list.take().map(|page| (page.seq, page.entries().0)).unwrap_or_default();
+        let (version, hosts) = config
+            .cached_list
+            .take()
+            .map(|page| (page.version, page.into_entries().entries))
+            .unwrap_or_default();
         engine.apply_list(ListKind::Cached, version, hosts);
         Ok(Core {
             counters,
--- a/src/bin/proxy/startup/mod.rs
+++ b/src/bin/proxy/startup/mod.rs
@@ -22,7 +22,7 @@
 use listen::bind;
 use load_balancer::client::discovery;
 use load_balancer::client::membership::Membership;
-use load_balancer::client::route_table::Routes;
+use load_balancer::client::route_table::RouteTableClient;
 use signals::{Signals, start_reloads};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -103,7 +103,7 @@
     core: &Core,
     membership: &Option<Rc<Membership>>,
     discovery: &watch::Receiver<Vec<SocketAddr>>,
-) -> (Option<Rc<Routes>>, Option<Rc<Recording>>) {
+) -> (Option<Rc<RouteTableClient>>, Option<Rc<Recording>>) {
     let Some(observer) = &core.observer else { return (None, None) };
     let parts = route_table::Parts {
         engine: &core.engine,
@@ -119,7 +119,7 @@
     config: &Config,
     core: &Core,
     membership: &Option<Rc<Membership>>,
-    routes: &Option<Rc<Routes>>,
+    routes: &Option<Rc<RouteTableClient>>,
     recording: Option<Rc<Recording>>,
 ) -> Result<(), Error> {
     let Some(address) = config.ops else { return Ok(()) };
@@ -158,14 +158,18 @@
     let (listed, first_list) = oneshot::channel();
     let settings = config.discovery_settings(core.traffic.clone());
     let listener = ListedEngine(core.engine.clone());
-    spawn_local(discovery::follow(listener, addresses, settings, core.watch_wanted.clone(), listed));
+    spawn_local(discovery::run_watch(listener, addresses, settings, core.watch_wanted.clone(), listed));
     first_list
 }
 
 /// Waits for the first list and route table, each for a limited time: without a list the cached one is used, and without a
 /// table every weight is 1. A process without an ops address replaces no other and does not wait for a list: its
 /// `/health/ready` says when it can serve.
-async fn first_list_and_table(has_ops: bool, first_list: oneshot::Receiver<()>, routes: Option<Rc<Routes>>) {
+async fn first_list_and_table(
+    has_ops: bool,
+    first_list: oneshot::Receiver<()>,
+    routes: Option<Rc<RouteTableClient>>,
+) {
     if has_ops {
         let _ = timeout(FIRST_LIST_TIMEOUT, first_list).await;
     }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,6 +1,6 @@
 //! Limits of the library at their border and one over: what fits is whole, and what does not is refused with what to do.
 
-use load_balancer::client::membership::swim::{Dropped, Id, MAX_MEMBERS, Swim, Timing};
+use load_balancer::client::membership::swim::{DropReason, MAX_MEMBERS, MemberId, Swim, Timing};
 use load_balancer::interface::Arrival;
 use load_balancer::replay::*;
 use load_balancer::route_table::*;
@@ -24,7 +24,7 @@
 fn a_table_of_as_many_weights_as_it_may_have_is_taken_and_one_more_is_refused() {
     const { assert!(MAX_WEIGHTS > FLEET) };
     let propose = |count: usize| {
-        let mut control = Control::new(Config { judge: false, ..Config::default() }, NOW);
+        let mut control = Control::new(Config { require_verdict: false, ..Config::default() }, NOW);
         let proposal =
             Proposal { from: 0, weights: weights(count), by: "operator".into(), override_why: None };
         let taken = control.propose(NOW, proposal, &backends(MAX_WEIGHTS + 1));
@@ -34,7 +34,10 @@
     assert_eq!(taken.expect("taken").table.weights.backends.len(), MAX_WEIGHTS);
     let (refused, newest) = propose(MAX_WEIGHTS + 1);
     let refused = refused.expect_err("refused");
-    assert_eq!((&refused, refused.status(), newest), (&Refused::TooMany { count: MAX_WEIGHTS + 1 }, 413, 0));
+    assert_eq!(
+        (&refused, refused.status(), newest),
+        (&ProposalError::TooMany { count: MAX_WEIGHTS + 1 }, 413, 0)
+    );
     assert!(refused.to_string().contains("say it by class or zone"), "{refused}");
 }
 
@@ -64,17 +67,20 @@
 #[test]
 fn reports_of_as_many_proxies_as_are_kept_are_taken_and_those_of_one_more_are_refused() {
     let config = Config::default();
-    let names = config.names;
-    assert!(names > FLEET && config.counts / FLEET > 100, "the fleet has room, each with a hundred backends");
+    let names = config.max_proxies;
+    assert!(
+        names > FLEET && config.max_backend_counts / FLEET > 100,
+        "the fleet has room, each with a hundred backends"
+    );
     let mut control = Control::new(config, NOW);
-    control.list(&backends(18));
+    control.update_backends(&backends(18));
     for n in 0..names {
-        assert_eq!(control.report(NOW, report(&format!("p{n}"), 1)), Ok(()), "proxy {n}");
+        assert_eq!(control.receive_report(NOW, report(&format!("p{n}"), 1)), Ok(()), "proxy {n}");
     }
-    let refused = control.report(NOW, report("one-more", 1)).expect_err("refused");
-    assert_eq!((&refused, refused.status()), (&BadReport::Full { most: names }, 503));
+    let refused = control.receive_report(NOW, report("one-more", 1)).expect_err("refused");
+    assert_eq!((&refused, refused.status()), (&ReportError::Full { most: names }, 503));
     assert!(refused.to_string().contains("raise routes.names"), "{refused}");
-    assert_eq!(control.report(NOW + 5000, report("p0", 2)), Ok(()), "the others go on");
+    assert_eq!(control.receive_report(NOW + 5000, report("p0", 2)), Ok(()), "the others go on");
     assert_eq!(control.drift_page(NOW + 5000).revisions.values().sum::<usize>(), names);
 }
 
@@ -132,24 +138,24 @@
 #[test]
 fn a_report_of_as_many_backends_as_it_may_have_is_taken_and_one_more_is_refused() {
     let mut control = Control::new(Config::default(), NOW);
-    control.list(&backends(MAX_REPORTED));
+    control.update_backends(&backends(MAX_REPORTED));
     let with = |calls: usize, members: usize| {
         let calls: BTreeMap<String, u64> = (0..calls).map(|n| (format!("b{n}"), 1)).collect();
         let witness = |n: usize| Witness { name: format!("w{n}"), generation: 1, alive: true };
         Report { calls, members: (0..members).map(witness).collect(), ..report("p", 1) }
     };
     for (bad, what) in [(with(MAX_REPORTED + 1, 0), "calls"), (with(1, MAX_WITNESSED + 1), "members")] {
-        let refused = control.report(NOW, bad).expect_err("refused");
+        let refused = control.receive_report(NOW, bad).expect_err("refused");
         assert_eq!(refused.status(), 413);
         let text = refused.to_string();
         assert!(text.contains(what) && text.contains("send the others in the next report"), "{text}");
     }
-    assert_eq!(control.report(NOW, with(MAX_REPORTED, MAX_WITNESSED)), Ok(()));
+    assert_eq!(control.receive_report(NOW, with(MAX_REPORTED, MAX_WITNESSED)), Ok(()));
 }
 
 fn member(n: usize) -> Swim {
     let addr = SocketAddr::from(([10, 0, (n >> 8) as u8, n as u8], 7946));
-    let id = Id { addr, generation: 1, name: format!("n{n}"), zone: "z".into() };
+    let id = MemberId { addr, generation: 1, name: format!("n{n}"), zone: "z".into() };
     Swim::new(id, &Timing::default(), "tier", n as u64)
 }
 
@@ -168,10 +174,13 @@
         let from = swim.receive(&asks(n, &swim)).expect("taken in");
         assert_eq!(from.name, format!("n{n}"));
         // What follows upon it is somebody else's.
-        while swim.next_datagram().is_some() || swim.next_timer().is_some() || swim.news().is_some() {}
+        while swim.next_datagram().is_some()
+            || swim.next_timer().is_some()
+            || swim.next_notification().is_some()
+        {}
     }
     assert_eq!(swim.members().count(), MAX_MEMBERS);
-    assert_eq!(swim.receive(&asks(MAX_MEMBERS + 1, &swim)), Err(Dropped::TooMany));
+    assert_eq!(swim.receive(&asks(MAX_MEMBERS + 1, &swim)), Err(DropReason::TooManyMembers));
     assert_eq!(swim.members().count(), MAX_MEMBERS);
     for n in [1, MAX_MEMBERS] {
         assert!(swim.receive(&asks(n, &swim)).is_ok(), "who is known is heard still");
