--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -1,10 +1,20 @@
 //! Admission: whether a request is sent at once, queued or shed, and with what Retry-After.
 //!
 //! The concurrency limit is divided into slices, one for each priority level, each with a share of the limit
-//! by its priority. A request is admitted while the instance is below its limit or its slice is below the
-//! slice's part of it. Otherwise it waits in its slice's queue for a fraction of the latency objective; it is
-//! shed when the queues hold as many requests as the limit admits, or when its time in the queue is over.
-//! Shed requests are answered by [`Balancer::reject_or_fail`].
+//! by its priority. A request is admitted while the instance is below its limit, or its slice below the
+//! slice's part of it. A request that is not admitted, or for which there is no endpoint, waits in its
+//! slice's queue.
+//!
+//! A request is shed
+//! - on arrival, if the queues hold as many requests as the limit allows calls;
+//! - on arrival, if its deadline is less than two ticks away and it cannot be sent at once;
+//! - on a tick, if its time in the queue is over: an eighth of the shortest latency objective at the tier
+//!   that clients reach, a half at the tiers behind it; if it waits for an endpoint or for its
+//!   key, the objective of its class less the mean latency.
+//!
+//! A request that is shed, or whose attempts have failed, is answered by [`Balancer::reject_or_fail`]:
+//! rejected with a Retry-After between one and two eighths of its class's objective, if a further try is
+//! harmless.
 
 use super::Balancer;
 use super::priority::{SAME_PRIORITY, priorities};
--- a/src/balancer/concurrency_limit.rs
+++ b/src/balancer/concurrency_limit.rs
@@ -31,6 +31,10 @@
 pub(super) const RATE_RISE_MS: f64 = 2000.0;
 /// Time constant (ms) with which a lower rate of answers is learned.
 pub(super) const RATE_FALL_MS: f64 = 60_000.0;
+/// Multiple of the best rate from which a rate is taken over at once.
+const RATE_JUMP_FACTOR: f64 = 2.0;
+/// Lowest load that the limit grows by.
+const MIN_LOAD: f64 = 0.01;
 /// Share of the limit in flight below which there is slack, and baselines follow the mean quickly.
 const SLACK_SHARE: f64 = 0.5;
 /// Share of the difference to the mean by which a baseline moves in a window under slack.
@@ -158,7 +162,7 @@
         self.endpoint_rate = window.served / window.elapsed_ms / window.max_capacity.max(1.0);
         let learn_ms = if rate < self.best_rate { RATE_FALL_MS } else { RATE_RISE_MS };
         let smoothing = (window.elapsed_ms / learn_ms).min(1.0);
-        self.best_rate = if rate > 2.0 * self.best_rate {
+        self.best_rate = if rate > RATE_JUMP_FACTOR * self.best_rate {
             rate
         } else {
             self.best_rate + (rate - self.best_rate) * smoothing
@@ -191,7 +195,7 @@
         if factor < 1.0 {
             self.limit = (self.limit * factor.max(MIN_STEP_FACTOR)).max(1.0);
         } else if !queued && window.limit_reached && max_load < 1.0 {
-            self.limit *= (1.0 / max_load.max(0.01).sqrt()).min(MAX_STEP_FACTOR);
+            self.limit *= (1.0 / max_load.max(MIN_LOAD).sqrt()).min(MAX_STEP_FACTOR);
         }
     }
 
--- a/src/balancer/observation.rs
+++ b/src/balancer/observation.rs
@@ -8,6 +8,9 @@
 use super::outlier_detection::ERROR_SMOOTHING;
 use crate::interface::*;
 
+/// Smallest mean latency (ms) to divide by.
+const MIN_MEAN_MS: f64 = 0.001;
+
 impl Balancer {
     /// Records the outcome of an attempt that was sent at `sent_ms`.
     ///
@@ -64,7 +67,7 @@
         let class = &limit.classes[class];
         let excess_latency = (latency_ms - class.baseline_ms) / class.objective_ms;
         self.zone_spill.record(endpoint.entry.zone == self.settings.zone, excess_latency);
-        let relative_latency = (latency_ms / class.mean_ms.max(0.001)).min(MAX_RELATIVE_LATENCY);
+        let relative_latency = (latency_ms / class.mean_ms.max(MIN_MEAN_MS)).min(MAX_RELATIVE_LATENCY);
         self.outliers.record_latency(endpoint, relative_latency);
         if served {
             self.outliers.record_success(endpoint);
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -22,6 +22,8 @@
 const TRIAL_ERROR_SMOOTHING: f64 = 0.5;
 /// Weight of one outcome in the error rate of all endpoints.
 const OVERALL_ERROR_SMOOTHING: f64 = 0.02;
+/// Weight of a failed connect in an endpoint's error rate, as a multiple of another error's.
+const CONNECT_FAILURE_WEIGHT: f64 = 3.0;
 /// Error rate over which an endpoint is ejected.
 const EJECTION_ERROR_RATE: f64 = 0.35;
 /// Multiple of the error rate of all endpoints that its own must exceed: below it the fault is shared.
@@ -136,7 +138,7 @@
         if by_chance { 1.0 } else { self.ratio_to_median(endpoint) }
     }
 
-    /// Virtual time of an endpoint's fair turn. One that may be slower is delayed, the more the surer that
+    /// Virtual time of an endpoint's fair turn. One that may be slower is delayed, the more likely that
     /// is: by the time that it has made up for the delay, more answers show whether it was chance.
     pub(super) fn fair_turn(&self, endpoint: &Endpoint) -> f64 {
         let suspicion = (self.z_score(endpoint) / SLOWER_Z_SCORE).clamp(0.0, 1.0);
@@ -159,14 +161,15 @@
         endpoint.error_rate -= endpoint.error_rate * smoothing;
     }
 
-    /// Records a failed call; a connect that failed weighs three times as much.
+    /// Records a failed call; a failed connect has a higher weight.
     pub(super) fn record_error(&mut self, endpoint: &mut Endpoint, connect_failed: bool) {
-        let weight = if connect_failed { 3.0 } else { 1.0 };
+        let weight = if connect_failed { CONNECT_FAILURE_WEIGHT } else { 1.0 };
         endpoint.error_rate += (1.0 - endpoint.error_rate) * ERROR_SMOOTHING * weight;
         self.error_rate += (1.0 - self.error_rate) * OVERALL_ERROR_SMOOTHING;
     }
 
-    /// Whether an endpoint whose call failed is ejected, or ejected again after a trial.
+    /// Whether an endpoint whose call failed is ejected, or ejected again after a trial. Where most calls
+    /// fail, three times the overall error rate cannot be reached: half-way from it to 1 is enough.
     pub(super) fn has_too_many_errors(&self, endpoint: &Endpoint) -> bool {
         let shared = (EJECTION_ERROR_RATIO * self.error_rate).min((1.0 + self.error_rate) / 2.0);
         endpoint.ejected() || endpoint.error_rate > shared.max(EJECTION_ERROR_RATE)
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -13,9 +13,9 @@
 use crate::interface::*;
 use std::cmp::Ordering;
 
-/// Random draws for one selection, with those that the route table's weights turn down.
+/// Random draws for one selection, including those that the route table's weights reject.
 const MAX_DRAWS: usize = 96;
-/// Endpoints drawn by weight for one selection, with those that cannot take the attempt.
+/// Endpoints drawn by weight for one selection, including those that cannot take the attempt.
 const MAX_CANDIDATES: usize = 12;
 /// Virtual time (turns) that an endpoint without calls can fall behind, to be made up for later.
 const MAX_CREDIT: f64 = 8.0;
--- a/src/balancer/zone_spill.rs
+++ b/src/balancer/zone_spill.rs
@@ -9,8 +9,10 @@
 /// Excess latency, in latency objectives, that is accepted to save crossings at a price of 1. It is the
 /// mean's: the slowest calls grow by far more.
 const EXCESS_LATENCY_PER_PRICE: f64 = 0.25;
+/// Share of the calls per latency objective of excess latency over the price.
 const PROPORTIONAL_GAIN: f64 = 1.0;
-/// Integral gain per second: a queue delays what the controller sees, and a higher gain makes it oscillate.
+/// The same for the integral, per second: a queue delays what the controller sees, and a higher gain makes it
+/// oscillate.
 const INTEGRAL_GAIN_PER_S: f64 = 0.4;
 /// Time constant (ms) with which excess latency is forgotten: a zone without calls shows none and is tried
 /// again.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -75,7 +75,7 @@
 //!
 //! Events about requests, attempts or backends that are unknown or have ended are ignored.
 //!
-//! The one part with I/O is [`client`], the client of the control plane that a proxy may run beside its
+//! The one part with I/O is [`client`], the client of the control plane that a proxy may run with its
 //! balancer; no decision depends on it.
 
 #![forbid(unsafe_code)]
