--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! A proxy's side of the interface: delivers legal events on a clock and keeps its own record of what was
-//! sent and answered, by which the rules are checked. It models no servers: outcomes are what a test says.
+//! sent and answered, by which the rules are checked. It models no servers: a test gives the outcomes.
 #![allow(dead_code)]
 
 mod events;
@@ -11,13 +11,13 @@
 
 pub const GRACE: f64 = 20.0;
 
-pub fn class(aim: f64, points: f64, effect: Idempotency) -> Class {
-    Class { latency_objective_ms: aim, priority_weight: points, idempotency: effect, in_order: false }
+pub fn class(objective_ms: f64, priority_weight: f64, idempotency: Idempotency) -> Class {
+    Class { latency_objective_ms: objective_ms, priority_weight, idempotency, in_order: false }
 }
 
-pub fn settings(copies: u32, classes: Vec<Class>) -> Settings {
+pub fn settings(instances: u32, classes: Vec<Class>) -> Settings {
     Settings {
-        instance_count: copies,
+        instance_count: instances,
         tick_ms: 5.0,
         over_quota_weight: 0.05,
         classes,
@@ -46,53 +46,53 @@
 pub struct Sent {
     pub backend: BackendId,
     pub at: f64,
-    pub not_past: f64,
+    pub deadline: f64,
     pub outcome: Option<Outcome>,
-    /// When the outcome came.
+    /// When the outcome arrived.
     pub over: f64,
 }
 
 #[derive(Debug, Clone)]
-pub struct Asked {
+pub struct RequestRecord {
     pub key: u64,
     pub class: usize,
     pub deadline: f64,
     pub sends: Vec<Sent>,
-    /// When it ended and how: served, refused, failed or hung up.
+    /// When it ended and how: served, rejected, failed or client gone.
     pub ended: Option<(f64, &'static str)>,
 }
 
 pub struct Proxy {
     pub balancer: Balancer,
-    pub s: Settings,
+    pub settings: Settings,
     pub now: f64,
-    pub asked: BTreeMap<RequestId, Asked>,
+    pub requests: BTreeMap<RequestId, RequestRecord>,
     pub listed: HashMap<BackendId, Entry>,
     pub watches: Vec<f64>,
     /// Backends withdrawn, in order.
     pub withdrawn: Vec<BackendId>,
-    /// When the whole list was asked for anew.
-    pub relists: Vec<f64>,
+    /// When the full list was asked for.
+    pub resyncs: Vec<f64>,
     /// When idle connections were last closed.
     pub closed: HashMap<BackendId, f64>,
-    /// Attempts withdrawn and still without an outcome.
+    /// Attempts cancelled and still without an outcome.
     cancelled: Vec<(RequestId, usize)>,
     timers: Vec<(f64, u64)>,
     next: RequestId,
 }
 
 impl Proxy {
-    pub fn new(s: Settings, seed: u64, list: Vec<Entry>) -> Self {
-        let balancer = Balancer::new(s.clone(), seed).expect("settings are sound");
+    pub fn new(settings: Settings, seed: u64, list: Vec<Entry>) -> Self {
+        let balancer = Balancer::new(settings.clone(), seed).expect("the settings are valid");
         let mut p = Proxy {
             balancer,
-            s,
+            settings,
             now: 1000.0,
-            asked: BTreeMap::new(),
+            requests: BTreeMap::new(),
             listed: HashMap::new(),
             watches: Vec::new(),
             withdrawn: Vec::new(),
-            relists: Vec::new(),
+            resyncs: Vec::new(),
             closed: HashMap::new(),
             cancelled: Vec::new(),
             timers: Vec::new(),
@@ -103,8 +103,8 @@
     }
 
     pub fn list(&mut self, kind: ListKind, entries: Vec<Entry>) {
-        // Guarded, the module itself says which news of an end it believes.
-        let guarded = self.s.list_guard.panic_threshold > 0.0;
+        // With a guard, the module itself reports which removals it believes.
+        let guarded = self.settings.list_guard.panic_threshold > 0.0;
         if kind != ListKind::Delta && kind != ListKind::Failed && !guarded {
             self.listed.values_mut().for_each(|e| e.phase = Phase::Gone);
         }
@@ -112,7 +112,7 @@
             self.listed.insert(e.backend, e.clone());
         }
         let draining: Vec<_> = entries.iter().filter(|e| e.phase == Phase::Draining).cloned().collect();
-        self.tell(Event::List { kind, entries });
-        draining.iter().for_each(|e| self.check_release(e.backend));
+        self.notify(Event::List { kind, entries });
+        draining.iter().for_each(|e| self.check_idle_close(e.backend));
     }
 }
--- a/tests/decisions/lists.rs
+++ b/tests/decisions/lists.rs
@@ -1,4 +1,4 @@
-//! The list: failed calls for it, and news that is doubted.
+//! The list: failed calls for it, and removals that are suspected.
 
 use super::{fill, plain};
 use crate::common::*;
@@ -6,7 +6,7 @@
 use load_balancer::interface::*;
 use std::collections::BTreeSet;
 
-/// Calls for the list fail: asked again, later and later, and not by all copies at the same moment.
+/// Failed calls for the list are repeated with backoff, and not by all instances at the same moment.
 #[test]
 fn failed_list_calls_are_repeated_with_jitter() {
     let ask = |seed| {
@@ -32,60 +32,60 @@
     Settings { list_guard: ListGuard { panic_threshold: 0.1, confirm_after_ms: 30_000.0 }, ..plain(1) }
 }
 
-/// All that three rounds of calls go to: of the few that are out at once chance may pass one over.
+/// All backends that three rounds of calls go to; a single round may miss one by chance.
 fn reached(p: &mut Proxy) -> BTreeSet<BackendId> {
     let mut reached = BTreeSet::new();
     for _ in 0..3 {
         p.serve(2000.0, 1, 0, 5.0);
         fill(p, 0, 0, 400);
-        reached.extend(p.out().iter().map(|(_, _, s)| s.backend));
-        p.out().into_iter().for_each(|(id, n, _)| p.resolve(id, n, Outcome::Ok));
-        p.forget();
+        reached.extend(p.in_flight().iter().map(|(_, _, s)| s.backend));
+        p.in_flight().into_iter().for_each(|(id, n, _)| p.resolve(id, n, Outcome::Ok));
+        p.drop_finished();
     }
     reached
 }
 
 #[test]
-fn a_list_that_loses_nearly_all_is_believed_only_once_it_has_stood() {
-    for left in [0, 1] {
+fn removal_of_nearly_all_is_believed_only_after_the_confirmation_time() {
+    for kept in [0, 1] {
         let mut p = Proxy::new(guarded(), 1, entries(10));
         let lost = p.now;
-        p.list(ListKind::Full, entries(left));
-        assert_eq!(p.balancer.census().unlisted, 10 - left as usize);
+        p.list(ListKind::Full, entries(kept));
+        assert_eq!(p.balancer.census().unlisted, 10 - kept as usize);
         assert_eq!(reached(&mut p).len(), 10, "all stay in service");
         p.advance(lost + 29_000.0);
-        p.list(ListKind::Full, entries(left));
-        assert!(p.withdrawn.is_empty(), "it has not stood for long enough");
+        p.list(ListKind::Full, entries(kept));
+        assert!(p.withdrawn.is_empty(), "the confirmation time is not over");
         p.advance(lost + 61_000.0);
-        let asked = p.relists.clone();
-        assert!((2..=4).contains(&asked.len()), "asked for anew every half to whole hold: {asked:?}");
+        let asked = p.resyncs.clone();
+        assert!((2..=4).contains(&asked.len()), "asked for every half to one confirmation time: {asked:?}");
         assert!(asked[0] >= lost + 15_000.0 && asked[0] <= lost + 30_100.0, "{asked:?}");
-        p.list(ListKind::Full, entries(left));
-        assert_eq!(p.withdrawn.len(), 10 - left as usize);
-        assert_eq!(p.balancer.census(), Census { listed: left as usize, excluded: 0, unlisted: 0 });
+        p.list(ListKind::Full, entries(kept));
+        assert_eq!(p.withdrawn.len(), 10 - kept as usize);
+        assert_eq!(p.balancer.census(), Census { listed: kept as usize, excluded: 0, unlisted: 0 });
         p.advance(p.now + 61_000.0);
-        assert_eq!(p.relists, asked, "nothing is doubted any more");
+        assert_eq!(p.resyncs, asked, "nothing is suspected any more");
     }
 }
 
 #[test]
-fn a_list_that_comes_back_ends_the_doubt_and_takes_over_what_is_new() {
+fn a_complete_list_ends_the_suspicion_and_new_entries_are_taken_at_once() {
     let mut p = Proxy::new(guarded(), 1, entries(10));
     p.list(ListKind::Full, vec![entry(77)]);
     assert!(reached(&mut p).contains(&77), "the new one is taken at once");
     p.list(ListKind::Delta, entries(4));
     assert_eq!(p.balancer.census().unlisted, 6);
-    // No longer suspicious by itself, but those that are doubted stay so until their time is over.
+    // No longer suspicious by itself, but removals stay suspected until the confirmation time is over.
     p.list(ListKind::Full, entries(4));
     assert_eq!((p.withdrawn.clone(), p.balancer.census().unlisted), (vec![77], 6));
     p.list(ListKind::Full, entries(10));
     assert_eq!(p.balancer.census(), Census { listed: 10, excluded: 0, unlisted: 0 });
     p.advance(p.now + 61_000.0);
-    assert!(p.relists.is_empty(), "nothing is doubted any more");
+    assert!(p.resyncs.is_empty(), "nothing is suspected any more");
 }
 
 #[test]
-fn deletions_that_come_all_at_once_are_doubted_alike() {
+fn removals_in_one_delta_are_suspected_alike() {
     let mut p = Proxy::new(guarded(), 1, entries(10));
     let gone = |mut e: Entry| {
         e.phase = Phase::Gone;
@@ -94,23 +94,23 @@
     p.list(ListKind::Delta, entries(10).into_iter().map(gone).collect());
     assert_eq!(reached(&mut p).len(), 10);
     p.advance(p.now + 31_000.0);
-    assert!(!p.relists.is_empty() && p.withdrawn.is_empty(), "changes alone confirm nothing");
+    assert!(!p.resyncs.is_empty() && p.withdrawn.is_empty(), "changes alone confirm nothing");
     p.list(ListKind::Full, Vec::new());
     assert_eq!(p.withdrawn.len(), 10);
 }
 
 #[test]
-fn one_that_is_not_listed_and_cannot_be_connected_to_is_gone_at_once() {
+fn an_unlisted_backend_that_cannot_be_connected_to_is_gone_at_once() {
     let mut p = Proxy::new(guarded(), 1, entries(10));
     p.list(ListKind::Full, Vec::new());
     for _ in 0..100 {
         fill(&mut p, 0, 0, 5);
-        for (id, n, s) in p.out() {
+        for (id, n, s) in p.in_flight() {
             let dead = s.backend <= 7;
             p.resolve(id, n, if dead { Outcome::ConnectFailed } else { Outcome::Ok });
         }
         p.advance(p.now + 50.0);
-        p.forget();
+        p.drop_finished();
     }
     let withdrawn: BTreeSet<_> = p.withdrawn.iter().copied().collect();
     assert_eq!(withdrawn, (1..=7).collect(), "seven in ten are out, though so many are never ejected");
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn ordinary_news_and_all_news_without_a_guard_binds_at_once() {
+fn ordinary_removals_and_all_without_a_guard_take_effect_at_once() {
     let mut p = Proxy::new(guarded(), 1, entries(10));
     p.list(ListKind::Full, entries(2));
     assert_eq!(p.withdrawn, (3..=10).collect::<Vec<_>>(), "eight in ten may leave");
@@ -128,7 +128,7 @@
         e
     };
     p.list(ListKind::Delta, entries(2).into_iter().map(drained).collect());
-    assert_eq!(p.withdrawn.len(), 10, "a drain is an order");
+    assert_eq!(p.withdrawn.len(), 10, "draining is always believed");
     let mut p = Proxy::new(plain(1), 1, entries(10));
     p.list(ListKind::Full, Vec::new());
     assert_eq!((p.withdrawn.len(), p.balancer.census()), (10, Census::default()));
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -1,4 +1,4 @@
-//! What the module decides, by kind of trouble. Each test fails without the piece that it names.
+//! The decisions of the module, by kind of failure. Each test fails without the rule that it names.
 
 mod admission;
 mod bodies;
@@ -16,32 +16,32 @@
 use load_balancer::interface::*;
 use std::collections::BTreeMap;
 
-fn plain(copies: u32) -> Settings {
-    settings(copies, vec![class(1000.0, 1.0, Idempotency::Idempotent)])
+fn plain(instances: u32) -> Settings {
+    settings(instances, vec![class(1000.0, 1.0, Idempotency::Idempotent)])
 }
 
-/// How many calls a copy has out when more are asked than it takes.
-fn fill(p: &mut Proxy, class: usize, tenant: u16, asks: usize) -> usize {
-    (0..asks).for_each(|_| {
-        p.ask(class, tenant, 1e5);
+/// How many calls an instance has in flight when it gets more requests than it admits.
+fn fill(p: &mut Proxy, class: usize, tenant: u16, arrivals: usize) -> usize {
+    (0..arrivals).for_each(|_| {
+        p.request(class, tenant, 1e5);
     });
-    p.out().len()
+    p.in_flight().len()
 }
 
 fn sends_by_backend(p: &Proxy) -> BTreeMap<BackendId, usize> {
     let mut by = BTreeMap::new();
-    p.asked.values().flat_map(|a| &a.sends).for_each(|s| *by.entry(s.backend).or_default() += 1);
+    p.requests.values().flat_map(|a| &a.sends).for_each(|s| *by.entry(s.backend).or_default() += 1);
     by
 }
 
-/// Runs a copy at a steady rate; `answer` says for a call how it ends now, if it does.
+/// Runs an instance at a steady rate; `answer` gives the outcome of a call, if it ends now.
 fn run(p: &mut Proxy, ms: f64, answer: impl Fn(&Sent, f64) -> Option<Outcome>) -> BTreeMap<BackendId, usize> {
     let (end, mut sends) = (p.now + ms, BTreeMap::new());
     while p.now < end {
-        p.ask(0, 0, 4000.0);
+        p.request(0, 0, 4000.0);
         let at = p.now;
         p.advance(at + 5.0);
-        for (id, n, s) in p.out() {
+        for (id, n, s) in p.in_flight() {
             if s.at >= at {
                 *sends.entry(s.backend).or_default() += 1;
             }
@@ -49,11 +49,11 @@
                 p.resolve(id, n, outcome);
             }
         }
-        p.forget();
+        p.drop_finished();
     }
     sends
 }
 
-fn well(s: &Sent, now: f64) -> Option<Outcome> {
+fn healthy(s: &Sent, now: f64) -> Option<Outcome> {
     (now - s.at >= 50.0).then_some(Outcome::Ok)
 }
--- a/tests/decisions/settings.rs
+++ b/tests/decisions/settings.rs
@@ -1,11 +1,11 @@
-//! Settings that are not sound.
+//! Settings that are rejected.
 
 use super::plain;
 use load_balancer::Balancer;
 use load_balancer::interface::*;
 
 #[test]
-fn unsound_settings_name_the_field() {
+fn invalid_settings_name_the_field() {
     type Change = fn(&mut Settings);
     let cases: [(&str, Change); 6] = [
         ("copies", |s| s.instance_count = 0),
@@ -18,7 +18,7 @@
     for (field, change) in cases {
         let mut s = plain(2);
         change(&mut s);
-        let error = Balancer::new(s, 1).err().expect("turned down");
+        let error = Balancer::new(s, 1).err().expect("rejected");
         assert_eq!(error.field, field);
         assert!(error.to_string().contains(field));
     }
--- a/tests/decisions/subsets.rs
+++ b/tests/decisions/subsets.rs
@@ -1,27 +1,31 @@
-//! Which backends a copy calls, and how its calls are spread over them.
+//! Which backends an instance calls, and how its calls are spread over them.
 
 use super::{plain, sends_by_backend};
 use crate::common::*;
 use load_balancer::interface::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Copies tile the tier: every backend is in somebody's subset, and no copy meets the whole tier at low load.
+/// Every backend is in the subset of an instance, and no instance calls the full tier at low load.
 #[test]
-fn subsets_tile_the_tier() {
-    for (copies, n) in [(10, 60), (40, 100), (3, 30)] {
-        let mut met_by: BTreeMap<BackendId, usize> = BTreeMap::new();
-        for copy in 0..copies {
-            let mut p = Proxy::new(Settings { instance_index: copy, ..plain(copies) }, 1, entries(n));
+fn subsets_cover_the_tier() {
+    for (instances, n) in [(10, 60), (40, 100), (3, 30)] {
+        let mut called_by: BTreeMap<BackendId, usize> = BTreeMap::new();
+        for instance in 0..instances {
+            let mut p = Proxy::new(Settings { instance_index: instance, ..plain(instances) }, 1, entries(n));
             for _ in 0..400 {
-                let id = p.ask(0, 0, 1e5);
+                let id = p.request(0, 0, 1e5);
                 p.advance(p.now + 5.0);
                 p.resolve(id, 0, Outcome::Ok);
             }
             let mine = sends_by_backend(&p);
-            assert!(copies < 4 || mine.len() * 2 < n as usize, "copy {copy} of {copies} met {}", mine.len());
-            mine.keys().for_each(|&b| *met_by.entry(b).or_default() += 1);
+            assert!(
+                instances < 4 || mine.len() * 2 < n as usize,
+                "instance {instance} of {instances} met {}",
+                mine.len()
+            );
+            mine.keys().for_each(|&b| *called_by.entry(b).or_default() += 1);
         }
-        assert_eq!(met_by.len(), n as usize, "{copies} copies leave backends out");
+        assert_eq!(called_by.len(), n as usize, "{instances} instances miss backends");
     }
 }
 
@@ -30,11 +34,11 @@
     let met = |p: &mut Proxy, ms: f64| {
         let mut seen = BTreeSet::new();
         for _ in 0..(ms / 50.0) as usize {
-            p.ask(0, 0, 1e5);
-            seen.extend(p.out().iter().map(|s| s.2.backend));
+            p.request(0, 0, 1e5);
+            seen.extend(p.in_flight().iter().map(|s| s.2.backend));
             p.advance(p.now + 50.0);
-            p.out().into_iter().for_each(|(id, n, _)| p.resolve(id, n, Outcome::Ok));
-            p.forget();
+            p.in_flight().into_iter().for_each(|(id, n, _)| p.resolve(id, n, Outcome::Ok));
+            p.drop_finished();
         }
         seen.len()
     };
@@ -42,27 +46,27 @@
     let quiet = met(&mut p, 20_000.0);
     p.serve(6000.0, 6, 0, 200.0);
     let after = met(&mut p, 10_000.0);
-    assert!(after > 2 * quiet, "{quiet} when quiet, {after} after a rush");
+    assert!(after > 2 * quiet, "{quiet} when quiet, {after} after the peak");
     met(&mut p, 120_000.0);
     let later = met(&mut p, 20_000.0);
-    assert!(later < after, "{after} after the rush, {later} two minutes on");
+    assert!(later < after, "{after} after the peak, {later} two minutes on");
 }
 
 #[test]
-fn unlike_backends_are_loaded_by_what_they_answer() {
+fn backends_are_loaded_by_their_speed() {
     let mut p = Proxy::new(plain(1), 1, entries(10));
     let mut sends: BTreeMap<bool, usize> = BTreeMap::new();
     for _ in 0..4000 {
-        p.ask(0, 0, 1e5);
+        p.request(0, 0, 1e5);
         p.advance(p.now + 5.0);
-        for (id, n, s) in p.out() {
+        for (id, n, s) in p.in_flight() {
             let slow = s.backend <= 5;
             if p.now - s.at >= if slow { 120.0 } else { 40.0 } {
                 *sends.entry(slow).or_default() += 1;
                 p.resolve(id, n, Outcome::Ok);
             }
         }
-        p.forget();
+        p.drop_finished();
     }
     assert!(sends[&false] > 2 * sends[&true], "quick and slow halves got {sends:?}");
 }
--- a/tests/digest.rs
+++ b/tests/digest.rs
@@ -1,5 +1,5 @@
 //! The decisions of the module, bit for bit: a digest of all actions over random lives with up to some hundred backends,
-//! of which many are cold, ejected, draining or doubted. Work that is only to make the module quicker leaves it as it
+//! of which many are cold, ejected, draining or suspected to be removed. Work that is only to make the module quicker leaves it as it
 //! is; a change of the decisions themselves records a new one, and its commit says so.
 
 #[path = "digest/conditions.rs"]
@@ -42,7 +42,7 @@
 
 #[test]
 fn decisions_where_many_backends_fail_are_the_recorded_ones() {
-    assert_eq!(digest(3, |c| c.ill_share = 0.4), "42a6f666bff00596");
+    assert_eq!(digest(3, |c| c.faulty_share = 0.4), "42a6f666bff00596");
 }
 
 #[test]
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn decisions_where_the_list_is_doubted_are_the_recorded_ones() {
+fn decisions_where_removals_are_suspected_are_the_recorded_ones() {
     assert_eq!(
         digest(5, |c| (c.losses, c.settings.list_guard.panic_threshold) = (15, 0.5)),
         "06cd5d6d5d5c1add"
@@ -59,6 +59,6 @@
 }
 
 #[test]
-fn decisions_where_weights_are_uneven_are_the_recorded_ones() {
-    assert_eq!(digest(6, |c| (c.uneven, c.tables) = (true, 20)), "e2cb12887933d6bb");
+fn decisions_where_weights_differ_are_the_recorded_ones() {
+    assert_eq!(digest(6, |c| (c.weighted, c.tables) = (true, 20)), "e2cb12887933d6bb");
 }
--- a/tests/digest/news.rs
+++ b/tests/digest/changes.rs
@@ -1,4 +1,4 @@
-//! What changes around a copy: its list, the backends' starts, and the route table.
+//! What changes around an instance: its list, the backends' starts, and the route table.
 
 use super::Life;
 use load_balancer::interface::*;
@@ -36,41 +36,41 @@
             }
             entries.push(entry);
         }
-        self.tell(Event::List { kind: ListKind::Delta, entries });
+        self.notify(Event::List { kind: ListKind::Delta, entries });
     }
 
-    /// A part of the backends starts anew.
+    /// Some of the backends restart.
     pub(super) fn restart(&mut self) {
         let (now, share) = (self.now, self.rng.f64());
         let mut entries: Vec<Entry> = self.listed.values().cloned().collect();
         entries.retain(|_| self.rng.f64() < share);
         entries.iter_mut().for_each(|e| e.started_at_ms = now - 100.0 * self.rng.f64());
         self.listed.extend(entries.iter().map(|e| (e.backend, e.clone())));
-        self.tell(Event::List { kind: ListKind::Delta, entries });
+        self.notify(Event::List { kind: ListKind::Delta, entries });
     }
 
-    /// The list service answers with a part of the list, or not at all; the whole list comes later, or never.
-    pub(super) fn lose(&mut self) {
+    /// The list service answers with a part of the list, or not at all; the full list follows, or does not.
+    pub(super) fn lose_entries(&mut self) {
         if self.rng.bool() {
-            return self.tell(Event::List { kind: ListKind::Failed, entries: Vec::new() });
+            return self.notify(Event::List { kind: ListKind::Failed, entries: Vec::new() });
         }
         let share = [0.0, 0.1, 0.5, 0.95, 1.0][self.rng.usize(..5)];
         let mut entries: Vec<Entry> = self.listed.values().cloned().collect();
         entries.retain(|_| self.rng.f64() < share);
-        self.tell(Event::List { kind: ListKind::Full, entries });
+        self.notify(Event::List { kind: ListKind::Full, entries });
         if self.rng.bool() {
             let entries = self.listed.values().cloned().collect();
-            self.tell(Event::List { kind: ListKind::Full, entries });
+            self.notify(Event::List { kind: ListKind::Full, entries });
         }
     }
 
-    pub(super) fn weigh(&mut self) {
+    pub(super) fn change_route_weights(&mut self) {
         let mut weights = Vec::new();
         for &id in self.listed.keys() {
             if self.rng.f64() < 0.3 {
                 weights.push((id, [0.0, 0.5, 1.0, 1.7][self.rng.usize(..4)]));
             }
         }
-        self.tell(Event::RouteWeights { weights });
+        self.notify(Event::RouteWeights { weights });
     }
 }
--- a/tests/digest/conditions.rs
+++ b/tests/digest/conditions.rs
@@ -1,4 +1,4 @@
-//! What random lives are drawn from: the settings of a copy and how much happens around it.
+//! What random lives are drawn from: the settings of an instance and how much happens around it.
 
 use load_balancer::interface::*;
 
@@ -10,8 +10,8 @@
     pub zones: u16,
     pub arrivals: usize,
     pub cold_share: f64,
-    pub ill_share: f64,
-    pub uneven: bool,
+    pub faulty_share: f64,
+    pub weighted: bool,
     pub restarts: u32,
     pub changes: u32,
     pub losses: u32,
@@ -19,8 +19,8 @@
     pub peers: u32,
 }
 
-fn class(aim: f64, points: f64, effect: Idempotency, in_order: bool) -> Class {
-    Class { latency_objective_ms: aim, priority_weight: points, idempotency: effect, in_order }
+fn class(objective_ms: f64, priority_weight: f64, idempotency: Idempotency, in_order: bool) -> Class {
+    Class { latency_objective_ms: objective_ms, priority_weight, idempotency, in_order }
 }
 
 impl Conditions {
@@ -34,11 +34,11 @@
             class(300.0, 3.0, dedup(DedupScope::Cell, 500.0), true),
             class(300.0, 2.0, dedup(DedupScope::All, 600.0), false),
         ];
-        let copies = 1 + rng.u32(..60);
+        let instances = 1 + rng.u32(..60);
         let most = if rng.bool() { 400 } else { 20 };
         let settings = Settings {
-            instance_index: rng.u32(..copies),
-            instance_count: copies,
+            instance_index: rng.u32(..instances),
+            instance_count: instances,
             tier: rng.u32(..2),
             tick_ms: 5.0,
             over_quota_weight: 0.05,
@@ -67,8 +67,8 @@
             zones: 1 + rng.u16(..4),
             arrivals: 1 + rng.usize(..8),
             cold_share: 0.2,
-            ill_share: 0.1,
-            uneven: rng.bool(),
+            faulty_share: 0.1,
+            weighted: rng.bool(),
             restarts: 5,
             changes: 40,
             losses: 2,
--- a/tests/digest/record.rs
+++ b/tests/digest/record.rs
@@ -32,7 +32,7 @@
     format!("Census {{ listed: {listed}, excluded: {excluded}, unlisted: {unlisted} }}")
 }
 
-/// What a backend gets of the calls.
+/// The share of the calls that a backend gets.
 pub fn traffic_share(share: TrafficShare) -> &'static str {
     match share {
         TrafficShare::Full => "Full",
--- a/tests/rules/lives.rs
+++ b/tests/rules/lives.rs
@@ -1,4 +1,4 @@
-//! The four rules over random lives of a copy.
+//! The four rules over random lives of an instance.
 
 use crate::common::*;
 use load_balancer::interface::*;
@@ -13,7 +13,7 @@
     Outcome::Reset,
 ];
 
-fn all_effects() -> Vec<Class> {
+fn all_idempotencies() -> Vec<Class> {
     let dedup = |group, window| Idempotency::Keyed { scope: group, dedup_window_ms: window };
     vec![
         class(400.0, 1.0, Idempotency::Idempotent),
@@ -26,28 +26,28 @@
     ]
 }
 
-/// One random life of a copy: requests of every class, every outcome, a list that changes all the time.
+/// One random life of an instance: requests of every class, every outcome, a list that changes all the time.
 fn life(seed: u64, change: impl Fn(&mut Settings)) {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut s = settings(1 + rng.u32(..4), all_effects());
+    let mut s = settings(1 + rng.u32(..4), all_idempotencies());
     s.tier = rng.u32(..3);
     s.tenants = vec![Tenant { quota_per_s: 50.0 }, Tenant { quota_per_s: 5.0 }];
     s.goal.worst_class_weight = 0.3;
     change(&mut s);
-    let place = |rng: &mut fastrand::Rng, mut e: Entry| {
+    let with_place = |rng: &mut fastrand::Rng, mut e: Entry| {
         (e.zone, e.cell) = (rng.u16(..3), rng.u16(..4));
         e
     };
-    let start: Vec<Entry> = entries(rng.u32(1..20)).into_iter().map(|e| place(&mut rng, e)).collect();
+    let start: Vec<Entry> = entries(rng.u32(1..20)).into_iter().map(|e| with_place(&mut rng, e)).collect();
     let mut p = Proxy::new(s, seed, start);
     for _ in 0..1500 {
         match rng.u32(..100) {
             0..40 => {
                 let (class, left) = (rng.usize(..7), 1.0 + rng.f64().powi(2) * 1500.0);
-                p.ask_for(rng.u64(..12), class, rng.u16(..3), left);
+                p.request_with_key(rng.u64(..12), class, rng.u16(..3), left);
             }
             40..75 => {
-                let out = p.out();
+                let out = p.in_flight();
                 if !out.is_empty() {
                     let (id, n, _) = out[rng.usize(..out.len())].clone();
                     p.resolve(id, n, OUTCOMES[rng.usize(..OUTCOMES.len())]);
@@ -55,14 +55,14 @@
             }
             75..78 => {
                 let open: Vec<_> =
-                    p.asked.iter().filter(|(_, a)| a.ended.is_none()).map(|(&id, _)| id).collect();
+                    p.requests.iter().filter(|(_, a)| a.ended.is_none()).map(|(&id, _)| id).collect();
                 if !open.is_empty() {
-                    p.hang_up(open[rng.usize(..open.len())]);
+                    p.client_gone(open[rng.usize(..open.len())]);
                 }
             }
             78..84 => {
                 let backend = rng.u32(1..25);
-                let mut e = place(&mut rng, entry(backend));
+                let mut e = with_place(&mut rng, entry(backend));
                 if let Some(known) = p.listed.get(&e.backend) {
                     (e.zone, e.cell) = (known.zone, known.cell);
                 }
@@ -79,9 +79,9 @@
             }
             85..86 => p.list(ListKind::Failed, vec![]),
             86..88 => {
-                // Events about what was never there are passed over.
-                p.tell(Event::ClientGone { request: 1 << 50 });
-                p.tell(Event::TimerFired { token: 999 });
+                // Events about unknown requests and timers are ignored.
+                p.notify(Event::ClientGone { request: 1 << 50 });
+                p.notify(Event::TimerFired { token: 999 });
                 let (request, outcome) = (1 << 50, Outcome::Ok);
                 let stray = Resolved {
                     request,
@@ -92,7 +92,7 @@
                     request_ended: true,
                     body_consumed: false,
                 };
-                p.tell(Event::Resolved(stray));
+                p.notify(Event::Resolved(stray));
             }
             _ => {
                 let to = p.now + rng.f64() * 60.0;
@@ -101,10 +101,10 @@
         }
     }
     p.advance(p.now + 5000.0);
-    let open = p.asked.values().filter(|a| a.ended.is_none()).count();
+    let open = p.requests.values().filter(|a| a.ended.is_none()).count();
     assert_eq!(open, 0, "seed {seed}: requests without a final answer");
     assert!(
-        p.asked.values().any(|a| a.ended.is_some_and(|e| e.1 == "served")),
+        p.requests.values().any(|a| a.ended.is_some_and(|e| e.1 == "served")),
         "seed {seed}: nothing served"
     );
 }
@@ -124,29 +124,28 @@
     (200..230).for_each(|seed| life(seed, |s| s.must_subscribe = true));
 }
 
-/// Guards against a copy whose hash order or clock leaks into its decisions.
+/// Guards against decisions that depend on hash order or a clock.
 #[test]
 fn same_events_give_same_actions() {
     let run = || {
-        let mut p = Proxy::new(settings(2, all_effects()), 7, entries(12));
+        let mut p = Proxy::new(settings(2, all_idempotencies()), 7, entries(12));
         p.serve(3000.0, 2, 0, 80.0);
         for _ in 0..200 {
-            p.ask(1, 0, 900.0);
+            p.request(1, 0, 900.0);
         }
         p.advance(p.now + 2000.0);
-        format!("{:?}", p.asked)
+        format!("{:?}", p.requests)
     };
     assert_eq!(run(), run());
 }
 
-/// A client's last try can have less time left than housekeeping takes to come round (seen on the bench as
-/// a lost request): it is answered at once.
+/// A request can have less time left than the next tick takes: it is answered at once.
 #[test]
-fn a_try_with_hardly_any_time_left_is_answered_in_time() {
-    let mut p = Proxy::new(settings(1, all_effects()), 1, vec![]);
+fn a_request_with_hardly_any_time_left_is_answered_in_time() {
+    let mut p = Proxy::new(settings(1, all_idempotencies()), 1, vec![]);
     for left in [0.5, 5.0, 30.0, 60.0, 99.0, 101.0, 150.0] {
-        p.ask(1, 0, left);
+        p.request(1, 0, left);
     }
     p.advance(p.now + 1000.0);
-    assert!(p.asked.values().all(|a| a.ended.is_some_and(|e| e.1 == "refused")));
+    assert!(p.requests.values().all(|a| a.ended.is_some_and(|e| e.1 == "rejected")));
 }
--- a/tests/rules_apart.rs
+++ b/tests/rules_apart.rs
@@ -23,7 +23,7 @@
 fn apart(rng: &mut fastrand::Rng) -> Settings {
     let window = if rng.bool() { 0.0 } else { one_of(rng, &TIMES) };
     let group = one_of(rng, &[DedupScope::All, DedupScope::Zone, DedupScope::Cell]);
-    let effect = one_of(
+    let idempotency = one_of(
         rng,
         &[
             Idempotency::Idempotent,
@@ -31,8 +31,8 @@
             Idempotency::Keyed { scope: group, dedup_window_ms: window },
         ],
     );
-    let points = one_of(rng, &[0.0, 1.0, 1e6]);
-    let class = Class { in_order: rng.bool(), ..class(one_of(rng, &TIMES), points, effect) };
+    let priority_weight = one_of(rng, &[0.0, 1.0, 1e6]);
+    let class = Class { in_order: rng.bool(), ..class(one_of(rng, &TIMES), priority_weight, idempotency) };
     let mut s = settings(1 + rng.u32(..30), vec![class]);
     s.tick_ms = one_of(rng, &[1.0, 5.0, 200.0]);
     s.caps.max_attempts = 1 + rng.u32(..3);
@@ -58,15 +58,21 @@
     }
 }
 
-/// A refusal says that a further try is harmless: not of what may have run and whose repeats are dropped no more.
-fn check_refusals(p: &Proxy) {
-    let refused = p.asked.values().filter_map(|a| a.ended.filter(|e| e.1 == "refused").map(|e| (a, e.0)));
-    for (a, at) in refused {
+/// A rejection promises that a further try is harmless: none for what may have run and whose repeats are not dropped
+/// any more.
+fn check_rejections(p: &Proxy) {
+    let rejected =
+        p.requests.values().filter_map(|a| a.ended.filter(|e| e.1 == "rejected").map(|e| (a, e.0)));
+    for (a, at) in rejected {
         let ran = a.sends.iter().find(|s| s.outcome.is_none_or(|o| !o.never_ran()));
         if let (Some(ran), Idempotency::Keyed { dedup_window_ms: window, .. }) =
-            (ran, p.s.classes[a.class].idempotency)
+            (ran, p.settings.classes[a.class].idempotency)
         {
-            assert!(at < ran.at + window, "refused {} ms after its first send, window {window}", at - ran.at);
+            assert!(
+                at < ran.at + window,
+                "rejected {} ms after its first send, window {window}",
+                at - ran.at
+            );
         }
     }
 }
@@ -80,20 +86,20 @@
         match rng.u32(..100) {
             0..40 => {
                 let left = if rng.u32(..8) == 0 { 0.0 } else { one_of(&mut rng, &TIMES) };
-                p.ask_for(rng.u64(..3), 0, 0, left);
+                p.request_with_key(rng.u64(..3), 0, 0, left);
             }
             40..65 => {
-                let out = p.out();
+                let out = p.in_flight();
                 if !out.is_empty() {
                     let (id, n, _) = out[rng.usize(..out.len())].clone();
                     p.resolve(id, n, one_of(&mut rng, &OUTCOMES));
                 }
             }
             65..70 => {
-                let open = p.asked.iter().filter(|(_, a)| a.ended.is_none()).map(|(&id, _)| id);
+                let open = p.requests.iter().filter(|(_, a)| a.ended.is_none()).map(|(&id, _)| id);
                 let open: Vec<_> = open.collect();
                 if !open.is_empty() {
-                    p.hang_up(open[rng.usize(..open.len())]);
+                    p.client_gone(open[rng.usize(..open.len())]);
                 }
             }
             70..76 => {
@@ -109,9 +115,9 @@
         }
     }
     go(&mut p, 2500.0);
-    let open = p.asked.values().filter(|a| a.ended.is_none()).count();
+    let open = p.requests.values().filter(|a| a.ended.is_none()).count();
     assert_eq!(open, 0, "seed {seed}: requests without a final answer");
-    check_refusals(&p);
+    check_rejections(&p);
 }
 
 #[test]
@@ -124,17 +130,17 @@
     Proxy::new(settings(1, vec![class]), 1, entries(3))
 }
 
-/// Once repeats are dropped no more, a request that may have run is neither sent again nor refused: it fails.
+/// Once repeats are not dropped any more, a request that may have run is neither sent again nor rejected: it fails.
 #[test]
 fn past_the_window_what_may_have_run_fails() {
     for (window, after, end) in
         [(300.0, 200.0, None), (300.0, 300.0, Some("failed")), (0.0, 1.0, Some("failed"))]
     {
         let mut p = dedup_all(window);
-        let id = p.ask(0, 0, 2000.0);
+        let id = p.request(0, 0, 2000.0);
         p.advance(p.now + after);
         p.resolve(id, 0, Outcome::Error);
-        let a = &p.asked[&id];
+        let a = &p.requests[&id];
         assert_eq!(a.ended.map(|e| e.1), end, "window {window}, {after} ms on");
         assert_eq!(a.sends.len(), 1 + usize::from(end.is_none()), "window {window}, {after} ms on");
     }
@@ -144,13 +150,13 @@
 #[test]
 fn the_window_counts_from_the_first_send_that_may_have_run() {
     let mut p = dedup_all(300.0);
-    let id = p.ask(0, 0, 2000.0);
+    let id = p.request(0, 0, 2000.0);
     p.advance(p.now + 200.0);
     p.resolve(id, 0, Outcome::ConnectFailed);
     p.advance(p.now + 200.0);
     p.resolve(id, 1, Outcome::Error);
-    assert_eq!(p.asked[&id].sends.len(), 3, "the first never ran: 200 ms of the window are over");
+    assert_eq!(p.requests[&id].sends.len(), 3, "the first never ran: 200 ms of the window are over");
     p.advance(p.now + 200.0);
     p.resolve(id, 2, Outcome::Error);
-    assert_eq!(p.asked[&id].ended.map(|e| e.1), Some("failed"));
+    assert_eq!(p.requests[&id].ended.map(|e| e.1), Some("failed"));
 }
--- a/tests/standing.rs
+++ b/tests/standing.rs
@@ -176,14 +176,14 @@
                 let cold = |b| Entry { started_at_ms: START, ..common::entry(b) };
                 p.list(ListKind::Delta, (WARM + 1..=BACKENDS).map(cold).collect());
             }
-            p.ask(0, 0, 1e5);
+            p.request(0, 0, 1e5);
             p.advance(p.now + 50.0);
             let over = p.now - 400.0;
-            for (id, attempt, s) in p.out().into_iter().filter(|(.., s)| s.at <= over) {
+            for (id, attempt, s) in p.in_flight().into_iter().filter(|(.., s)| s.at <= over) {
                 sends[s.backend as usize].push(s.at - START);
                 p.resolve(id, attempt, Outcome::Ok);
             }
-            p.forget();
+            p.drop_finished();
         }
     }
     // Nobody was crowded before: a warm backend bears at least its even part of this rate.
--- a/tests/unit/balancer/ordered_sum.rs
+++ b/tests/unit/balancer/ordered_sum.rs
@@ -42,7 +42,7 @@
         ids.sort_unstable();
         ids.dedup();
         let id = rng.u32(..1000);
-        let place = ids.partition_point(|other| *other < id);
-        assert_eq!(lower_bound_from(&ids, rng.usize(..=place), id), place, "{id} in {ids:?}");
+        let index = ids.partition_point(|other| *other < id);
+        assert_eq!(lower_bound_from(&ids, rng.usize(..=index), id), index, "{id} in {ids:?}");
     }
 }
--- a/tests/unit/balancer/steps.rs
+++ b/tests/unit/balancer/steps.rs
@@ -4,10 +4,10 @@
 use super::*;
 
 const COLD: u32 = 20;
-const ILL: u32 = 4;
+const EJECTED: u32 = 4;
 const ROUNDS: usize = 60;
 
-/// A copy of a fleet in which each backend has one.
+/// An instance of a fleet with as many instances as backends.
 struct Fleet {
     balancer: Balancer,
     now: f64,
@@ -16,9 +16,9 @@
     actions: Vec<Action>,
 }
 
-fn settings(copies: u32, cross_zone: f64) -> Settings {
+fn settings(instances: u32, cross_zone: f64) -> Settings {
     Settings {
-        instance_count: copies,
+        instance_count: instances,
         tick_ms: 5.0,
         classes: vec![Class {
             latency_objective_ms: 300.0,
@@ -43,14 +43,14 @@
 impl Fleet {
     /// So many backends, of which as many as in any other fleet are cold or out of service.
     fn new(size: u32, cross_zone: f64) -> Self {
-        let balancer = Balancer::new(settings(size, cross_zone), 1).expect("sound settings");
+        let balancer = Balancer::new(settings(size, cross_zone), 1).expect("valid settings");
         let mut fleet = Fleet { balancer, now: 1e6, next: 1, size, actions: Vec::new() };
         let entries = (0..size).map(|n| fleet.entry(n)).collect();
         fleet.steps(Event::List { kind: ListKind::Full, entries });
-        for id in fleet.balancer.subset.members.clone().into_iter().take(ILL as usize) {
+        for id in fleet.balancer.subset.members.clone().into_iter().take(EJECTED as usize) {
             fleet.balancer.eject(fleet.now, id);
         }
-        fleet.house();
+        fleet.tick();
         assert_eq!(fleet.balancer.endpoint_set.members.len(), size as usize);
         fleet
     }
@@ -70,7 +70,7 @@
         self.balancer.endpoints.take_looked_at()
     }
 
-    fn house(&mut self) -> usize {
+    fn tick(&mut self) -> usize {
         self.now += 50.0;
         self.steps(Event::TimerFired { token: Timer::Tick.token() })
     }
@@ -108,15 +108,15 @@
     /// The most that any event of a kind looks at.
     fn most(&mut self) -> [(&'static str, usize); 5] {
         let rounds = 0..ROUNDS;
-        let house = rounds.clone().map(|_| self.house()).max();
+        let tick = rounds.clone().map(|_| self.tick()).max();
         let delta = rounds.clone().map(|n| self.delta(n as u32)).max();
         let call = rounds.clone().map(|_| self.call(Outcome::Ok)).max();
         let error = rounds.clone().map(|_| self.call(Outcome::Error)).max();
         let peers = |n| Event::Peers { alive: self.size, known: self.size, rank: Some(n as u32) };
         let peers: Vec<Event> = rounds.map(peers).collect();
         let peers = peers.into_iter().map(|event| self.steps(event)).max();
-        let kinds = ["housekeeping", "a change of the list", "a call", "a call that fails", "peers"];
-        std::array::from_fn(|i| (kinds[i], [house, delta, call, error, peers][i].expect("rounds")))
+        let kinds = ["a tick", "a change of the list", "a call", "a call that fails", "peers"];
+        std::array::from_fn(|i| (kinds[i], [tick, delta, call, error, peers][i].expect("rounds")))
     }
 }
 
@@ -134,17 +134,17 @@
 }
 
 #[test]
-fn only_those_cold_or_out_of_service_are_told_apart() {
+fn only_degraded_endpoints_are_stored_one_by_one() {
     for size in [400, 4000] {
         let fleet = Fleet::new(size, 0.0);
         let degraded = fleet.balancer.endpoint_set.degraded.len();
-        assert!(degraded <= (COLD + ILL) as usize, "{degraded} of {size}");
+        assert!(degraded <= (COLD + EJECTED) as usize, "{degraded} of {size}");
     }
 }
 
-/// Guards the count itself: what goes through the whole list is seen to.
+/// Guards the count itself: an event that goes through the full list is counted so.
 #[test]
-fn a_whole_list_looks_at_every_backend() {
+fn a_full_list_looks_at_every_backend() {
     let mut fleet = Fleet::new(400, 0.0);
     let entries = (0..400).map(|n| fleet.entry(n)).collect();
     assert!(fleet.steps(Event::List { kind: ListKind::Full, entries }) >= 400);
