--- a/src/client/membership/mod.rs
+++ b/src/client/membership/mod.rs
@@ -1,37 +1,35 @@
-//! Membership among the proxies of a tier: the UDP socket, the timers, and the view that the rest of the program
-//! uses. The protocol is in `swim`; what the count of members changes is the module's to decide.
+//! Membership among the proxies of a tier: which of them are alive, found by gossip over UDP.
+//!
+//! [`Membership`] owns the socket, the seeds and the counts of datagrams; the protocol, without sockets or clock, is
+//! in [`swim`]. Three tasks act: one receives datagrams, one announces this process to seeds, and where registries are
+//! configured one registers it there. The rest of the program reads the count of members; what follows from a change
+//! of it is the decision module's to decide.
 
-mod listing;
-mod seek;
+mod datagrams;
+mod operator_page;
+mod registration;
+mod seeding;
 mod settings;
 pub mod swim;
-mod view;
-mod witness;
+mod witnesses;
 
 pub use settings::Settings;
 
-use crate::client::traffic::{self, TrafficKind};
-use foca::OwnedNotification;
+use crate::client::traffic::Traffic;
+use operator_page::DatagramCounts;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use swim::{DropReason, MemberCount, MemberId, Swim};
+use std::time::{SystemTime, UNIX_EPOCH};
+use swim::{MemberCount, MemberId, Swim};
 use tokio::net::UdpSocket;
 use tokio::sync::{Notify, watch};
 use tokio::task::spawn_local;
-use tokio::time::{Instant, sleep};
-use tracing::{info, warn};
-use view::{Traffic, told};
+use tokio::time::Instant;
+use tracing::info;
 
-/// Datagrams that are read in a row. A flood gets no more of the one thread than this between two rests.
-const BATCH: usize = 256;
-const REST: Duration = Duration::from_millis(1);
-/// Pause when nothing can be received.
-const STARVED: Duration = Duration::from_millis(10);
-
-/// Why this process cannot take part.
+/// The UDP address cannot be used, so that this process cannot take part.
 #[derive(Debug, thiserror::Error)]
 #[error("membership: {address}: {source}; free the UDP address or set another as membership.bind")]
 pub struct Error {
@@ -39,41 +37,42 @@
     source: std::io::Error,
 }
 
-/// This process among the members.
+/// This process as a member.
 pub struct Membership {
     swim: RefCell<Swim>,
     socket: UdpSocket,
-    /// From the configuration, and behind them those that a registry lists.
+    /// The configured seeds, followed by the proxies that a registry lists.
     seeds: RefCell<Vec<SocketAddr>>,
+    /// How many of `seeds` are configured.
     configured_seeds: usize,
+    /// The registries that list the tier's proxies.
     registries: Vec<SocketAddr>,
-    /// Who is alone looks for others again at once when there is somebody new to ask.
+    /// Notified when a registry lists a new proxy and this process is alone.
     new_seeds: Notify,
+    /// When each member's last datagram came, by its address.
     last_received: RefCell<HashMap<SocketAddr, Instant>>,
-    datagram_counts: Cell<Traffic>,
-    /// Counts this client's control traffic, that of other kinds too.
-    control_traffic: traffic::Traffic,
+    datagram_counts: Cell<DatagramCounts>,
+    /// Counts this client's control traffic of all kinds.
+    control_traffic: Traffic,
     count: watch::Sender<MemberCount>,
     has_left: Cell<bool>,
 }
 
 impl Membership {
-    /// Listens, and says where. Alone until `run` has found others.
+    /// Binds the socket and logs its address. The process is alone until [`Membership::run`] has found others.
+    ///
+    /// `seed` seeds the protocol's random choices. Fails if the address in the settings cannot be bound.
     pub async fn bind(
         settings: &Settings,
         zone: &str,
         seed: u64,
-        control: traffic::Traffic,
+        control_traffic: Traffic,
     ) -> Result<Rc<Self>, Error> {
         let failed = |source| Error { address: settings.bind, source };
         let socket = UdpSocket::bind(settings.bind).await.map_err(failed)?;
         let bound = socket.local_addr().map_err(failed)?;
         info!("membership on {bound}");
-        let addr = settings.advertise.unwrap_or(bound);
-        let name = settings.name.clone().unwrap_or_else(|| addr.to_string());
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let id = MemberId { addr, generation: unix.as_micros() as u64, name, zone: zone.to_string() };
-        let swim = Swim::new(id, &settings.timing, &settings.cluster, seed);
+        let swim = Swim::new(member_id(settings, bound, zone), &settings.timing, &settings.cluster, seed);
         let count = watch::Sender::new(swim.count());
         Ok(Rc::new(Membership {
             swim: RefCell::new(swim),
@@ -84,13 +83,13 @@
             new_seeds: Notify::new(),
             last_received: RefCell::default(),
             datagram_counts: Cell::default(),
-            control_traffic: control,
+            control_traffic,
             count,
             has_left: Cell::default(),
         }))
     }
 
-    /// How many members there are, whenever that changes.
+    /// The count of members, which notifies its receivers of each change.
     pub fn count(&self) -> watch::Receiver<MemberCount> {
         self.count.subscribe()
     }
@@ -99,99 +98,29 @@
     pub async fn run(self: Rc<Self>) {
         spawn_local(self.clone().run_seeding());
         if !self.registries.is_empty() {
-            spawn_local(listing::keep(self.clone(), self.registries.clone()));
-        }
-        let mut datagram = [0; 2048];
-        loop {
-            if self.socket.readable().await.is_err() {
-                sleep(STARVED).await;
-                continue;
-            }
-            for _ in 0..BATCH {
-                let Ok(n) = self.socket.try_recv(&mut datagram) else { break };
-                self.handle_datagram(&datagram[..n]);
-            }
-            self.flush_protocol();
-            sleep(REST).await;
+            spawn_local(registration::run_registration(self.clone(), self.registries.clone()));
         }
+        self.receive_datagrams().await;
     }
 
-    /// Tells the others that this process goes.
+    /// Announces to the other members that this process leaves, and deletes its registration. Only the first call does
+    /// something.
     pub fn leave(self: &Rc<Self>) {
-        if !self.has_left.replace(true) {
-            self.swim.borrow_mut().leave();
-            self.flush_protocol();
-            if !self.registries.is_empty() {
-                spawn_local(listing::leave(self.clone(), self.registries.clone()));
-            }
+        if self.has_left.replace(true) {
+            return;
         }
-    }
-
-    fn handle_datagram(&self, datagram: &[u8]) {
-        let mut traffic = self.datagram_counts.get();
-        traffic.received += 1;
-        traffic.received_bytes += datagram.len() as u64;
-        self.control_traffic.record_received(TrafficKind::Datagram, 1, datagram.len() as u64);
-        match self.swim.borrow_mut().receive(datagram) {
-            Ok(from) => drop(self.last_received.borrow_mut().insert(from.addr, Instant::now())),
-            Err(DropReason::Malformed) => traffic.garbage += 1,
-            Err(DropReason::OtherCluster) => traffic.other_cluster += 1,
-            Err(DropReason::TooManyMembers) => {
-                if traffic.too_many_members == 0 {
-                    let most = swim::MAX_MEMBERS;
-                    warn!(
-                        "membership: {most} members are known, no more are taken in; give each tier its own cluster"
-                    );
-                }
-                traffic.too_many_members += 1;
-            }
+        self.swim.borrow_mut().leave();
+        self.flush_protocol();
+        if !self.registries.is_empty() {
+            spawn_local(registration::deregister(self.clone(), self.registries.clone()));
         }
-        self.datagram_counts.set(traffic);
     }
+}
 
-    /// Does what the protocol wants done.
-    fn flush_protocol(self: &Rc<Self>) {
-        let swim = &mut *self.swim.borrow_mut();
-        let mut traffic = self.datagram_counts.get();
-        while let Some((to, datagram)) = swim.next_datagram() {
-            // One that cannot be sent now is lost, as any may be.
-            match self.socket.try_send_to(&datagram, to) {
-                Ok(n) => {
-                    (traffic.sent, traffic.sent_bytes) = (traffic.sent + 1, traffic.sent_bytes + n as u64);
-                    self.control_traffic.record_sent(TrafficKind::Datagram, 1, n as u64);
-                }
-                Err(_) => traffic.unsent += 1,
-            }
-        }
-        self.datagram_counts.set(traffic);
-        while let Some((after, timer)) = swim.next_timer() {
-            let member = self.clone();
-            spawn_local(async move {
-                sleep(after).await;
-                member.swim.borrow_mut().handle_timer(timer);
-                member.flush_protocol();
-            });
-        }
-        let mut changed = false;
-        while let Some(news) = swim.next_notification() {
-            changed = true;
-            match news {
-                OwnedNotification::MemberUp(id) => info!("membership: {} is alive", told(&id)),
-                OwnedNotification::MemberDown(id) => {
-                    warn!("membership: {} is gone", told(&id))
-                }
-                OwnedNotification::Rejoin(id) => warn!("membership: back as {}", told(&id)),
-                OwnedNotification::Rename(old, new) => {
-                    info!("membership: {} takes the place of {}", told(&new), told(&old));
-                }
-                OwnedNotification::Active | OwnedNotification::Idle | OwnedNotification::Defunct => {}
-            }
-        }
-        if changed {
-            let known: Vec<SocketAddr> = swim.members().map(|m| m.id.addr).collect();
-            self.last_received.borrow_mut().retain(|addr, _| known.contains(addr));
-            let count = swim.count();
-            self.count.send_if_modified(|was| std::mem::replace(was, count) != count);
-        }
-    }
+/// This process's identity. Its generation is the time of its start, so that it rises with each restart.
+fn member_id(settings: &Settings, bound: SocketAddr, zone: &str) -> MemberId {
+    let addr = settings.advertise.unwrap_or(bound);
+    let name = settings.name.clone().unwrap_or_else(|| addr.to_string());
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    MemberId { addr, generation: since_epoch.as_micros() as u64, name, zone: zone.to_string() }
 }
--- /dev/null
+++ b/src/client/membership/registration.rs
@@ -0,0 +1,116 @@
+//! The tier's own registration with a registry, by which members find each other without configured seeds.
+//!
+//! Such a registry lists the tier's proxies as other registries list backends. One task registers this process,
+//! renews the registration well within its TTL, and passes the proxies that it reads to the seeding. It owns the
+//! registry in use and the backoff between failed calls.
+
+use super::Membership;
+use super::seeding::SEEDING_BACKOFF;
+use crate::client::backoff::Backoff;
+use crate::client::list::{Health, ListPage};
+use crate::client::registry::{self, Call, CallError};
+use crate::client::traffic::TrafficKind;
+use bytes::Bytes;
+use hyper::Method;
+use serde_json::json;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::{sleep, timeout};
+use tracing::warn;
+
+/// How long a registration lives without renewal.
+const TTL: Duration = Duration::from_secs(30);
+/// The time limit of a registration with the read that follows it; later the next registry is called.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// The longest accepted list, in bytes: 33,500 proxies with the longest names and zones, 64,500 with short ones
+/// (computed). It is held while one answer is parsed.
+const MAX_LIST: usize = 8 << 20;
+/// The registry's path for endpoint lists.
+const PATH: &str = "/registry/instances";
+
+/// Registers this process and reads the proxies of the tier, for ever, at the first registry that answers.
+pub(super) async fn run_registration(membership: Rc<Membership>, registries: Vec<SocketAddr>) {
+    let mut current = 0;
+    let mut backoff = Backoff::new(SEEDING_BACKOFF);
+    let mut is_failing = false;
+    loop {
+        let registry = registries[current];
+        let delay = match register_and_read(&membership, registry).await {
+            Ok(proxies) => {
+                membership.set_listed_members(proxies);
+                backoff.reset();
+                is_failing = false;
+                renewal_delay()
+            }
+            Err(error) => {
+                if !is_failing {
+                    warn!("membership: registry {registry}: {error}");
+                }
+                is_failing = true;
+                current = (current + 1) % registries.len();
+                backoff.next_delay()
+            }
+        };
+        sleep(delay).await;
+    }
+}
+
+/// Deletes this process's registration at the first registry that answers.
+pub(super) async fn deregister(membership: Rc<Membership>, registries: Vec<SocketAddr>) {
+    for registry in registries {
+        if let Ok(Ok(())) = timeout(CALL_TIMEOUT, register(&membership, registry, "DELETED")).await {
+            return;
+        }
+    }
+}
+
+/// The delay before the next renewal: from 1/4 to 5/12 of the TTL, so that two renewals in a row may fail. It is drawn
+/// by chance, so that the proxies' renewals don't come together.
+fn renewal_delay() -> Duration {
+    TTL.mul_f64(0.25 + fastrand::f64() / 6.0)
+}
+
+/// Registers this process, then reads the addresses of the proxies in service.
+async fn register_and_read(
+    membership: &Membership,
+    registry: SocketAddr,
+) -> Result<Vec<SocketAddr>, CallError> {
+    let exchange = async {
+        register(membership, registry, "SERVING").await?;
+        call(membership, registry, Method::GET, Bytes::new()).await
+    };
+    let answer = timeout(CALL_TIMEOUT, exchange).await.unwrap_or(Err(CallError::TimedOut))?;
+    let page = serde_json::from_slice::<ListPage>(&answer)?;
+    let entries = page.into_entries().entries;
+    let serving = entries.into_iter().filter(|entry| entry.health == Health::Serving);
+    Ok(serving.filter_map(|entry| entry.address).collect())
+}
+
+async fn register(membership: &Membership, registry: SocketAddr, health: &str) -> Result<(), CallError> {
+    let entry = {
+        let swim = membership.swim.borrow();
+        let id = swim.id();
+        json!({"host": id.name, "dial": id.addr, "site": id.zone, "class": "proxy", "health": health})
+    };
+    let body = json!({"ttl_ms": TTL.as_millis() as u64, "hosts": [entry]}).to_string();
+    call(membership, registry, Method::PUT, body.into()).await.map(drop)
+}
+
+/// Makes a call on a connection of its own, which is not kept: the next call is seconds away.
+async fn call(
+    membership: &Membership,
+    registry: SocketAddr,
+    method: Method,
+    body: Bytes,
+) -> Result<Bytes, CallError> {
+    let registration = Call {
+        kind: TrafficKind::Registration,
+        method,
+        path: PATH,
+        body,
+        wait: CALL_TIMEOUT,
+        max_answer: MAX_LIST,
+    };
+    registry::call(&mut None, registry, registration, &membership.control_traffic).await
+}
--- /dev/null
+++ b/src/client/membership/seeding.rs
@@ -0,0 +1,69 @@
+//! Seeding: asks seeds to join their membership, at the start and after a split.
+//!
+//! The seeds are those from the configuration and the proxies that a registry lists. One task asks them often while
+//! this process is alone, and one of them now and then later on.
+
+use super::{Membership, swim};
+use crate::client::backoff::{Backoff, BackoffBounds};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::sleep;
+
+/// Delays between two rounds of announcements of a process that is alone.
+pub(super) const SEEDING_BACKOFF: BackoffBounds =
+    BackoffBounds { min: Duration::from_millis(100), max: Duration::from_secs(5) };
+/// The most seeds that one round asks.
+const MAX_SEEDS_PER_ROUND: usize = 16;
+/// Interval at which a process that is not alone asks one seed.
+///
+/// Failure: after a split that outlasts `forget_ms` the two sides have forgotten each other and would stay apart. One
+/// announcement across joins them again.
+const REJOIN_INTERVAL: Duration = Duration::from_secs(30);
+
+impl Membership {
+    /// Announces this process to seeds until it leaves.
+    pub(super) async fn run_seeding(self: Rc<Self>) {
+        let mut backoff = Backoff::new(SEEDING_BACKOFF);
+        while !self.has_left.get() {
+            let is_alone = self.count.borrow().is_alone();
+            let delay = match is_alone {
+                true => backoff.next_delay(),
+                false => {
+                    backoff.reset();
+                    REJOIN_INTERVAL
+                }
+            };
+            self.announce_to_seeds(if is_alone { MAX_SEEDS_PER_ROUND } else { 1 });
+            self.flush_protocol();
+            tokio::select! {
+                () = sleep(delay) => {}
+                () = self.new_seeds.notified() => {}
+            }
+        }
+    }
+
+    /// Announces this process to at most `max_seeds` seeds, from a random one on.
+    fn announce_to_seeds(&self, max_seeds: usize) {
+        let seeds = self.seeds.borrow();
+        let count = seeds.len().min(max_seeds);
+        let first = fastrand::usize(..seeds.len().max(1));
+        for seed in seeds.iter().cycle().skip(first).take(count) {
+            self.swim.borrow_mut().announce(*seed);
+        }
+    }
+
+    /// Replaces the seeds that a registry lists; this process may be one of them and is left out. A process that is
+    /// alone announces itself at once if one of them is new.
+    pub(super) fn set_listed_members(&self, addresses: Vec<SocketAddr>) {
+        let own = self.swim.borrow().id().addr;
+        let mut seeds = self.seeds.borrow_mut();
+        let has_new = addresses.iter().any(|address| *address != own && !seeds.contains(address));
+        seeds.truncate(self.configured_seeds);
+        let others = addresses.into_iter().filter(|address| *address != own);
+        seeds.extend(others.take(swim::MAX_MEMBERS));
+        if has_new && self.count.borrow().is_alone() {
+            self.new_seeds.notify_one();
+        }
+    }
+}
--- a/src/client/membership/settings.rs
+++ b/src/client/membership/settings.rs
@@ -1,27 +1,27 @@
-//! Where membership runs, and with whom.
+//! The membership's settings. Their names are the keys of the configuration.
 
 use super::swim::{MAX_NAME, Timing};
 use crate::client::registry::MAX_REGISTRIES;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// Where it runs, and with whom.
+/// Where the membership runs, and with whom.
 #[derive(Deserialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
     /// UDP address to listen on.
     pub bind: SocketAddr,
-    /// Address that the others send to, where that differs.
+    /// Address that the other members send to; by default the bound one.
     pub advertise: Option<SocketAddr>,
-    /// Datagrams of other clusters are dropped: one cluster for each tier.
-    #[serde(default = "cluster")]
+    /// Name of the cluster, one for each tier; datagrams of another cluster are dropped. By default `heathroad`.
+    #[serde(default = "default_cluster")]
     pub cluster: String,
-    /// This process's name among the members, the same after a restart; the advertised address if there is none.
+    /// This process's name among the members, the same after a restart; by default the advertised address.
     pub name: Option<String>,
-    /// Members to ask first.
+    /// Members to announce this process to; by default none.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Registries that list the tier's proxies, and nothing else.
+    /// Registries that list the tier's proxies and nothing else; by default none.
     #[serde(default)]
     pub registries: Vec<SocketAddr>,
     /// The protocol's times.
@@ -29,20 +29,22 @@
     pub timing: Timing,
 }
 
-fn cluster() -> String {
+/// Kept: datagrams of another cluster are dropped, and proxies of earlier versions use this name. Another default would
+/// part the proxies of a tier during a rolling update.
+fn default_cluster() -> String {
     "heathroad".into()
 }
 
 impl Settings {
-    /// What is wrong with them, if anything is.
+    /// The setting that is out of bounds and its bounds, if one is.
     pub fn invalid(&self) -> Option<String> {
-        let name = self.name.as_ref().map_or(1, String::len);
-        if !(1..=MAX_NAME).contains(&name) {
+        let name_length = self.name.as_ref().map_or(1, String::len);
+        if !(1..=MAX_NAME).contains(&name_length) {
             return Some(format!("name: from 1 to {MAX_NAME} bytes"));
         }
         if self.registries.len() > MAX_REGISTRIES {
             return Some(format!("registries: at most {MAX_REGISTRIES}"));
         }
-        self.timing.invalid().map(|what| format!("timing.{what}"))
+        self.timing.invalid().map(|problem| format!("timing.{problem}"))
     }
 }
--- a/src/client/membership/swim/frame.rs
+++ b/src/client/membership/swim/frame.rs
@@ -1,27 +1,32 @@
-//! How datagrams are framed.
+//! The frame of a datagram: `magic | crc32 of the cluster's name | crc32 of the body | body`, each number u32
+//! little-endian. It is a contract: old and new proxies of a tier exchange it during a rolling update.
 
 use super::DropReason;
 
-/// `magic | crc32 of the cluster's name | crc32 of the rest`, each u32 little-endian.
-pub(super) const FRAME: usize = 12;
+/// Bytes before the body.
+pub(super) const HEADER_LENGTH: usize = 12;
 const MAGIC: u32 = u32::from_le_bytes(*b"HRM1");
 
-pub(super) fn frame(body: &[u8], cluster: u32) -> Vec<u8> {
-    let mut out = Vec::with_capacity(FRAME + body.len());
-    for part in [MAGIC, cluster, crc32fast::hash(body)] {
-        out.extend_from_slice(&part.to_le_bytes());
+/// Frames a body for the cluster with this hash.
+pub(super) fn frame(body: &[u8], cluster_hash: u32) -> Vec<u8> {
+    let mut datagram = Vec::with_capacity(HEADER_LENGTH + body.len());
+    for field in [MAGIC, cluster_hash, crc32fast::hash(body)] {
+        datagram.extend_from_slice(&field.to_le_bytes());
     }
-    out.extend_from_slice(body);
-    out
+    datagram.extend_from_slice(body);
+    datagram
 }
 
-pub(super) fn unframe(datagram: &[u8], cluster: u32) -> Result<&[u8], DropReason> {
-    let (head, body) = datagram.split_at_checked(FRAME).ok_or(DropReason::Malformed)?;
-    let part = |n: usize| head[n..n + 4].iter().rev().fold(0, |sum, &byte| sum << 8 | u32::from(byte));
-    match [part(0), part(4), part(8)] {
-        [MAGIC, _, crc] if crc != crc32fast::hash(body) => Err(DropReason::Malformed),
-        [MAGIC, of, _] if of != cluster => Err(DropReason::OtherCluster),
-        [MAGIC, _, _] => Ok(body),
-        _ => Err(DropReason::Malformed),
+/// The body of a datagram of the cluster with this hash.
+pub(super) fn unframe(datagram: &[u8], cluster_hash: u32) -> Result<&[u8], DropReason> {
+    let (header, body) = datagram.split_at_checked(HEADER_LENGTH).ok_or(DropReason::Malformed)?;
+    let field = |at: usize| header[at..at + 4].iter().rev().fold(0, |sum, &byte| sum << 8 | u32::from(byte));
+    let (magic, cluster, checksum) = (field(0), field(4), field(8));
+    if magic != MAGIC || checksum != crc32fast::hash(body) {
+        return Err(DropReason::Malformed);
     }
+    if cluster != cluster_hash {
+        return Err(DropReason::OtherCluster);
+    }
+    Ok(body)
 }
--- a/src/client/membership/swim/member.rs
+++ b/src/client/membership/swim/member.rs
@@ -1,15 +1,18 @@
-//! Members: who they are and what has become of them.
+//! The members as the protocol knows them: their identities, their states and their count.
 
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A member's identity. Its address is its place; of two at one address the later generation is the member.
+/// A member's identity, as members send it to each other. The order of its fields is that of the wire.
+///
+/// Members are distinguished by address. Of two identities with one address the later generation is the member, and
+/// the earlier one is what it was before a restart.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberId {
     /// Where its datagrams go.
     pub addr: SocketAddr,
-    /// Its start, Unix time in microseconds, or later: rises with each start, and with each return after a death.
+    /// Its start, Unix time in microseconds, plus one for each time that it was taken for dead and returned.
     pub generation: u64,
     /// Its name, the same after a restart.
     pub name: String,
@@ -33,46 +36,46 @@
     }
 }
 
-/// What has become of a member.
+/// A member's state, as this process sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberState {
-    /// It answers.
+    /// It answers probes.
     Alive,
-    /// It did not answer, nor did it refute that yet.
+    /// It did not answer a probe and has not refuted the suspicion yet.
     Suspect,
-    /// It has left or is taken for dead.
+    /// It has left, or its suspicion ran out.
     Gone,
 }
 
 /// A member, as this process sees it.
 #[derive(Clone, Debug, Serialize)]
 pub struct Member {
-    /// Who.
+    /// Its identity.
     pub id: MemberId,
-    /// What has become of it.
+    /// Its state.
     #[serde(rename = "standing")]
     pub state: MemberState,
-    /// How often it has refuted a suspicion.
+    /// How many suspicions it has refuted within its generation.
     pub incarnation: u16,
 }
 
-/// How many proxies there are, this one included.
+/// How many members there are, this process included.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemberCount {
     /// Alive or suspect.
     pub alive: u32,
-    /// Of them in this one's zone.
+    /// Of these, in this process's zone.
     pub in_zone: u32,
     /// Alive, suspect, or gone and not forgotten.
     pub known: u32,
-    /// This one's place among the alive, from 0, in an order of names by their hash: one that comes or goes moves the
-    /// places of the others by one at most, and neighbours by name or host do not stand together.
+    /// This process's place among the alive, from 0, in the order of their names' hashes. A member that joins or leaves
+    /// moves each other place by one at most, and processes with neighbouring names are not neighbours.
     pub rank: u32,
 }
 
 impl MemberCount {
-    /// Whether there is nobody else.
+    /// Whether no other member is alive.
     pub fn is_alone(&self) -> bool {
         self.alive <= 1
     }
--- a/src/client/membership/swim/mod.rs
+++ b/src/client/membership/swim/mod.rs
@@ -1,6 +1,11 @@
 //! The SWIM protocol (Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group
-//! Membership Protocol", 2002) as `foca` has it, without sockets or clock: datagrams and timers go in, datagrams,
-//! timers and news come out. This file frames the datagrams, names the members and keeps what is told of them.
+//! Membership Protocol", 2002) as the crate `foca` implements it, without sockets or clock.
+//!
+//! Datagrams and timers go in; datagrams, timers and notifications come out. [`Swim`] owns the protocol's state, frames
+//! the datagrams, bounds the number of members and counts them.
+//!
+//! A member has a generation, which rises with each restart and with each return after it was taken for dead, and
+//! within it an incarnation, which rises with each suspicion that it refutes.
 
 mod frame;
 mod member;
@@ -25,140 +30,155 @@
 
 /// Longest name, as for a DNS label.
 pub const MAX_NAME: usize = 63;
-/// Nobody who asks is taken in beside so many: it bounds what strangers can add. Members that members tell of come in still.
-/// So many with short names take 11 MB (measured as the resident memory of `limits::as_many_members_...` over that of another
-/// test of its file).
+/// The most members, dead ones included, with which a new one that announces itself is still accepted.
+///
+/// Failure: a stranger announces made-up members and fills the memory. So many members with short names take 11 MB
+/// (measured as the resident memory of `limits::as_many_members_...` over that of another test of its file). Members
+/// that other members gossip about are accepted beyond it.
 pub const MAX_MEMBERS: usize = 16_384;
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DropReason {
-    /// It is no datagram of this protocol, or is spoilt.
+    /// It is not of this protocol, or was damaged on its way.
     Malformed,
-    /// It is another cluster's.
+    /// It is of another cluster.
     OtherCluster,
-    /// There are too many members to take one more in.
+    /// Its sender is new, and [`MAX_MEMBERS`] are known.
     TooManyMembers,
 }
 
 /// One process's part in the protocol.
 pub struct Swim {
     foca: Foca<MemberId, PostcardCodec, StdRng, NoCustomBroadcast>,
-    out: AccumulatingRuntime<MemberId>,
-    cluster: u32,
+    /// What the protocol wants done.
+    output: AccumulatingRuntime<MemberId>,
+    /// crc32 of the cluster's name.
+    cluster_hash: u32,
 }
 
 impl Swim {
-    /// Alone at first.
+    /// Alone at first; `seed` seeds the random choice of members to probe and to gossip with.
     pub fn new(id: MemberId, timing: &Timing, cluster: &str, seed: u64) -> Self {
         let rng = StdRng::seed_from_u64(seed);
         let foca = Foca::new(id, timing.config(), rng, PostcardCodec);
-        Swim { foca, out: AccumulatingRuntime::new(), cluster: crc32fast::hash(cluster.as_bytes()) }
+        let cluster_hash = crc32fast::hash(cluster.as_bytes());
+        Swim { foca, output: AccumulatingRuntime::new(), cluster_hash }
     }
 
-    /// This process.
+    /// This process's identity.
     pub fn id(&self) -> &MemberId {
         self.foca.identity()
     }
 
-    /// Takes a datagram in; says who sent it.
+    /// Handles a datagram; returns its sender.
     pub fn receive(&mut self, datagram: &[u8]) -> Result<MemberId, DropReason> {
-        let body = unframe(datagram, self.cluster)?;
+        let body = unframe(datagram, self.cluster_hash)?;
         let header = PostcardCodec.decode_header(body).map_err(|_| DropReason::Malformed)?;
-        let MemberId { name, zone, .. } = &header.src;
-        if name.is_empty() || name.len() > MAX_NAME || zone.len() > MAX_NAME {
+        let sender: MemberId = header.src;
+        if sender.name.is_empty() || sender.name.len() > MAX_NAME || sender.zone.len() > MAX_NAME {
             return Err(DropReason::Malformed);
         }
-        if self.foca.iter_membership_state().len() >= MAX_MEMBERS && !self.knows(header.src.addr) {
+        if self.foca.iter_membership_state().len() >= MAX_MEMBERS && !self.knows(sender.addr) {
             return Err(DropReason::TooManyMembers);
         }
-        // What comes late, twice or for an earlier generation is passed over there.
-        self.foca.handle_data(body, &mut self.out).map_err(|_| DropReason::Malformed)?;
-        Ok(header.src)
+        // The protocol ignores a datagram that is late, repeated or meant for an earlier generation.
+        self.foca.handle_data(body, &mut self.output).map_err(|_| DropReason::Malformed)?;
+        Ok(sender)
     }
 
     fn knows(&self, addr: SocketAddr) -> bool {
-        self.foca.iter_membership_state().any(|m| m.id().addr == addr)
+        self.foca.iter_membership_state().any(|member| member.id().addr == addr)
     }
 
-    /// A timer is due. Timers that a change has overtaken are passed over.
+    /// Handles a timer that is due. One that a later change made obsolete does nothing.
+    ///
+    /// Failure: with `notify_down_members`, foca 2.0.0 tells a suspect that it is down when its suspicion runs out, even
+    /// if it refuted the suspicion in time, and the member needlessly takes a new generation. Such a timer is ignored
+    /// unless the suspicion that it belongs to still stands.
     pub fn handle_timer(&mut self, timer: Timer<MemberId>) {
-        if let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = &timer {
-            // With `notify_down_members`, foca 2.0.0 tells even one who refuted in time that it is down, and it gives
-            // up its generation for nothing.
-            let mut all = self.foca.iter_membership_state();
-            let suspect = all.any(|m| {
-                m.id() == member_id && m.state() == State::Suspect && m.incarnation() == *incarnation
-            });
-            if !suspect {
-                return;
-            }
+        if let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = &timer
+            && !self.is_suspect(member_id, *incarnation)
+        {
+            return;
         }
-        let _ = self.foca.handle_timer(timer, &mut self.out);
+        let _ = self.foca.handle_timer(timer, &mut self.output);
     }
 
-    /// Asks whoever is at an address to be taken in.
+    fn is_suspect(&self, id: &MemberId, incarnation: u16) -> bool {
+        self.foca.iter_membership_state().any(|member| {
+            member.id() == id && member.state() == State::Suspect && member.incarnation() == incarnation
+        })
+    }
+
+    /// Asks the member at an address to accept this process.
     pub fn announce(&mut self, seed: SocketAddr) {
         let id = MemberId { addr: seed, generation: 0, name: String::new(), zone: String::new() };
         if seed != self.id().addr {
-            let _ = self.foca.announce(id, &mut self.out);
+            let _ = self.foca.announce(id, &mut self.output);
         }
     }
 
-    /// Tells the others that this process goes.
+    /// Announces to the other members that this process leaves.
     pub fn leave(&mut self) {
-        let _ = self.foca.leave_cluster(&mut self.out);
+        let _ = self.foca.leave_cluster(&mut self.output);
     }
 
-    /// The next datagram to send, and where to.
+    /// The next datagram to send, and its receiver.
     pub fn next_datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
-        let (to, body) = self.out.to_send()?;
-        Some((to.addr, frame(&body, self.cluster)))
+        let (to, body) = self.output.to_send()?;
+        Some((to.addr, frame(&body, self.cluster_hash)))
     }
 
-    /// The next timer to set.
+    /// The next timer to set, and the delay after which it is due.
     pub fn next_timer(&mut self) -> Option<(Duration, Timer<MemberId>)> {
-        self.out.to_schedule()
+        self.output.to_schedule()
     }
 
-    /// The next thing that has happened.
+    /// The next change among the members.
     pub fn next_notification(&mut self) -> Option<OwnedNotification<MemberId>> {
-        self.out.to_notify()
+        self.output.to_notify()
     }
 
-    /// All others that are remembered.
+    /// All other members that are not forgotten.
     pub fn members(&self) -> impl Iterator<Item = Member> {
-        self.foca.iter_membership_state().map(|m| Member {
-            id: m.id().clone(),
-            state: match m.state() {
+        self.foca.iter_membership_state().map(|member| Member {
+            id: member.id().clone(),
+            state: match member.state() {
                 State::Alive => MemberState::Alive,
                 State::Suspect => MemberState::Suspect,
                 State::Down => MemberState::Gone,
             },
-            incarnation: m.incarnation(),
+            incarnation: member.incarnation(),
         })
     }
 
-    /// How many there are. One that has moved to another address counts once, as its latest generation.
+    /// Counts the members.
     pub fn count(&self) -> MemberCount {
+        let own = self.id();
+        let others = self.latest_generations();
+        let alive = || others.values().filter(|member| member.state != MemberState::Gone);
+        let order = |name: &str| (crc32fast::hash(name.as_bytes()), name.to_string());
+        let own_order = order(&own.name);
+        let in_zone = alive().filter(|member| member.id.zone == own.zone).count();
+        let before_own = alive().filter(|member| order(&member.id.name) < own_order).count();
+        MemberCount {
+            alive: 1 + alive().count() as u32,
+            in_zone: 1 + in_zone as u32,
+            known: 1 + others.len() as u32,
+            rank: before_own as u32,
+        }
+    }
+
+    /// The other members by name. One that restarted at another address is known by two identities; the latest counts.
+    fn latest_generations(&self) -> HashMap<String, Member> {
         let mut latest: HashMap<String, Member> = HashMap::new();
-        for member in self.members().filter(|m| m.id.name != self.id().name) {
-            let held = latest.get(&member.id.name);
-            if held.is_none_or(|held| held.id.generation < member.id.generation) {
+        for member in self.members().filter(|member| member.id.name != self.id().name) {
+            let known = latest.get(&member.id.name);
+            if known.is_none_or(|known| known.id.generation < member.id.generation) {
                 latest.insert(member.id.name.clone(), member);
             }
         }
-        let alive = || latest.values().filter(|m| m.state != MemberState::Gone);
-        let in_zone = alive().filter(|m| m.id.zone == self.id().zone).count();
-        let place = |name: &str| (crc32fast::hash(name.as_bytes()), name.to_string());
-        let own = place(&self.id().name);
-        let rank = alive().filter(|m| place(&m.id.name) < own).count() as u32;
-        let count = |others: usize| 1 + others as u32;
-        MemberCount {
-            alive: count(alive().count()),
-            in_zone: count(in_zone),
-            known: count(latest.len()),
-            rank,
-        }
+        latest
     }
 }
--- a/src/client/membership/swim/timing.rs
+++ b/src/client/membership/swim/timing.rs
@@ -1,23 +1,28 @@
-//! The protocol's times.
+//! The protocol's times, and the configuration of `foca` that follows from them.
 
 use super::MAX_DATAGRAM;
-use super::frame::FRAME;
+use super::frame::HEADER_LENGTH;
 use foca::{Config, PeriodicParams};
 use serde::Deserialize;
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// The protocol's times.
+/// Members that are asked to probe one that did not answer.
+const INDIRECT_PROBES: usize = 3;
+/// How often a member passes on one change.
+const MAX_TRANSMISSIONS: u8 = 10;
+
+/// The protocol's times. Their names are the keys of the configuration.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Timing {
-    /// One member is probed so often, ms.
+    /// Interval between two probes, each of one member, ms; by default 1,000.
     pub probe_ms: u64,
-    /// So long its answer may take before others are asked to probe it, ms; under `probe_ms`.
+    /// How long a probe's answer may take before other members are asked to probe, ms; below `probe_ms`, by default 300.
     pub rtt_ms: u64,
-    /// So long a suspect has to refute before it is taken for dead, ms.
+    /// How long a suspect has to refute the suspicion before it is gone, ms; by default 4,000.
     pub suspicion_ms: u64,
-    /// Dead members are remembered for so long, ms.
+    /// How long a member that is gone is remembered, ms; by default 600,000.
     pub forget_ms: u64,
 }
 
@@ -28,37 +33,48 @@
 }
 
 impl Timing {
-    /// What is wrong with it, if anything is.
+    /// The setting that is out of bounds and its bounds, if one is.
     pub fn invalid(&self) -> Option<&'static str> {
-        let day = 86_400_000;
-        let wrong = [
+        const DAY_MS: u64 = 86_400_000;
+        let checks = [
             (!(10..=60_000).contains(&self.probe_ms), "probe_ms: from 10 to 60000"),
             (self.rtt_ms == 0 || self.rtt_ms >= self.probe_ms, "rtt_ms: above 0 and under probe_ms"),
-            (!(self.probe_ms..=day).contains(&self.suspicion_ms), "suspicion_ms: from probe_ms to a day"),
-            (!(self.suspicion_ms..=day).contains(&self.forget_ms), "forget_ms: from suspicion_ms to a day"),
+            (!(self.probe_ms..=DAY_MS).contains(&self.suspicion_ms), "suspicion_ms: from probe_ms to a day"),
+            (
+                !(self.suspicion_ms..=DAY_MS).contains(&self.forget_ms),
+                "forget_ms: from suspicion_ms to a day",
+            ),
         ];
-        wrong.iter().find(|(bad, _)| *bad).map(|(_, what)| *what)
+        checks.iter().find(|(is_wrong, _)| *is_wrong).map(|(_, problem)| *problem)
     }
 
+    /// The configuration of `foca`.
     pub(super) fn config(&self) -> Config {
-        let ms = Duration::from_millis;
-        let few = |n| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
-        let every =
-            |ms: u64, n| Some(PeriodicParams { frequency: Duration::from_millis(ms), num_members: few(n) });
         Config {
-            probe_period: ms(self.probe_ms),
-            probe_rtt: ms(self.rtt_ms),
-            num_indirect_probes: few(3),
-            max_transmissions: NonZeroU8::new(10).unwrap_or(NonZeroU8::MIN),
-            suspect_to_down_after: ms(self.suspicion_ms),
-            remove_down_after: Some(ms(self.forget_ms)),
-            max_packet_size: few(MAX_DATAGRAM - FRAME),
-            // A member that was declared dead while it was stopped or cut off hears of it, and returns.
+            probe_period: Duration::from_millis(self.probe_ms),
+            probe_rtt: Duration::from_millis(self.rtt_ms),
+            num_indirect_probes: non_zero(INDIRECT_PROBES),
+            max_transmissions: NonZeroU8::new(MAX_TRANSMISSIONS).unwrap_or(NonZeroU8::MIN),
+            suspect_to_down_after: Duration::from_millis(self.suspicion_ms),
+            remove_down_after: Some(Duration::from_millis(self.forget_ms)),
+            max_packet_size: non_zero(MAX_DATAGRAM - HEADER_LENGTH),
+            // Failure: a member that was stopped or cut off is taken for dead and never learns of it, so that it stays
+            // away. Members tell it, and it returns with a new generation.
             notify_down_members: true,
-            periodic_announce: every(self.probe_ms * 30, 1),
-            // Two halves of a split find each other again by the dead that each remembers.
-            periodic_announce_to_down_members: every(self.probe_ms * 2, 2),
-            periodic_gossip: every((self.probe_ms / 5).max(1), 3),
+            periodic_announce: periodic(self.probe_ms * 30, 1),
+            // Failure: after a split each side takes the other for dead and probes it no more. Announcements to members
+            // that are gone join the sides again, as long as they are remembered.
+            periodic_announce_to_down_members: periodic(self.probe_ms * 2, 2),
+            periodic_gossip: periodic((self.probe_ms / 5).max(1), 3),
         }
     }
 }
+
+/// Something that is done to `members` members each `interval_ms`.
+fn periodic(interval_ms: u64, members: usize) -> Option<PeriodicParams> {
+    Some(PeriodicParams { frequency: Duration::from_millis(interval_ms), num_members: non_zero(members) })
+}
+
+fn non_zero(number: usize) -> NonZeroUsize {
+    NonZeroUsize::new(number).unwrap_or(NonZeroUsize::MIN)
+}
--- a/src/client/traffic.rs
+++ b/src/client/traffic.rs
@@ -1,4 +1,7 @@
-//! Messages and bytes of a client's control traffic, by kind of call.
+//! Counts of a client's control traffic: messages and bytes, by kind.
+//!
+//! A [`Traffic`] owns the counts; its clones share them. Calls count their messages, a [`MeteredStream`] counts the
+//! bytes of its connection under the kind of the call that the connection carries.
 
 use std::cell::Cell;
 use std::pin::Pin;
@@ -7,27 +10,27 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// What a message belongs to.
+/// The kind of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrafficKind {
-    /// The whole list of backends.
+    /// A poll of the full endpoint list.
     FullList,
-    /// A watch on the list's changes.
+    /// A watch for updates to the endpoint list.
     ListWatch,
-    /// A watch on the route table, and the first call for it.
+    /// A watch on the route table, and the first poll of it.
     RouteWatch,
-    /// A report of what this proxy did.
+    /// A report of the calls that this proxy made.
     Report,
-    /// A registration among the tier's proxies, and the list of them.
+    /// A registration of this process, and a poll of the list of proxies that it belongs to.
     Registration,
     /// A datagram of the membership protocol.
     Datagram,
-    /// A segment of recorded traces.
+    /// A segment of recorded traffic.
     Trace,
 }
 
 impl TrafficKind {
-    /// All kinds.
+    /// All kinds, in the order of their numbers.
     pub const ALL: [TrafficKind; 7] = [
         TrafficKind::FullList,
         TrafficKind::ListWatch,
@@ -39,46 +42,48 @@
     ];
 }
 
-/// What went and came.
+/// The traffic of one kind since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TrafficCount {
     /// Requests or datagrams sent.
     pub messages_sent: u64,
-    /// Whole answers or datagrams received.
+    /// Complete answers or datagrams received.
     pub messages_received: u64,
-    /// Bytes written to sockets, with HTTP heads and without those of TCP, UDP or IP.
+    /// Bytes written to sockets, with the HTTP heads and without the headers of TCP, UDP and IP.
     pub bytes_sent: u64,
     /// Bytes read from sockets, counted likewise.
     pub bytes_received: u64,
 }
 
-/// Counts one client's traffic; copies of it count together.
+/// The counts of one client; clones share them.
 #[derive(Clone, Debug, Default)]
 pub struct Traffic {
     counts: Rc<[Cell<TrafficCount>; TrafficKind::ALL.len()]>,
 }
 
 impl Traffic {
-    /// What has gone and come so far.
+    /// The traffic of a kind so far.
     pub fn count(&self, kind: TrafficKind) -> TrafficCount {
         self.counts[kind as usize].get()
     }
 
+    /// Counts what was sent.
     pub(super) fn record_sent(&self, kind: TrafficKind, messages: u64, bytes: u64) {
-        self.change(kind, |count| {
+        self.update(kind, |count| {
             count.messages_sent += messages;
             count.bytes_sent += bytes;
         });
     }
 
+    /// Counts what was received.
     pub(super) fn record_received(&self, kind: TrafficKind, messages: u64, bytes: u64) {
-        self.change(kind, |count| {
+        self.update(kind, |count| {
             count.messages_received += messages;
             count.bytes_received += bytes;
         });
     }
 
-    fn change(&self, kind: TrafficKind, change: impl FnOnce(&mut TrafficCount)) {
+    fn update(&self, kind: TrafficKind, change: impl FnOnce(&mut TrafficCount)) {
         let cell = &self.counts[kind as usize];
         let mut count = cell.get();
         change(&mut count);
@@ -86,30 +91,42 @@
     }
 }
 
-/// Where a connection's bytes are counted: those of the call that it carries now.
+/// The kind under which a connection's bytes are counted, which changes with the call that it carries.
 pub(super) struct StreamMeter {
     kind: Cell<TrafficKind>,
     traffic: Traffic,
 }
 
 impl StreamMeter {
+    /// Counts under `kind` first.
     pub(super) fn new(kind: TrafficKind, traffic: Traffic) -> Rc<Self> {
         Rc::new(StreamMeter { kind: Cell::new(kind), traffic })
     }
 
-    /// The next call on this connection is of that kind.
+    /// Counts under another kind from now on.
     pub(super) fn set_kind(&self, kind: TrafficKind) {
         self.kind.set(kind);
     }
+
+    fn record_written(&self, written: &Poll<std::io::Result<usize>>) {
+        if let Poll::Ready(Ok(bytes)) = written {
+            self.traffic.record_sent(self.kind.get(), 0, *bytes as u64);
+        }
+    }
+
+    fn record_read(&self, bytes: usize) {
+        self.traffic.record_received(self.kind.get(), 0, bytes as u64);
+    }
 }
 
-/// A connection whose bytes are counted.
+/// A connection that counts its bytes.
 pub(super) struct MeteredStream {
     stream: TcpStream,
     meter: Rc<StreamMeter>,
 }
 
 impl MeteredStream {
+    /// Counts the bytes of `stream` by `meter`.
     pub(super) fn new(stream: TcpStream, meter: Rc<StreamMeter>) -> Self {
         MeteredStream { stream, meter }
     }
@@ -119,12 +136,11 @@
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-        to: &mut ReadBuf<'_>,
+        buf: &mut ReadBuf<'_>,
     ) -> Poll<std::io::Result<()>> {
-        let before = to.filled().len();
-        let read = Pin::new(&mut self.stream).poll_read(cx, to);
-        let bytes = to.filled().len() - before;
-        self.meter.traffic.record_received(self.meter.kind.get(), 0, bytes as u64);
+        let filled_before = buf.filled().len();
+        let read = Pin::new(&mut self.stream).poll_read(cx, buf);
+        self.meter.record_read(buf.filled().len() - filled_before);
         read
     }
 }
@@ -133,24 +149,20 @@
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-        from: &[u8],
+        buf: &[u8],
     ) -> Poll<std::io::Result<usize>> {
-        let written = Pin::new(&mut self.stream).poll_write(cx, from);
-        if let Poll::Ready(Ok(bytes)) = written {
-            self.meter.traffic.record_sent(self.meter.kind.get(), 0, bytes as u64);
-        }
+        let written = Pin::new(&mut self.stream).poll_write(cx, buf);
+        self.meter.record_written(&written);
         written
     }
 
     fn poll_write_vectored(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-        from: &[std::io::IoSlice<'_>],
+        bufs: &[std::io::IoSlice<'_>],
     ) -> Poll<std::io::Result<usize>> {
-        let written = Pin::new(&mut self.stream).poll_write_vectored(cx, from);
-        if let Poll::Ready(Ok(bytes)) = written {
-            self.meter.traffic.record_sent(self.meter.kind.get(), 0, bytes as u64);
-        }
+        let written = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
+        self.meter.record_written(&written);
         written
     }
 
