--- a/src/bin/simulator-adapter/wire/mod.rs
+++ b/src/bin/simulator-adapter/wire/mod.rs
@@ -1,4 +1,6 @@
-//! The simulator's binary wire: frames in, replies out. Translates, never decides.
+//! The simulator's binary wire: decodes frames of records into events and encodes actions into replies.
+//!
+//! The simulator defines the wire. Nothing here decides; the decoder's numbered endpoint lists are the only state.
 
 mod decoder;
 mod frame;
