--- a/src/bin/registry/config.rs
+++ b/src/bin/registry/config.rs
@@ -3,7 +3,7 @@
 use crate::error::StartError;
 use crate::http::Limits;
 use crate::route_table::RoutesConfig;
-use crate::store::Sync;
+use crate::store::SyncMode;
 use clap::Parser;
 use serde::Deserialize;
 use std::path::PathBuf;
@@ -32,7 +32,7 @@
     data: Option<PathBuf>,
     /// `group` shares one fsync among writes that arrive together; `each` syncs every record.
     #[arg(long, value_enum)]
-    sync: Option<Sync>,
+    sync: Option<SyncMode>,
     /// A snapshot is written, and the log begun anew, after so many changes.
     #[arg(long)]
     snapshot_every: Option<u64>,
@@ -56,7 +56,7 @@
 struct File {
     listen: Option<String>,
     data: Option<PathBuf>,
-    sync: Option<Sync>,
+    sync: Option<SyncMode>,
     snapshot_every: Option<u64>,
     max_tombstones: Option<usize>,
     max_connections: Option<usize>,
@@ -73,7 +73,7 @@
     /// The data directory.
     pub data: PathBuf,
     /// When a write is on disk.
-    pub sync: Sync,
+    pub sync: SyncMode,
     /// Changes between snapshots.
     pub snapshot_every: u64,
     /// Deletions kept.
@@ -101,7 +101,7 @@
         Ok(Config {
             listen: args.listen.or(file.listen).unwrap_or_else(|| "127.0.0.1:7400".into()),
             data: args.data.or(file.data).unwrap_or_else(|| "registry-data".into()),
-            sync: args.sync.or(file.sync).unwrap_or(Sync::Group),
+            sync: args.sync.or(file.sync).unwrap_or(SyncMode::Group),
             snapshot_every: args.snapshot_every.or(file.snapshot_every).unwrap_or(100_000).max(1),
             max_tombstones: args.max_tombstones.or(file.max_tombstones).unwrap_or(100_000),
             log_json: args.log_json || file.log_json.unwrap_or(false),
--- a/src/bin/registry/lease/request.rs
+++ b/src/bin/registry/lease/request.rs
@@ -14,7 +14,8 @@
 ///
 /// Without a token it acquires; with a token and a TTL it renews; with a token and without a TTL it releases.
 #[derive(Deserialize, Clone, Debug)]
-#[serde(deny_unknown_fields)]
+// "Ask" is kept: it stands in error texts answered to callers ("expected struct Ask").
+#[serde(rename = "Ask", deny_unknown_fields)]
 pub(crate) struct LeaseRequest {
     /// The duty.
     pub(crate) duty: String,
--- a/src/bin/registry/main.rs
+++ b/src/bin/registry/main.rs
@@ -53,15 +53,19 @@
     let Config { listen, data, sync, snapshot_every, max_tombstones, mut limits, routes, .. } = config;
     limits.connections = descriptors::allow(limits.connections);
     let started = Instant::now();
-    let (mut log, state, found) = Log::open(&data, sync, max_tombstones)
+    let (mut log, state, recovery) = Log::open(&data, sync, max_tombstones)
         .map_err(|error| StartError::Data { path: data.clone(), error })?;
-    if found.cut > 0 {
-        warn!(bytes = found.cut, after_records = found.records, "torn or spoilt tail cut off the log");
+    if recovery.cut_bytes > 0 {
+        warn!(
+            bytes = recovery.cut_bytes,
+            after_records = recovery.records,
+            "torn or spoilt tail cut off the log"
+        );
     }
     let took_ms = started.elapsed().as_millis() as u64;
-    info!(seq = state.catalog.newest(), entries = state.catalog.live(), services = state.catalog.services(), records = found.records, snapshot = ?found.snapshot_seq, took_ms,
+    info!(seq = state.catalog.newest(), entries = state.catalog.entry_count(), services = state.catalog.service_count(), records = recovery.records, snapshot = ?recovery.snapshot_seq, took_ms,
         "state read from disk");
-    if log.due(snapshot_every) {
+    if log.is_snapshot_due(snapshot_every) {
         writer::write_snapshot(&mut log, &state);
     }
     let routes = match routes {
--- a/src/bin/registry/route_table/host.rs
+++ b/src/bin/registry/route_table/host.rs
@@ -6,7 +6,7 @@
 use super::pages::Pages;
 use super::traces::Traces;
 use crate::error::StartError;
-use crate::store::{MAX_RECORD, Record, State};
+use crate::store::{MAX_RECORD_BYTES, Record, State};
 use bytes::Bytes;
 use load_balancer::catalog::{Entry, ServiceName};
 use load_balancer::replay::{Job, Listed};
@@ -26,7 +26,7 @@
 /// A record that could not be read again from the log.
 #[derive(Error, Clone, Debug, PartialEq)]
 #[error(
-    "the table takes {bytes} bytes on disk, at most {MAX_RECORD}: say it by class or zone, or with shorter names"
+    "the table takes {bytes} bytes on disk, at most {MAX_RECORD_BYTES}: say it by class or zone, or with shorter names"
 )]
 pub struct TooLong {
     bytes: usize,
@@ -129,7 +129,7 @@
     /// Whether a record can be read again from the log.
     pub fn fits(record: &RouteRecord) -> Result<(), TooLong> {
         let bytes = Record::Routes(Box::new(record.clone())).encode().map_or(usize::MAX, |text| text.len());
-        if bytes <= MAX_RECORD { Ok(()) } else { Err(TooLong { bytes }) }
+        if bytes <= MAX_RECORD_BYTES { Ok(()) } else { Err(TooLong { bytes }) }
     }
 
     /// Does what was decided; the record that is to be written, if there is one.
--- a/src/bin/registry/store/frame.rs
+++ b/src/bin/registry/store/frame.rs
@@ -1,21 +1,26 @@
-//! Records on disk: length, checksum, payload.
+//! Frames of records on disk: length (u32 LE), CRC-32 of the payload (u32 LE), payload.
 
-/// A payload with its length and checksum before it.
-pub fn frame(payload: &[u8]) -> Vec<u8> {
-    let mut out = Vec::with_capacity(payload.len() + 8);
+/// Bytes of a frame before its payload.
+const HEADER_BYTES: usize = 8;
+
+/// Puts a payload into a frame.
+pub(super) fn frame(payload: &[u8]) -> Vec<u8> {
+    let mut out = Vec::with_capacity(HEADER_BYTES + payload.len());
     out.extend_from_slice(&u32::try_from(payload.len()).unwrap_or(u32::MAX).to_le_bytes());
     out.extend_from_slice(&crc32fast::hash(payload).to_le_bytes());
     out.extend_from_slice(payload);
     out
 }
 
-/// The next whole record at the start of `bytes`, and its length with the frame.
-pub fn unframe(bytes: &[u8], max: usize) -> Option<(&[u8], usize)> {
+/// The payload of the frame at the start of `bytes`, and the frame's length. None if the frame is cut short, its
+/// payload is longer than `max_payload`, or its checksum does not match.
+pub(super) fn unframe(bytes: &[u8], max_payload: usize) -> Option<(&[u8], usize)> {
     let length = u32::from_le_bytes(bytes.get(..4)?.try_into().ok()?) as usize;
-    let crc = u32::from_le_bytes(bytes.get(4..8)?.try_into().ok()?);
-    if length > max {
+    let crc = u32::from_le_bytes(bytes.get(4..HEADER_BYTES)?.try_into().ok()?);
+    if length > max_payload {
         return None;
     }
-    let payload = bytes.get(8..8 + length)?;
-    (crc32fast::hash(payload) == crc).then_some((payload, 8 + length))
+    let end = HEADER_BYTES + length;
+    let payload = bytes.get(HEADER_BYTES..end)?;
+    (crc32fast::hash(payload) == crc).then_some((payload, end))
 }
--- a/src/bin/registry/store/record.rs
+++ b/src/bin/registry/store/record.rs
@@ -1,35 +1,36 @@
-//! What the log holds, as JSON.
+//! The records of the log, as JSON.
 //!
-//! Updates of the service of no name have the form that they had before there were others.
+//! Changes of the unnamed service have the form from before there were named services: a plain [`Change`]. All other
+//! records are an object with one key, which names their kind. Directories of earlier builds stay readable so.
 
 use crate::lease::Lease;
 use load_balancer::catalog::{Change, ServiceName, Update};
 use load_balancer::route_table::RouteRecord;
 use serde::{Deserialize, Serialize};
 
-/// What the log holds.
-pub enum Record {
-    /// What happened to an entry.
+/// One change of the state.
+pub(crate) enum Record {
+    /// A change or a renewal of an entry.
     Update {
-        /// Of which service.
+        /// The entry's service.
         service: ServiceName,
-        /// What.
+        /// The change or renewal.
         update: Update,
     },
-    /// A start of the registry: versions and tokens go on from here.
+    /// A start of the registry: versions and tokens continue from this version.
     Start(u64),
     /// A lease was granted, or renewed with another TTL.
     Lease(Lease),
-    /// A duty is held no longer.
+    /// The lease on this duty has ended.
     Release(String),
-    /// The route table, its proposal and its rollout, all of it as it is from now on.
+    /// The route table with its proposal and its rollout, as they are from now on.
     Routes(Box<RouteRecord>),
 }
 
-/// The records that are not changes of the service of no name.
+/// The form of every record that is not a change of the unnamed service.
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
-enum Other {
+enum TaggedRecord {
     Renewal { host: String, ttl_ms: u64 },
     Service { name: ServiceName, update: Update },
     Start(u64),
@@ -39,38 +40,38 @@
 }
 
 impl Record {
-    /// As the log holds it.
-    pub fn encode(&self) -> serde_json::Result<Vec<u8>> {
+    /// The record's payload in the log.
+    pub(crate) fn encode(&self) -> serde_json::Result<Vec<u8>> {
         match self {
             Record::Update { service, update } if service.is_unnamed() => match update {
                 Update::Change(change) => serde_json::to_vec(change),
                 Update::Renewal { host, ttl_ms } => {
-                    serde_json::to_vec(&Other::Renewal { host: host.clone(), ttl_ms: *ttl_ms })
+                    serde_json::to_vec(&TaggedRecord::Renewal { host: host.clone(), ttl_ms: *ttl_ms })
                 }
             },
             Record::Update { service, update } => {
-                serde_json::to_vec(&Other::Service { name: service.clone(), update: update.clone() })
+                serde_json::to_vec(&TaggedRecord::Service { name: service.clone(), update: update.clone() })
             }
-            Record::Start(seq) => serde_json::to_vec(&Other::Start(*seq)),
-            Record::Lease(lease) => serde_json::to_vec(&Other::Lease(lease.clone())),
-            Record::Release(duty) => serde_json::to_vec(&Other::Release(duty.clone())),
-            Record::Routes(routes) => serde_json::to_vec(&Other::Routes(routes.clone())),
+            Record::Start(seq) => serde_json::to_vec(&TaggedRecord::Start(*seq)),
+            Record::Lease(lease) => serde_json::to_vec(&TaggedRecord::Lease(lease.clone())),
+            Record::Release(duty) => serde_json::to_vec(&TaggedRecord::Release(duty.clone())),
+            Record::Routes(routes) => serde_json::to_vec(&TaggedRecord::Routes(routes.clone())),
         }
     }
 
-    /// A record from its bytes, unless they are something else.
-    pub fn decode(payload: &[u8]) -> Option<Record> {
+    /// The record of a payload; none if this build does not know its form.
+    pub(crate) fn decode(payload: &[u8]) -> Option<Record> {
         let unnamed = |update| Record::Update { service: ServiceName::default(), update };
         if let Ok(change) = serde_json::from_slice::<Change>(payload) {
             return Some(unnamed(Update::Change(change)));
         }
         Some(match serde_json::from_slice(payload).ok()? {
-            Other::Renewal { host, ttl_ms } => unnamed(Update::Renewal { host, ttl_ms }),
-            Other::Service { name, update } => Record::Update { service: name, update },
-            Other::Start(seq) => Record::Start(seq),
-            Other::Lease(lease) => Record::Lease(lease),
-            Other::Release(duty) => Record::Release(duty),
-            Other::Routes(routes) => Record::Routes(routes),
+            TaggedRecord::Renewal { host, ttl_ms } => unnamed(Update::Renewal { host, ttl_ms }),
+            TaggedRecord::Service { name, update } => Record::Update { service: name, update },
+            TaggedRecord::Start(seq) => Record::Start(seq),
+            TaggedRecord::Lease(lease) => Record::Lease(lease),
+            TaggedRecord::Release(duty) => Record::Release(duty),
+            TaggedRecord::Routes(routes) => Record::Routes(routes),
         })
     }
 }
--- a/src/bin/registry/store/snapshot.rs
+++ b/src/bin/registry/store/snapshot.rs
@@ -1,79 +1,90 @@
-//! The whole state as one record.
+//! The snapshot: the state at one version, as one JSON object.
 //!
-//! The service of no name has the form that it had before there were others, and so has a snapshot of it alone.
+//! The unnamed service has the keys from before there were named services (`horizon`, `changes`), and a snapshot of the
+//! unnamed service alone has no others, so that builds from before named services can read it.
 
 use super::State;
 use crate::lease::Lease;
-use load_balancer::catalog::{Catalog, Change, Saved, SavedService, ServiceName};
+use load_balancer::catalog::{Catalog, CatalogSnapshot, Change, ServiceName, ServiceSnapshot};
 use load_balancer::route_table::RouteRecord;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// The whole state at one version: the snapshot's record.
+/// The state at one version. The order of the fields is the order of the keys on disk.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Snapshot {
+pub(super) struct Snapshot {
     /// The newest version of all services.
-    pub seq: u64,
-    /// Of the service of no name; without `services`, of all.
+    pub(super) seq: u64,
+    /// The horizon of the unnamed service; without `services`, of all services.
     horizon: u64,
+    /// Ranges of versions that were never given out.
     #[serde(default)]
     gaps: VecDeque<(u64, u64)>,
+    /// The highest fencing token.
     #[serde(default)]
     token: u64,
     #[serde(default)]
     leases: Vec<Lease>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     routes: Option<RouteRecord>,
-    /// Of the service of no name.
+    /// Entries and tombstones of the unnamed service.
     changes: Vec<Change>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     services: Option<Services>,
 }
 
-/// What a snapshot holds of services that have a name.
+/// The part of a snapshot for services that have a name.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Services {
-    /// Nothing is known of gaps before this version.
+    /// Gaps that end at or before this version are not remembered.
     horizon: u64,
     /// The newest version of any service that was dropped.
     dropped: u64,
-    list: Vec<SavedService>,
+    /// Every named service.
+    list: Vec<ServiceSnapshot>,
 }
 
 impl Snapshot {
-    /// Of a state.
-    pub fn of(state: &State) -> Snapshot {
-        let Saved { newest, gaps, horizon, dropped, mut services } = state.catalog.save();
-        // The names are sorted, and no name goes before all others.
+    /// The snapshot of a state.
+    pub(super) fn of(state: &State) -> Snapshot {
+        let CatalogSnapshot { newest, gaps, horizon, dropped_version, mut services } =
+            state.catalog.snapshot();
+        // Services are sorted by name, and the empty name is first.
         let has_unnamed = services.first().is_some_and(|service| service.name.is_unnamed());
         let unnamed = has_unnamed.then(|| services.remove(0));
-        let of_unnamed = unnamed.as_ref().map_or(dropped, |service| service.horizon);
-        let alone = services.is_empty() && dropped == 0;
+        let unnamed_horizon = unnamed.as_ref().map_or(dropped_version, |service| service.horizon);
+        let has_named = !services.is_empty() || dropped_version != 0;
         Snapshot {
             seq: newest,
-            horizon: of_unnamed.max(horizon),
+            horizon: unnamed_horizon.max(horizon),
             gaps,
             token: state.token,
             leases: state.leases.values().cloned().collect(),
             routes: state.routes.clone(),
             changes: unnamed.map_or_else(Vec::new, |service| service.changes),
-            services: (!alone).then_some(Services { horizon, dropped, list: services }),
+            services: has_named.then_some(Services { horizon, dropped: dropped_version, list: services }),
         }
     }
 
-    /// The state that it was made of, but for the last start.
-    pub fn restore(self, max_tombstones: usize) -> State {
+    /// The state that the snapshot was made of, without the version of the last start.
+    pub(super) fn restore(self, max_tombstones: usize) -> State {
         let unnamed =
-            SavedService { name: ServiceName::default(), horizon: self.horizon, changes: self.changes };
-        // One from before there were services tells one horizon, and it holds for every name.
+            ServiceSnapshot { name: ServiceName::default(), horizon: self.horizon, changes: self.changes };
+        // A snapshot from before there were named services has one horizon, which holds for every name.
         let Services { horizon, dropped, mut list } =
             self.services.unwrap_or(Services { horizon: self.horizon, dropped: 0, list: Vec::new() });
         list.push(unnamed);
-        let saved = Saved { newest: self.seq, gaps: self.gaps, horizon, dropped, services: list };
+        let snapshot = CatalogSnapshot {
+            newest: self.seq,
+            gaps: self.gaps,
+            horizon,
+            dropped_version: dropped,
+            services: list,
+        };
         State {
-            catalog: Catalog::restore(saved, max_tombstones),
+            catalog: Catalog::restore(snapshot, max_tombstones),
             token: self.token,
             leases: self.leases.into_iter().map(|lease| (lease.duty.clone(), lease)).collect(),
             routes: self.routes,
--- a/src/bin/registry/store/state.rs
+++ b/src/bin/registry/store/state.rs
@@ -1,4 +1,4 @@
-//! The whole state: the lists, the leases and the route table.
+//! The registry's state: the lists of all services, the leases and the route table.
 
 use super::Record;
 use crate::lease::Lease;
@@ -6,26 +6,26 @@
 use load_balancer::route_table::RouteRecord;
 use std::collections::BTreeMap;
 
-/// The state as the log and the snapshot give it.
-pub struct State {
+/// The state as the snapshot and the log give it. It changes only by records that are on disk.
+pub(crate) struct State {
     /// The lists of all services.
-    pub catalog: Catalog,
-    /// The highest fencing token that was granted, or a start above it.
-    pub token: u64,
-    /// Who holds which duty.
-    pub leases: BTreeMap<String, Lease>,
-    /// The route table, its proposal and its rollout; none before the first.
-    pub routes: Option<RouteRecord>,
+    pub(crate) catalog: Catalog,
+    /// The highest fencing token that was granted, or the version of a later start.
+    pub(crate) token: u64,
+    /// The leases on disk, by duty.
+    pub(crate) leases: BTreeMap<String, Lease>,
+    /// The route table with its proposal and its rollout; none before the first one.
+    pub(crate) routes: Option<RouteRecord>,
 }
 
 impl State {
-    /// Nothing yet.
+    /// The state of an empty data directory.
     pub(super) fn new(max_tombstones: usize) -> State {
         State { catalog: Catalog::new(max_tombstones), token: 0, leases: BTreeMap::new(), routes: None }
     }
 
-    /// Takes a record in.
-    pub fn apply(&mut self, record: Record) {
+    /// Applies a record. One that a snapshot holds already changes nothing.
+    pub(crate) fn apply(&mut self, record: Record) {
         match record {
             Record::Update { service, update } => self.catalog.apply(&service, update),
             Record::Start(seq) => self.start(seq),
@@ -34,16 +34,16 @@
                 self.leases.insert(lease.duty.clone(), lease);
             }
             Record::Release(duty) => drop(self.leases.remove(&duty)),
-            // Met again after a snapshot that holds it or a later one.
             Record::Routes(routes) => {
-                if self.routes.as_ref().is_none_or(|held| held.change < routes.change) {
+                let is_newer = self.routes.as_ref().is_none_or(|present| present.change < routes.change);
+                if is_newer {
                     self.routes = Some(*routes);
                 }
             }
         }
     }
 
-    /// Versions and tokens go on from `seq`.
+    /// Lets versions and tokens continue from `seq`.
     pub(super) fn start(&mut self, seq: u64) {
         self.token = self.token.max(seq);
         self.catalog.start(seq);
--- a/src/bin/registry/writer/commit.rs
+++ b/src/bin/registry/writer/commit.rs
@@ -29,7 +29,7 @@
         match &result {
             Ok(()) => {
                 publish(&self.shared, records);
-                if self.log.due(self.snapshot_every) {
+                if self.log.is_snapshot_due(self.snapshot_every) {
                     // Lists are answered meanwhile: this thread is the only one that writes the state.
                     write_snapshot(&mut self.log, &self.shared.state());
                 }
@@ -82,7 +82,7 @@
             let took_ms = started.elapsed().as_millis() as u64;
             info!(
                 seq = state.catalog.newest(),
-                entries = state.catalog.live(),
+                entries = state.catalog.entry_count(),
                 bytes,
                 took_ms,
                 "snapshot written, log compacted"
--- a/src/catalog/change.rs
+++ b/src/catalog/change.rs
@@ -1,36 +1,36 @@
-//! What happens to the entries of a service.
+//! Changes and renewals of entries, as the log and the snapshot hold them. The order of fields is the order on disk.
 
 use super::Entry;
 use serde::{Deserialize, Serialize};
 
-/// A change with its version.
+/// An entry as of a version.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// Its version.
+    /// The version of the change.
     pub seq: u64,
     /// The entry as it is from this version on.
     pub entry: Entry,
-    /// How long it lives without renewal, in milliseconds.
-    #[serde(default = "minute")]
+    /// How long the entry lives without renewal, in milliseconds. Records from before it was stored mean one minute.
+    #[serde(default = "default_ttl_ms")]
     pub ttl_ms: u64,
 }
 
-fn minute() -> u64 {
+fn default_ttl_ms() -> u64 {
     60_000
 }
 
-/// What happens to an entry.
+/// An update of an entry.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
 pub enum Update {
-    /// A change: a new version.
+    /// A change, which is a new version.
     Change(Change),
     /// A renewal with another TTL, which is no new version.
     Renewal {
-        /// Whose.
+        /// The entry's host.
         host: String,
-        /// The TTL from now on, in milliseconds.
+        /// The new TTL, in milliseconds.
         ttl_ms: u64,
     },
 }
--- a/src/catalog/history.rs
+++ b/src/catalog/history.rs
@@ -1,59 +1,58 @@
-//! The one sequence of versions that all services share.
+//! The sequence of versions that all services share, and the gaps in it.
+//!
+//! Every start of the registry continues at a version far above all earlier ones. The versions between were never given
+//! out in this history; a client that holds one has it from a history that was lost, with the disk or with its last
+//! records.
 
 use std::collections::VecDeque;
 
-/// Starts whose gaps are kept; a watch from before the oldest one gets the whole list.
+/// Starts whose gaps are remembered; a watch from before the oldest of them gets the full list.
 pub const MAX_GAPS: usize = 64;
 
-/// Which versions were given out in this history.
+/// The versions that were given out in this history.
 #[derive(Default)]
-pub struct History {
+pub(super) struct History {
     newest: u64,
     last_start: u64,
-    /// Versions between these were never given out: a watch from there holds what was lost, or another history.
+    /// Pairs of the last version before a start and the start's: versions between them were never given out.
     gaps: VecDeque<(u64, u64)>,
-    /// The end of the newest gap that is no longer kept.
+    /// The end of the newest gap that is no longer remembered.
     horizon: u64,
 }
 
 impl History {
-    /// As it was saved.
-    pub fn restored(newest: u64, gaps: VecDeque<(u64, u64)>, horizon: u64) -> History {
+    /// The history of a snapshot, without the version of the last start.
+    pub(super) fn restored(newest: u64, gaps: VecDeque<(u64, u64)>, horizon: u64) -> History {
         History { newest, last_start: 0, gaps, horizon }
     }
 
     /// The newest version.
-    pub fn newest(&self) -> u64 {
+    pub(super) fn newest(&self) -> u64 {
         self.newest
     }
 
-    /// The version of the last start that is known.
-    pub fn last_start(&self) -> u64 {
+    /// The version of the last start; 0 if none is known.
+    pub(super) fn last_start(&self) -> u64 {
         self.last_start
     }
 
-    /// Nothing is known of gaps before this version.
-    pub fn horizon(&self) -> u64 {
+    /// Gaps that end at or before this version are not remembered.
+    pub(super) fn horizon(&self) -> u64 {
         self.horizon
     }
 
-    /// How many gaps are kept.
-    pub fn gaps(&self) -> usize {
-        self.gaps.len()
-    }
-
-    /// The gaps that are kept.
-    pub fn kept_gaps(&self) -> &VecDeque<(u64, u64)> {
+    /// The gaps that are remembered, oldest first.
+    pub(super) fn gaps(&self) -> &VecDeque<(u64, u64)> {
         &self.gaps
     }
 
-    /// Whether a version was never given out in this history, between two starts.
-    pub fn lost(&self, version: u64) -> bool {
+    /// Whether a version lies in a remembered gap, so that it is of a history that was lost.
+    pub(super) fn is_in_gap(&self, version: u64) -> bool {
         self.gaps.iter().any(|&(last, next)| last < version && version < next)
     }
 
-    /// Takes a change's version, unless it is not newer than all before it.
-    pub fn advance(&mut self, version: u64) -> bool {
+    /// Advances to a change's version. False, and without effect, if it is not newer than all before it.
+    pub(super) fn advance(&mut self, version: u64) -> bool {
         if version <= self.newest && self.newest > 0 {
             return false;
         }
@@ -61,16 +60,18 @@
         true
     }
 
-    /// Goes on from a version that is newer than all before it.
-    pub fn start(&mut self, version: u64) {
+    /// Continues from a version, and remembers the gap below it. Without effect if the version is not newer than all
+    /// before it.
+    pub(super) fn start(&mut self, version: u64) {
         if version <= self.newest {
             return;
         }
         self.gaps.push_back((self.newest, version));
         if self.gaps.len() > MAX_GAPS {
-            let oldest = self.gaps.pop_front().map_or(0, |(_, end)| end);
-            self.horizon = self.horizon.max(oldest);
+            let oldest_end = self.gaps.pop_front().map_or(0, |(_, end)| end);
+            self.horizon = self.horizon.max(oldest_end);
         }
-        (self.newest, self.last_start) = (version, version);
+        self.newest = version;
+        self.last_start = version;
     }
 }
--- a/src/catalog/mod.rs
+++ b/src/catalog/mod.rs
@@ -1,28 +1,30 @@
 //! The state of the list service as a sans-I/O core: the entries of every service, each at the version of its last
 //! change.
 //!
-//! A [`Catalog`] is told changes in the order of their versions, which is one for all services, and answers lists and
-//! deltas of one service at a time. It has no clock, socket or disk: its user gives the versions, keeps the log, writes
-//! [`Saved`] as a snapshot and decides when a TTL has lapsed.
+//! A [`Catalog`] applies changes in the order of their versions, which is one order for all services, and answers lists
+//! and deltas of one service at a time. It has no clock, socket or disk: the registry gives out the versions, keeps the
+//! log, writes [`CatalogSnapshot`] and decides when a TTL is over.
 //!
-//! A service exists as long as it has an entry or the tombstone of one. Asking for a name makes nothing.
+//! A deleted entry leaves a tombstone, so that a delta can say that it is gone. The number of tombstones is bounded; what
+//! can no longer be answered as a delta is answered as the full list. A service exists as long as it has an entry or a
+//! tombstone; asking for a name creates nothing.
 
-mod cache;
 mod change;
 mod entry;
 mod history;
 mod name;
 mod page;
-mod saved;
+mod page_cache;
 mod service;
+mod snapshot;
 
-pub use cache::PageCache;
 pub use change::{Change, Update};
 pub use entry::{Entry, EntryError, Health};
 pub use history::MAX_GAPS;
 pub use name::{ServiceName, ServiceNameError};
 pub use page::Page;
-pub use saved::{Saved, SavedService};
+pub use page_cache::PageCache;
+pub use snapshot::{CatalogSnapshot, ServiceSnapshot};
 
 use history::History;
 use service::Service;
@@ -32,26 +34,26 @@
 pub struct Catalog {
     history: History,
     services: HashMap<ServiceName, Service>,
-    /// Deleted entries of all services by the version of their deletion.
+    /// The services of all tombstones, by the version of the deletion.
     tombstones: BTreeMap<u64, ServiceName>,
     max_tombstones: usize,
     /// The newest version of any service that was dropped: the horizon of every service that does not exist.
-    dropped: u64,
+    dropped_version: u64,
 }
 
 impl Catalog {
-    /// Nothing yet. At most `max_tombstones` deletions are kept for deltas, over all services together.
+    /// An empty catalog. At most `max_tombstones` deletions are kept for deltas, over all services together.
     pub fn new(max_tombstones: usize) -> Catalog {
         Catalog {
             history: History::default(),
             services: HashMap::new(),
             tombstones: BTreeMap::new(),
             max_tombstones,
-            dropped: 0,
+            dropped_version: 0,
         }
     }
 
-    /// The newest version of all services: the next change gets one above it.
+    /// The newest version of all services; the next change gets one above it.
     pub fn newest(&self) -> u64 {
         self.history.newest()
     }
@@ -59,39 +61,39 @@
     /// A service's own version: that of its newest change, or of the last start where that is newer. Of a service
     /// that does not exist, that of the newest one dropped.
     pub fn version(&self, service: &ServiceName) -> u64 {
-        let own = self.services.get(service).map_or(self.dropped, Service::version);
+        let own = self.services.get(service).map_or(self.dropped_version, Service::version);
         own.max(self.history.last_start())
     }
 
-    /// Changes of a service after this version are all still known: a watch from an older one gets the whole list.
+    /// All changes of a service after this version are known; a watch from an older one gets the full list.
     pub fn horizon(&self, service: &ServiceName) -> u64 {
-        let own = self.services.get(service).map_or(self.dropped, Service::horizon);
+        let own = self.services.get(service).map_or(self.dropped_version, Service::horizon);
         own.max(self.history.horizon())
     }
 
     /// The newest version of any service that was dropped; 0 when none was.
-    pub fn dropped(&self) -> u64 {
-        self.dropped
+    pub fn dropped_version(&self) -> u64 {
+        self.dropped_version
     }
 
-    /// Whether a service has an entry, or the tombstone of one.
-    pub fn has(&self, service: &ServiceName) -> bool {
+    /// Whether a service exists: it has an entry or a tombstone.
+    pub fn contains(&self, service: &ServiceName) -> bool {
         self.services.contains_key(service)
     }
 
-    /// Services that exist.
-    pub fn services(&self) -> usize {
+    /// Number of services that exist.
+    pub fn service_count(&self) -> usize {
         self.services.len()
     }
 
-    /// Entries of all services that are not deleted.
-    pub fn live(&self) -> usize {
+    /// Number of entries of all services that are not deleted.
+    pub fn entry_count(&self) -> usize {
         self.services.values().map(Service::len).sum::<usize>() - self.tombstones.len()
     }
 
-    /// Gaps between two starts that are remembered.
-    pub fn gaps(&self) -> usize {
-        self.history.gaps()
+    /// Number of gaps between two starts that are remembered.
+    pub fn gap_count(&self) -> usize {
+        self.history.gaps().len()
     }
 
     /// The last change of an entry, deleted or not.
@@ -109,8 +111,8 @@
         self.services.iter().flat_map(|(name, service)| service.live().map(move |change| (name, change)))
     }
 
-    /// Takes an update in. A change that is not newer than all before it is passed over, as when a log repeats what
-    /// a snapshot holds.
+    /// Applies an update. A change that is not newer than all before it has no effect, as when a log repeats what a
+    /// snapshot holds.
     pub fn apply(&mut self, service: &ServiceName, update: Update) {
         match update {
             Update::Change(change) if self.history.advance(change.seq) => self.insert(service, change),
@@ -121,55 +123,57 @@
                 }
             }
         }
-        self.trim();
+        self.drop_oldest_tombstones();
     }
 
-    /// Versions go on from `seq`, also that of each service: none between the newest one and that was given out, or
-    /// none that is still known.
+    /// Continues from version `seq`, for all services. Versions between the newest one and `seq` were never given out, or
+    /// were lost; a watch that holds one gets the full list.
     pub fn start(&mut self, seq: u64) {
         self.history.start(seq);
     }
 
-    /// Whether all changes of a service after a version are known: it is not too old, nor of another history.
-    pub fn knows(&self, service: &ServiceName, after: u64) -> bool {
-        let told = self.horizon(service)..=self.version(service);
-        told.contains(&after) && !self.history.lost(after)
+    /// Whether all changes of a service after a version are known. They are not if the version is below the horizon, above
+    /// the service's version, or in a gap: the last two are of a history that was lost.
+    pub fn knows_changes_after(&self, service: &ServiceName, after: u64) -> bool {
+        let known = self.horizon(service)..=self.version(service);
+        known.contains(&after) && !self.history.is_in_gap(after)
     }
 
-    /// The whole list of a service.
-    pub fn whole(&self, service: &ServiceName) -> Page<'_> {
-        let hosts = self.services.get(service).map(Service::whole).unwrap_or_default();
-        Page { seq: self.version(service), whole: true, hosts }
+    /// The full list of a service.
+    pub fn full_list(&self, service: &ServiceName) -> Page<'_> {
+        let hosts = self.services.get(service).map(Service::full_list).unwrap_or_default();
+        Page { seq: self.version(service), is_full_list: true, hosts }
     }
 
-    /// What changed in a service after a version, or the whole list where that is not known.
-    pub fn since(&self, service: &ServiceName, after: u64) -> Page<'_> {
-        if !self.knows(service, after) {
-            return self.whole(service);
+    /// The changes of a service after a version, or its full list where they are not all known.
+    pub fn changes_after(&self, service: &ServiceName, after: u64) -> Page<'_> {
+        if !self.knows_changes_after(service, after) {
+            return self.full_list(service);
         }
-        let hosts = self.services.get(service).map(|service| service.since(after)).unwrap_or_default();
-        Page { seq: self.version(service), whole: false, hosts }
+        let hosts =
+            self.services.get(service).map(|service| service.changes_after(after)).unwrap_or_default();
+        Page { seq: self.version(service), is_full_list: false, hosts }
     }
 
     fn insert(&mut self, name: &ServiceName, change: Change) {
-        let dropped = self.dropped;
-        let service = self.services.entry(name.clone()).or_insert_with(|| Service::new(dropped));
-        let deleted = (change.entry.health == Health::Deleted).then_some(change.seq);
-        if let Some(old) = service.insert(change) {
-            self.tombstones.remove(&old.seq);
+        let horizon = self.dropped_version;
+        let service = self.services.entry(name.clone()).or_insert_with(|| Service::new(horizon));
+        let tombstone = (change.entry.health == Health::Deleted).then_some(change.seq);
+        if let Some(previous) = service.insert(change) {
+            self.tombstones.remove(&previous.seq);
         }
-        self.tombstones.extend(deleted.map(|seq| (seq, name.clone())));
+        self.tombstones.extend(tombstone.map(|seq| (seq, name.clone())));
     }
 
-    /// Tombstones are kept for deltas only; the oldest of all services go first. The horizon of their service follows
-    /// them, and the service goes with its last one.
-    fn trim(&mut self) {
+    /// Keeps the tombstones within their bound. The oldest of all services go first; the horizon of their service rises
+    /// with them, and a service is dropped with its last one.
+    fn drop_oldest_tombstones(&mut self) {
         while self.tombstones.len() > self.max_tombstones {
             let Some((seq, name)) = self.tombstones.pop_first() else { return };
             let Some(service) = self.services.get_mut(&name) else { continue };
-            service.forget(seq);
+            service.remove_tombstone(seq);
             if service.len() == 0 {
-                self.dropped = self.dropped.max(service.version());
+                self.dropped_version = self.dropped_version.max(service.version());
                 self.services.remove(&name);
             }
         }
--- a/src/catalog/name.rs
+++ b/src/catalog/name.rs
@@ -1,4 +1,4 @@
-//! Names of services.
+//! Names of services, and their check.
 
 use serde::{Deserialize, Serialize, Serializer};
 use std::fmt;
@@ -6,33 +6,34 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Longest name of a service, as of a DNS label.
-const MAX_NAME: usize = 63;
+/// Longest name of a service, in bytes: the limit of a DNS label.
+const MAX_NAME_BYTES: usize = 63;
 
-/// The name of a service; the default is the service of no name, which everything without a service belongs to.
+/// The name of a service. The default is the empty name, that of the unnamed service, to which everything belongs that
+/// names no service.
 #[derive(Deserialize, Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[serde(try_from = "String")]
 pub struct ServiceName(Arc<str>);
 
-/// Why a text is no name of a service.
+/// A text that is no name of a service, shortened. Its message is answered to the caller.
 #[derive(Error, Clone, Debug, PartialEq, Eq)]
 #[error(
-    "service: {0:?} must be 1 to {MAX_NAME} of a-z, 0-9, '.' and '-'; leave it out for the service of no name"
+    "service: {0:?} must be 1 to {MAX_NAME_BYTES} of a-z, 0-9, '.' and '-'; leave it out for the service of no name"
 )]
 pub struct ServiceNameError(String);
 
 impl ServiceName {
-    /// The name, if the text is one.
+    /// Checks the text: 1 to 63 of `a-z`, `0-9`, `.` and `-`.
     pub fn new(text: &str) -> Result<ServiceName, ServiceNameError> {
         let allowed = |byte: u8| matches!(byte, b'a'..=b'z' | b'0'..=b'9' | b'.' | b'-');
-        if text.is_empty() || text.len() > MAX_NAME || !text.bytes().all(allowed) {
-            // The start of it is enough to find it by.
-            return Err(ServiceNameError(text.chars().take(MAX_NAME + 1).collect()));
+        if text.is_empty() || text.len() > MAX_NAME_BYTES || !text.bytes().all(allowed) {
+            // Shortened, so that the error's size is bounded whatever the caller sent.
+            return Err(ServiceNameError(text.chars().take(MAX_NAME_BYTES + 1).collect()));
         }
         Ok(ServiceName(text.into()))
     }
 
-    /// Whether this is the service of no name.
+    /// Whether this is the name of the unnamed service.
     pub fn is_unnamed(&self) -> bool {
         self.0.is_empty()
     }
--- a/src/catalog/service.rs
+++ b/src/catalog/service.rs
@@ -1,87 +1,90 @@
-//! The entries of one service.
+//! The entries and tombstones of one service, each at the version of its last change.
 
 use super::{Change, Entry, Health};
 use std::collections::{BTreeMap, HashMap};
 use std::ops::Bound;
 
-/// The entries of one service, each at the version of its last change.
-pub struct Service {
-    slots: HashMap<String, Change>,
-    by_seq: BTreeMap<u64, String>,
+/// One service of a catalog.
+pub(super) struct Service {
+    by_host: HashMap<String, Change>,
+    /// The host that was changed last at each version.
+    host_by_version: BTreeMap<u64, String>,
+    /// All changes after this version are known.
     horizon: u64,
 }
 
 impl Service {
-    /// No entry yet; nothing is known of changes before the horizon.
-    pub fn new(horizon: u64) -> Service {
-        Service { slots: HashMap::new(), by_seq: BTreeMap::new(), horizon }
+    /// A service without entries, of which nothing is known up to the horizon.
+    pub(super) fn new(horizon: u64) -> Service {
+        Service { by_host: HashMap::new(), host_by_version: BTreeMap::new(), horizon }
     }
 
-    /// Entries and tombstones.
-    pub fn len(&self) -> usize {
-        self.slots.len()
+    /// Number of entries and tombstones.
+    pub(super) fn len(&self) -> usize {
+        self.by_host.len()
     }
 
-    /// The version of the newest change.
-    pub fn version(&self) -> u64 {
-        self.by_seq.last_key_value().map_or(self.horizon, |(&newest, _)| newest.max(self.horizon))
+    /// The version of the newest change that is known, or the horizon.
+    pub(super) fn version(&self) -> u64 {
+        self.host_by_version.last_key_value().map_or(self.horizon, |(&newest, _)| newest.max(self.horizon))
     }
 
-    /// Changes after this version are all still known.
-    pub fn horizon(&self) -> u64 {
+    /// All changes after this version are known.
+    pub(super) fn horizon(&self) -> u64 {
         self.horizon
     }
 
     /// The last change of an entry, deleted or not.
-    pub fn get(&self, host: &str) -> Option<&Change> {
-        self.slots.get(host)
+    pub(super) fn get(&self, host: &str) -> Option<&Change> {
+        self.by_host.get(host)
     }
 
-    /// The entries that are not deleted, in no order.
-    pub fn live(&self) -> impl Iterator<Item = &Change> {
-        self.slots.values().filter(|change| change.entry.health != Health::Deleted)
+    /// The entries that are not deleted, in no particular order.
+    pub(super) fn live(&self) -> impl Iterator<Item = &Change> {
+        self.by_host.values().filter(|change| change.entry.health != Health::Deleted)
     }
 
     /// Entries and tombstones in the order of their versions.
-    pub fn changes(&self) -> impl Iterator<Item = &Change> {
-        self.by_seq.values().map(|host| &self.slots[host])
+    pub(super) fn changes(&self) -> impl Iterator<Item = &Change> {
+        self.host_by_version.values().map(|host| &self.by_host[host])
     }
 
-    /// Takes a change in; the one before it of the same entry.
-    pub fn insert(&mut self, change: Change) -> Option<Change> {
-        let (seq, host) = (change.seq, change.entry.host.clone());
-        let old = self.slots.insert(host.clone(), change);
-        if let Some(old) = &old {
-            self.by_seq.remove(&old.seq);
+    /// Applies a change. Returns the previous change of the same entry.
+    pub(super) fn insert(&mut self, change: Change) -> Option<Change> {
+        let seq = change.seq;
+        let host = change.entry.host.clone();
+        let previous = self.by_host.insert(host.clone(), change);
+        if let Some(previous) = &previous {
+            self.host_by_version.remove(&previous.seq);
         }
-        self.by_seq.insert(seq, host);
-        old
+        self.host_by_version.insert(seq, host);
+        previous
     }
 
-    /// Another TTL for an entry.
-    pub fn renew(&mut self, host: &str, ttl_ms: u64) {
-        if let Some(change) = self.slots.get_mut(host) {
+    /// Sets the TTL of an entry, which is no new version.
+    pub(super) fn renew(&mut self, host: &str, ttl_ms: u64) {
+        if let Some(change) = self.by_host.get_mut(host) {
             change.ttl_ms = ttl_ms;
         }
     }
 
-    /// The tombstone of a version goes, and the horizon follows it.
-    pub fn forget(&mut self, seq: u64) {
-        if let Some(host) = self.by_seq.remove(&seq) {
-            self.slots.remove(&host);
+    /// Removes the tombstone of a version; the horizon rises to it.
+    pub(super) fn remove_tombstone(&mut self, seq: u64) {
+        if let Some(host) = self.host_by_version.remove(&seq) {
+            self.by_host.remove(&host);
         }
         self.horizon = self.horizon.max(seq);
     }
 
-    /// All entries.
-    pub fn whole(&self) -> Vec<&Entry> {
+    /// The entries that are not deleted, in the order of their last changes.
+    pub(super) fn full_list(&self) -> Vec<&Entry> {
         let entries = self.changes().map(|change| &change.entry);
         entries.filter(|entry| entry.health != Health::Deleted).collect()
     }
 
-    /// What changed after a version.
-    pub fn since(&self, after: u64) -> Vec<&Entry> {
-        let newer = self.by_seq.range((Bound::Excluded(after), Bound::Unbounded));
-        newer.map(|(_, host)| &self.slots[host].entry).collect()
+    /// The entries and tombstones that changed after a version, in the order of their changes.
+    pub(super) fn changes_after(&self, after: u64) -> Vec<&Entry> {
+        let newer = self.host_by_version.range((Bound::Excluded(after), Bound::Unbounded));
+        newer.map(|(_, host)| &self.by_host[host].entry).collect()
     }
 }
--- a/tests/catalog/model.rs
+++ b/tests/catalog/model.rs
@@ -48,7 +48,7 @@
 
 impl Client {
     fn take(&mut self, page: &Page) {
-        if page.whole {
+        if page.is_full_list {
             self.hosts.clear();
         }
         for entry in &page.hosts {
@@ -105,15 +105,15 @@
                 model.apply(service, HOSTS[host], health, seq);
             }
             Step::Restart { lost } => {
-                let saved = catalog.save();
+                let saved = catalog.snapshot();
                 catalog = Catalog::restore(saved.clone(), MAX_TOMBSTONES);
-                prop_assert_eq!(&catalog.save(), &saved, "a snapshot is read back as it was");
+                prop_assert_eq!(&catalog.snapshot(), &saved, "a snapshot is read back as it was");
                 start = catalog.newest() + 1 + lost;
                 catalog.start(start);
             }
             Step::Ask { service } => {
                 let mut client = Client::default();
-                client.take(&catalog.whole(&name(SERVICES[service])));
+                client.take(&catalog.full_list(&name(SERVICES[service])));
                 clients[service].push(client);
             }
         }
@@ -128,13 +128,13 @@
     clients: &mut [Vec<Client>],
     start: u64,
 ) -> Result<(), TestCaseError> {
-    prop_assert_eq!(catalog.live(), model.entries.len());
-    let stored: usize = catalog.save().services.iter().map(|service| service.changes.len()).sum();
-    prop_assert!(stored - catalog.live() <= MAX_TOMBSTONES);
+    prop_assert_eq!(catalog.entry_count(), model.entries.len());
+    let stored: usize = catalog.snapshot().services.iter().map(|service| service.changes.len()).sum();
+    prop_assert!(stored - catalog.entry_count() <= MAX_TOMBSTONES);
     for (service, clients) in clients.iter_mut().enumerate() {
         let (text, truth) = (name(SERVICES[service]), model.listed(service));
         let newest = model.newest.get(&service).copied().unwrap_or(0);
-        if catalog.has(&text) {
+        if catalog.contains(&text) {
             prop_assert_eq!(catalog.version(&text), newest.max(start), "its own newest change or the start");
         } else {
             prop_assert!(truth.is_empty() && catalog.version(&text) >= newest.max(start));
@@ -152,12 +152,12 @@
     clients: &mut [Client],
 ) -> Result<(), TestCaseError> {
     for (index, client) in clients.iter_mut().enumerate() {
-        let page = catalog.since(service, client.version);
+        let page = catalog.changes_after(service, client.version);
         let mut next = client.clone();
         next.take(&page);
         prop_assert_eq!(&next.hosts, truth, "after version {}", client.version);
         prop_assert!(next.version >= client.version, "a version goes back");
-        prop_assert!(page.whole || catalog.knows(service, client.version));
+        prop_assert!(page.is_full_list || catalog.knows_changes_after(service, client.version));
         if index % 2 == 0 {
             *client = next;
         }
--- a/tests/unit/registry/store.rs
+++ b/tests/unit/registry/store.rs
@@ -1,4 +1,4 @@
-use super::log::MIN_RECORD;
+use super::recovery::MIN_CHANGE_BYTES;
 use super::*;
 use crate::lease::Lease;
 use load_balancer::catalog::{Change, Entry, Health, MAX_GAPS, Page, ServiceName, Update};
@@ -27,7 +27,7 @@
 }
 
 fn since(state: &State, after: u64) -> Page<'_> {
-    state.catalog.since(&ServiceName::default(), after)
+    state.catalog.changes_after(&ServiceName::default(), after)
 }
 
 fn horizon(state: &State) -> u64 {
@@ -44,13 +44,17 @@
         assert_eq!(state.catalog.newest(), start, "a start never goes back");
     }
     state.apply(change(21, "b", Health::Serving));
-    let whole: Vec<u64> = (0..23).filter(|&after| since(&state, after).whole).collect();
+    let whole: Vec<u64> = (0..23).filter(|&after| since(&state, after).is_full_list).collect();
     assert_eq!(whole, (2..10).chain(11..20).chain([22]).collect::<Vec<_>>());
     for start in 0..MAX_GAPS as u64 {
         state.apply(Record::Start(100 + start * 10));
     }
-    assert_eq!((state.catalog.gaps(), horizon(&state)), (MAX_GAPS, 20), "old gaps go, the horizon follows");
-    assert!(since(&state, 1).whole && !since(&state, 21).whole);
+    assert_eq!(
+        (state.catalog.gap_count(), horizon(&state)),
+        (MAX_GAPS, 20),
+        "old gaps go, the horizon follows"
+    );
+    assert!(since(&state, 1).is_full_list && !since(&state, 21).is_full_list);
 }
 
 #[test]
@@ -70,7 +74,7 @@
         let again = Record::decode(&text).expect("a record").encode().expect("JSON");
         assert_eq!(text, again);
         assert!(
-            text.len() as u64 + 8 >= MIN_RECORD
+            text.len() as u64 + 8 >= MIN_CHANGE_BYTES
                 || !matches!(record, Record::Update { update: Update::Change(_), .. })
         );
     }
@@ -79,7 +83,7 @@
         entry: Entry { site: String::new(), dial: None, ..entry("a", Health::Deleted) },
         ttl_ms: 1,
     };
-    assert!(unnamed(Update::Change(least)).encode().expect("JSON").len() as u64 + 8 >= MIN_RECORD);
+    assert!(unnamed(Update::Change(least)).encode().expect("JSON").len() as u64 + 8 >= MIN_CHANGE_BYTES);
     assert!(Record::decode(b"{}").is_none());
 }
 
@@ -90,12 +94,12 @@
     state.apply(change(2, "b", Health::Serving));
     state.apply(change(3, "a", Health::Deleted));
     let delta = since(&state, 1);
-    assert!(!delta.whole);
+    assert!(!delta.is_full_list);
     assert_eq!(delta.hosts.iter().map(|e| e.host.as_str()).collect::<Vec<_>>(), ["b", "a"]);
-    assert_eq!(state.catalog.whole(&ServiceName::default()).hosts.len(), 1);
+    assert_eq!(state.catalog.full_list(&ServiceName::default()).hosts.len(), 1);
     state.apply(change(4, "b", Health::Deleted));
     assert_eq!(horizon(&state), 3, "the oldest tombstone went");
-    assert!(since(&state, 2).whole, "a delta from before the horizon would miss a deletion");
-    assert!(!since(&state, 3).whole);
-    assert!(since(&state, 9).whole, "a version from another history");
+    assert!(since(&state, 2).is_full_list, "a delta from before the horizon would miss a deletion");
+    assert!(!since(&state, 3).is_full_list);
+    assert!(since(&state, 9).is_full_list, "a version from another history");
 }
