--- a/src/bin/registry/config.rs
+++ b/src/bin/registry/config.rs
@@ -110,7 +110,7 @@
                 header_timeout: Duration::from_millis(header_timeout),
                 max_body: file.max_body_bytes.unwrap_or(MAX_BODY),
             },
-            routes: file.routes.filter(|routes| routes.own.enabled),
+            routes: file.routes.filter(|routes| routes.service.enabled),
         })
     }
 }
--- a/src/bin/registry/http/answer.rs
+++ b/src/bin/registry/http/answer.rs
@@ -1,65 +1,77 @@
-//! Answers, and bodies of calls.
+//! Answers to calls, and rejections with their reason.
 
-use super::context::Context;
 use bytes::Bytes;
-use http_body_util::{BodyExt, Full, Limited};
-use hyper::body::{Body, Incoming};
-use hyper::{Request, Response, StatusCode, header};
-use serde::de::DeserializeOwned;
-use tokio::sync::Semaphore;
-use tokio::time::timeout;
+use http_body_util::Full;
+use hyper::{Response, StatusCode, header};
+use serde::Serialize;
+use std::fmt::Display;
 
-/// What a call gets.
-pub type Answer = Response<Full<Bytes>>;
+/// The answer to a call.
+pub(super) type Answer = Response<Full<Bytes>>;
 
-/// An answer: JSON when all is well, else plain text.
-pub fn answer(status: StatusCode, body: impl Into<Bytes>) -> Answer {
-    let mut response = Response::new(Full::new(body.into()));
-    *response.status_mut() = status;
-    let kind = if status == StatusCode::OK { "application/json" } else { "text/plain" };
-    response.headers_mut().insert(header::CONTENT_TYPE, header::HeaderValue::from_static(kind));
-    response
+/// The result of a call's handler.
+pub(super) type HandlerResult = Result<Answer, Rejection>;
+
+/// A call that is not served: its status, and the reason as plain text for the caller.
+#[derive(Debug)]
+pub(super) struct Rejection {
+    status: StatusCode,
+    reason: String,
 }
 
-/// A refusal with its reason.
-pub fn refuse(status: StatusCode, why: impl std::fmt::Display) -> Answer {
-    let mut response = answer(status, format!("{why}\n"));
-    if matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS) {
-        response.headers_mut().insert(header::RETRY_AFTER, header::HeaderValue::from_static("1"));
+impl Rejection {
+    /// Rejects a call with this status and reason.
+    pub(super) fn new(status: StatusCode, reason: impl Display) -> Rejection {
+        Rejection { status, reason: reason.to_string() }
+    }
+
+    /// Rejects a call that is malformed.
+    pub(super) fn bad_request(reason: impl Display) -> Rejection {
+        Rejection::new(StatusCode::BAD_REQUEST, reason)
+    }
+
+    /// Rejects a call that may succeed when it is sent again, or after the operator has acted.
+    pub(super) fn unavailable(reason: impl Display) -> Rejection {
+        Rejection::new(StatusCode::SERVICE_UNAVAILABLE, reason)
+    }
+
+    /// Rejects a method that the path does not have; the reason names those that it has.
+    pub(super) fn method_not_allowed(reason: &str) -> Rejection {
+        Rejection::new(StatusCode::METHOD_NOT_ALLOWED, reason)
     }
-    response
 }
 
-/// A body, or the refusal that it gets. `held` bounds what such bodies take together, in KiB.
-pub async fn bytes(
-    request: Request<Incoming>,
-    held: &Semaphore,
-    most: usize,
-    context: &Context,
-) -> Result<Bytes, Answer> {
-    // Bodies in work hold so much memory together; one of unknown length counts as the longest.
-    let length = request.body().size_hint().exact().unwrap_or(most as u64).min(most as u64);
-    let Ok(_held) = held.try_acquire_many((length / 1024 + 1) as u32) else {
-        return Err(refuse(
-            StatusCode::SERVICE_UNAVAILABLE,
-            "too many bodies at once; send it again in a second",
-        ));
-    };
-    let body = Limited::new(request.into_body(), most).collect();
-    let Ok(body) = timeout(context.limits.header_timeout, body).await else {
-        return Err(refuse(StatusCode::REQUEST_TIMEOUT, "the body did not come in time"));
-    };
-    match body {
-        Ok(body) => Ok(body.to_bytes()),
-        Err(e) if e.is::<http_body_util::LengthLimitError>() => {
-            Err(refuse(StatusCode::PAYLOAD_TOO_LARGE, format!("at most {most} bytes; send less at once")))
+impl From<Rejection> for Answer {
+    fn from(rejection: Rejection) -> Answer {
+        let Rejection { status, reason } = rejection;
+        let mut answer = answer(status, format!("{reason}\n"));
+        if matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS) {
+            answer.headers_mut().insert(header::RETRY_AFTER, header::HeaderValue::from_static("1"));
         }
-        Err(e) => Err(refuse(StatusCode::BAD_REQUEST, e)),
+        answer
     }
 }
 
-/// The body of a write as JSON, or the refusal that it gets.
-pub async fn body<T: DeserializeOwned>(request: Request<Incoming>, context: &Context) -> Result<T, Answer> {
-    let body = bytes(request, &context.bodies, context.limits.max_body, context).await?;
-    serde_json::from_slice(&body).map_err(|e| refuse(StatusCode::BAD_REQUEST, e))
+/// An answer with this status and body. The body is JSON if the status is 200, else it is labelled plain text.
+pub(super) fn answer(status: StatusCode, body: impl Into<Bytes>) -> Answer {
+    let mut response = Response::new(Full::new(body.into()));
+    *response.status_mut() = status;
+    let content_type = if status == StatusCode::OK { "application/json" } else { "text/plain" };
+    response.headers_mut().insert(header::CONTENT_TYPE, header::HeaderValue::from_static(content_type));
+    response
+}
+
+/// The answer with status 200 and a body that is JSON already.
+pub(super) fn encoded(body: impl Into<Bytes>) -> Answer {
+    answer(StatusCode::OK, body)
+}
+
+/// The answer with status 200 and a page as JSON.
+pub(super) fn json_page(page: &impl Serialize) -> HandlerResult {
+    serde_json::to_vec(page).map(encoded).map_err(encoding_failed)
+}
+
+/// The rejection of a call whose answer can't be encoded.
+pub(super) fn encoding_failed(error: serde_json::Error) -> Rejection {
+    Rejection::new(StatusCode::INTERNAL_SERVER_ERROR, error)
 }
--- a/src/bin/registry/http/context.rs
+++ b/src/bin/registry/http/context.rs
@@ -1,57 +1,55 @@
-//! What calls are served from, and its limits.
+//! What the handlers of calls are given: the shared state, the queue to the writer thread, and the readers of bodies.
 
+use super::body::BodyReader;
 use crate::writer::{Shared, WriteQueue};
 use std::sync::Arc;
 use std::time::Duration;
-use tokio::sync::Semaphore;
 
-/// Bodies of writes that are held at once.
-const MAX_BODIES_KIB: usize = 64 << 10;
-/// Bodies of reports that are held at once.
-const MAX_REPORTS_KIB: usize = 16 << 10;
-/// Bodies of recorded segments that are held at once.
-const MAX_TRACES_KIB: usize = 32 << 10;
-/// For a path that nothing is at.
-pub const NO_PATH: &str =
-    "no such path; the list is at /registry/instances, the leases are at /registry/leases";
+/// Memory for bodies of writes, in KiB.
+const WRITE_BUDGET_KIB: usize = 64 << 10;
+/// Memory for bodies of reports, in KiB.
+const REPORT_BUDGET_KIB: usize = 16 << 10;
+/// Memory for bodies of recorded segments, in KiB.
+const SEGMENT_BUDGET_KIB: usize = 32 << 10;
+/// Longest report, in bytes.
+const MAX_REPORT_BYTES: usize = 1 << 20;
 
-/// Limits of the serving side.
+/// The limits of the serving side, from the configuration.
 #[derive(Clone, Copy)]
-pub struct Limits {
-    /// Connections open at once; more are closed as they come.
-    pub connections: usize,
-    /// A request's head must be in within this.
-    pub header_timeout: Duration,
+pub(crate) struct Limits {
+    /// Most connections open at once; further ones are closed as soon as they are accepted.
+    pub(crate) connections: usize,
+    /// Time in which the head of a request, and then its body, must arrive, and in which an answer must be taken.
+    pub(crate) header_timeout: Duration,
     /// Longest body of a write, in bytes.
-    pub max_body: usize,
+    pub(crate) max_body: usize,
 }
 
-/// What each call is served from.
-pub struct Context {
+/// What each handler is given.
+pub(super) struct Context {
     /// The state.
-    pub shared: Arc<Shared>,
-    /// To the writer.
-    pub writes: WriteQueue,
-    /// Limits of the serving side.
-    pub limits: Limits,
-    /// KiB of bodies in work: of writes, of reports and of recorded segments, so that none holds up another kind.
-    pub bodies: Semaphore,
-    /// Of reports.
-    pub reports: Semaphore,
-    /// Of recorded segments.
-    pub traces: Semaphore,
+    pub(super) shared: Arc<Shared>,
+    /// The queue to the writer thread.
+    pub(super) writes: WriteQueue,
+    /// Reads bodies of writes.
+    pub(super) write_bodies: BodyReader,
+    /// Reads bodies of proxies' reports.
+    pub(super) report_bodies: BodyReader,
+    /// Reads bodies of recorded segments.
+    pub(super) segment_bodies: BodyReader,
 }
 
 impl Context {
-    /// With all its room free.
-    pub fn new(shared: Arc<Shared>, writes: WriteQueue, limits: Limits) -> Context {
+    /// The context of a server with these limits. The budget of writes always fits one write of the longest kind.
+    pub(super) fn new(shared: Arc<Shared>, writes: WriteQueue, limits: Limits) -> Context {
+        let write_budget_kib = WRITE_BUDGET_KIB.max(limits.max_body / 1024 + 1);
+        let reader = |budget_kib, max_bytes| BodyReader::new(budget_kib, max_bytes, limits.header_timeout);
         Context {
             shared,
             writes,
-            limits,
-            bodies: Semaphore::new(MAX_BODIES_KIB.max(limits.max_body / 1024 + 1)),
-            reports: Semaphore::new(MAX_REPORTS_KIB),
-            traces: Semaphore::new(MAX_TRACES_KIB),
+            write_bodies: reader(write_budget_kib, limits.max_body),
+            report_bodies: reader(REPORT_BUDGET_KIB, MAX_REPORT_BYTES),
+            segment_bodies: reader(SEGMENT_BUDGET_KIB, load_balancer::replay::MAX_ENCODED),
         }
     }
 }
--- a/src/bin/registry/http/lists.rs
+++ b/src/bin/registry/http/lists.rs
@@ -1,81 +1,79 @@
-//! The list, the watch and registrations.
+//! `/registry/instances`: the list of a service, watches on it, and registrations.
 
-use super::answer::{Answer, answer, body, refuse};
+use super::answer::{HandlerResult, Rejection, encoded, encoding_failed};
 use super::context::Context;
-use super::query::{QueryError, Watch, service, watch};
+use super::query::{WatchQuery, service, watch};
 use super::write_reply::write_and_answer;
 use crate::writer::{Fence, Shared, WriteOperation};
+use hyper::Request;
 use hyper::body::Incoming;
-use hyper::{Request, StatusCode};
-use load_balancer::catalog::{Entry, ServiceName};
+use load_balancer::catalog::Entry;
 use serde::Deserialize;
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Shortest and longest TTL of a registration.
-pub const TTL_MS: (u64, u64) = (100, 86_400_000);
-/// At most so many entries in one write.
+/// Shortest TTL of a registration, in milliseconds.
+const MIN_TTL_MS: u64 = 100;
+/// Longest TTL of a registration, in milliseconds: a day.
+const MAX_TTL_MS: u64 = 86_400_000;
+/// Most entries in one write.
 const MAX_ENTRIES: usize = 10_000;
 
-/// A registration: the same entries as the list, each to be renewed within its TTL.
+/// The body of a registration. Its entries have the form of the list's; each is to be renewed within the TTL.
 #[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-struct Write {
+// "Write" is kept: it stands in error texts answered to callers ("expected struct Write").
+#[serde(rename = "Write", deny_unknown_fields)]
+struct Registration {
     ttl_ms: u64,
     hosts: Vec<Entry>,
-    /// Where the write is done for a duty: it is refused unless the token is that of the present holder.
+    /// The duty in whose name the write is done: it is rejected unless the token is that of the present holder.
     fence: Option<Fence>,
 }
 
-/// The list of a service, or what changed in it after a version.
-pub async fn read(query: &str, shared: &Shared) -> Answer {
-    let (service, Watch { after, wait, .. }) = match asked(query) {
-        Ok(asked) => asked,
-        Err(why) => return refuse(StatusCode::BAD_REQUEST, why),
-    };
-    if let Some(after) = after.filter(|_| !wait.is_zero()) {
-        let mut waiting = shared.wakers.wait(&service);
-        // Nothing newer yet: wait for it, or for the end of the wait. The waiting is this future alone.
-        if shared.version(&service) == after {
-            let _ = timeout(wait, waiting.newer_than(after)).await;
+impl Registration {
+    fn check(&self) -> Result<(), Rejection> {
+        if !(MIN_TTL_MS..=MAX_TTL_MS).contains(&self.ttl_ms) {
+            return Err(Rejection::bad_request(format!("ttl_ms: from {MIN_TTL_MS} to {MAX_TTL_MS}")));
         }
-    }
-    match shared.page(&service, after) {
-        Ok(body) => answer(StatusCode::OK, body),
-        Err(e) => refuse(StatusCode::INTERNAL_SERVER_ERROR, e),
+        if self.hosts.len() > MAX_ENTRIES {
+            return Err(Rejection::bad_request(format!(
+                "hosts: at most {MAX_ENTRIES} in one write; send the others in a further one"
+            )));
+        }
+        self.hosts.iter().try_for_each(Entry::check).map_err(Rejection::bad_request)
     }
 }
 
-fn asked(query: &str) -> Result<(ServiceName, Watch), QueryError> {
-    Ok((service(query)?, watch(query, "the list", &["service"])?))
+/// GET: the list of a service, or what changed in it after a version. With `wait_ms` it waits until there is a change.
+pub(super) async fn read_list(query: &str, shared: &Shared) -> HandlerResult {
+    let service = service(query).map_err(Rejection::bad_request)?;
+    let WatchQuery { after, wait, .. } =
+        watch(query, "the list", &["service"]).map_err(Rejection::bad_request)?;
+    if let Some(after) = after.filter(|_| !wait.is_zero()) {
+        // Subscribed before the version is read, so that no change in between is missed. The watch is a part of this
+        // future: it ends when the caller's connection is dropped.
+        let mut service_watch = shared.wakers.wait(&service);
+        if shared.version(&service) == after {
+            let _ = timeout(wait, service_watch.newer_than(after)).await;
+        }
+    }
+    shared.page(&service, after).map(encoded).map_err(encoding_failed)
 }
 
-/// Registers or renews.
-pub async fn write(query: &str, request: Request<Incoming>, context: &Context) -> Answer {
-    let service = match service(query) {
-        Ok(service) => service,
-        Err(why) => return refuse(StatusCode::BAD_REQUEST, why),
-    };
-    let write: Write = match body(request, context).await {
-        Ok(write) => write,
-        Err(refusal) => return refusal,
+/// PUT: registers, renews or deletes entries.
+pub(super) async fn write_entries(
+    query: &str,
+    request: Request<Incoming>,
+    context: &Context,
+) -> HandlerResult {
+    let service = service(query).map_err(Rejection::bad_request)?;
+    let registration: Registration = context.write_bodies.json(request).await?;
+    registration.check()?;
+    let operation = WriteOperation::Entries {
+        service,
+        entries: registration.hosts,
+        ttl: Duration::from_millis(registration.ttl_ms),
+        fence: registration.fence,
     };
-    if !(TTL_MS.0..=TTL_MS.1).contains(&write.ttl_ms) {
-        return refuse(StatusCode::BAD_REQUEST, format!("ttl_ms: from {} to {}", TTL_MS.0, TTL_MS.1));
-    }
-    if write.hosts.len() > MAX_ENTRIES {
-        return refuse(
-            StatusCode::BAD_REQUEST,
-            format!("hosts: at most {MAX_ENTRIES} in one write; send the others in a further one"),
-        );
-    }
-    if let Err(why) = write.hosts.iter().try_for_each(Entry::check) {
-        return refuse(StatusCode::BAD_REQUEST, why);
-    }
-    let ttl = Duration::from_millis(write.ttl_ms);
-    write_and_answer(
-        WriteOperation::Entries { service, entries: write.hosts, ttl, fence: write.fence },
-        &context.writes,
-    )
-    .await
+    write_and_answer(operation, &context.writes).await
 }
--- a/src/bin/registry/http/query.rs
+++ b/src/bin/registry/http/query.rs
@@ -1,105 +1,111 @@
-//! Queries of watches.
+//! The queries of calls, and their checks.
 
 use load_balancer::catalog::{ServiceName, ServiceNameError};
 use std::time::Duration;
 use thiserror::Error;
 
-/// The longest a watch waits (PROTOCOL, "Discovery").
-pub const MAX_WAIT_MS: u64 = 60_000;
-/// Longest name in a query.
-const MAX_NAME: usize = 253;
+/// Longest wait of a watch, in milliseconds (PROTOCOL, "Discovery").
+const MAX_WAIT_MS: u64 = 60_000;
+/// Longest name of a proxy, in bytes.
+const MAX_NAME_BYTES: usize = 253;
 
-/// Why a query can't be answered.
+/// Why a query is rejected. The texts are answered to the caller.
 #[derive(Error, Debug, PartialEq)]
-pub enum QueryError {
-    /// No number where one is needed.
+pub(super) enum QueryError {
+    /// A value is not a number. Fields: the key, the value.
     #[error("{0}: {1:?} is not a whole number")]
     Number(String, String),
-    /// A wait past the bound.
+    /// The wait is too long.
     #[error("wait_ms: at most {MAX_WAIT_MS}; ask again when it is over")]
     Wait,
-    /// A name that nobody has.
-    #[error("name: must be 1 to {MAX_NAME} printable bytes, as in the proxy's reports")]
+    /// The name is empty, too long or has control characters.
+    #[error("name: must be 1 to {MAX_NAME_BYTES} printable bytes, as in the proxy's reports")]
     Name,
-    /// No name of a service.
+    /// The value of `service` is no name of a service.
     #[error(transparent)]
     Service(#[from] ServiceNameError),
-    /// A service where there is none.
+    /// A service is named for a path that has none. Field: the path.
     #[error("service: {0} is not per service yet, only the list at {LIST} is; leave it out")]
     NotPerService(String),
-    /// A key that is not known.
+    /// The call does not take this key.
     #[error("{key}: unknown; {what} takes {keys}")]
     Key {
-        /// Which.
+        /// The key.
         key: String,
-        /// Of which call.
+        /// What the call reads.
         what: &'static str,
-        /// What is known.
+        /// The keys that the call takes.
         keys: String,
     },
 }
 
-/// The path of the lists.
+/// The path of the lists, the only one that takes a service.
 const LIST: &str = "/registry/instances";
 
-/// The service that a query names, or that of no name.
-pub fn service(text: &str) -> Result<ServiceName, QueryError> {
-    let mut named = ServiceName::default();
+/// The service that a query names; the unnamed one if it names none.
+pub(super) fn service(text: &str) -> Result<ServiceName, QueryError> {
+    let mut service = ServiceName::default();
     for (key, value) in form_urlencoded::parse(text.as_bytes()) {
         if key == "service" {
-            named = ServiceName::new(&value)?;
+            service = ServiceName::new(&value)?;
         }
     }
-    Ok(named)
+    Ok(service)
 }
 
-/// Why a path can't be asked for with this query: it names a service, and the path knows none.
-pub fn not_per_service(path: &str, text: &str) -> Option<QueryError> {
-    let names = form_urlencoded::parse(text.as_bytes()).any(|(key, _)| key == "service");
-    (names && path.starts_with("/registry/") && path != LIST)
-        .then(|| QueryError::NotPerService(path.to_string()))
+/// Rejects a query that names a service for a path that has none. Without this check the call would be answered as if
+/// it were for that service alone.
+pub(super) fn check_not_per_service(path: &str, text: &str) -> Result<(), QueryError> {
+    let names_service = form_urlencoded::parse(text.as_bytes()).any(|(key, _)| key == "service");
+    if names_service && path.starts_with("/registry/") && path != LIST {
+        return Err(QueryError::NotPerService(path.to_string()));
+    }
+    Ok(())
 }
 
-/// What a watch asks for.
+/// The query of a read that may wait for a change.
 #[derive(Debug, Default, PartialEq)]
-pub struct Watch {
-    /// The version that is held.
-    pub after: Option<u64>,
-    /// How long to wait for another.
-    pub wait: Duration,
-    /// Whose table.
-    pub name: Option<String>,
+pub(super) struct WatchQuery {
+    /// The version that the caller has; it waits for a newer one.
+    pub(super) after: Option<u64>,
+    /// How long to wait.
+    pub(super) wait: Duration,
+    /// The proxy whose table is read.
+    pub(super) name: Option<String>,
 }
 
-/// Reads `after` and `wait_ms`, and of `name`, `generation` and `service` those in `more`; the last one by
-/// [`service`].
-pub fn watch(text: &str, what: &'static str, more: &[&str]) -> Result<Watch, QueryError> {
-    let mut asked = Watch::default();
+/// Reads `after` and `wait_ms`, and of `name`, `generation` and `service` those in `more_keys`. The value of `service` is
+/// read by [`service`]. `what` names what the call reads, for errors.
+pub(super) fn watch(text: &str, what: &'static str, more_keys: &[&str]) -> Result<WatchQuery, QueryError> {
+    let mut query = WatchQuery::default();
     for (key, value) in form_urlencoded::parse(text.as_bytes()) {
         let number =
             || value.parse::<u64>().map_err(|_| QueryError::Number(key.to_string(), value.to_string()));
         match &*key {
-            "after" => asked.after = Some(number()?),
+            "after" => query.after = Some(number()?),
             "wait_ms" => {
-                let wait = Some(number()?).filter(|ms| *ms <= MAX_WAIT_MS).ok_or(QueryError::Wait)?;
-                asked.wait = Duration::from_millis(wait);
+                let wait_ms = number()?;
+                if wait_ms > MAX_WAIT_MS {
+                    return Err(QueryError::Wait);
+                }
+                query.wait = Duration::from_millis(wait_ms);
             }
-            "name" if more.contains(&"name") => {
-                if value.is_empty() || value.len() > MAX_NAME || value.chars().any(char::is_control) {
+            "name" if more_keys.contains(&"name") => {
+                if value.is_empty() || value.len() > MAX_NAME_BYTES || value.chars().any(char::is_control) {
                     return Err(QueryError::Name);
                 }
-                asked.name = Some(value.to_string());
+                query.name = Some(value.to_string());
             }
-            // Told so that it can be seen in a capture which process asks; the table goes by the name.
-            "generation" if more.contains(&"generation") => drop(number()?),
-            "service" if more.contains(&"service") => {}
+            // Only checked: it tells a reader of captured traffic which process calls. The table depends on the name.
+            "generation" if more_keys.contains(&"generation") => drop(number()?),
+            "service" if more_keys.contains(&"service") => {}
             _ => {
-                let keys = [&["after", "wait_ms"], more].concat().join(", ");
+                let keys = [&["after", "wait_ms"], more_keys].concat().join(", ");
                 return Err(QueryError::Key { key: key.to_string(), what, keys });
             }
         }
     }
-    Ok(asked)
+    Ok(query)
 }
 
 #[cfg(test)]
--- a/src/bin/registry/http/route_table.rs
+++ b/src/bin/registry/http/route_table.rs
@@ -1,55 +1,54 @@
-//! The route table, proxies' reports, what drifts, and recorded segments.
+//! `/registry/routes`, `/registry/reports`, `/registry/drift` and `/registry/traces`: the route table, proxies' reports,
+//! the drift of the fleet and recorded segments. All state is in `crate::route_table`; proposals go to the writer thread.
 
-use super::answer::{Answer, answer as page, body, bytes, refuse};
+use super::answer::{HandlerResult, Rejection, encoded, encoding_failed, json_page};
 use super::context::Context;
-use super::query::{Watch, watch};
+use super::query::{WatchQuery, watch};
 use super::write_reply::write_and_answer;
-use crate::route_table::{Host, RingError};
+use crate::route_table::{RouteTableService, SegmentError};
 use crate::writer::{Fence, WriteOperation};
-use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
-use load_balancer::replay::{BadSegment, MAX_ENCODED};
+use load_balancer::replay::BadSegment;
 use load_balancer::route_table::{DriftPage, Proposal, Report, Revision, StatePage, Weights};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
-use tokio::time::{Instant, timeout_at};
+use tokio::time::{Instant, timeout, timeout_at};
 
-/// Longest report, in bytes.
-const MAX_REPORT: usize = 1 << 20;
-/// The duty whose holder proposes.
-const DUTY: &str = "routes";
+/// The duty whose holder makes proposals.
+const PROPOSER_DUTY: &str = "routes";
 
-/// What is asked for.
+/// The paths of the route table.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Path {
-    /// The table.
+pub(super) enum RouteTablePath {
+    /// The table and its proposals.
     Routes,
     /// Proxies' reports.
     Reports,
-    /// Findings.
+    /// The findings of the drift detection.
     Drift,
     /// Recorded segments.
     Traces,
 }
 
-impl Path {
-    /// By its name.
-    pub fn of(path: &str) -> Option<Path> {
+impl RouteTablePath {
+    /// The path of a call, if it is one of these.
+    pub(super) fn parse(path: &str) -> Option<RouteTablePath> {
         Some(match path {
-            "/registry/routes" => Path::Routes,
-            "/registry/reports" => Path::Reports,
-            "/registry/drift" => Path::Drift,
-            "/registry/traces" => Path::Traces,
+            "/registry/routes" => RouteTablePath::Routes,
+            "/registry/reports" => RouteTablePath::Reports,
+            "/registry/drift" => RouteTablePath::Drift,
+            "/registry/traces" => RouteTablePath::Traces,
             _ => return None,
         })
     }
 }
 
-/// A proposal with the token of who makes it.
+/// The body of a proposal.
 #[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-struct Propose {
+// "Propose" is kept: it stands in error texts answered to callers ("expected struct Propose").
+#[serde(rename = "Propose", deny_unknown_fields)]
+struct ProposalBody {
     from: Revision,
     weights: Weights,
     by: String,
@@ -58,139 +57,136 @@
     fence: Fence,
 }
 
-/// Answers a call.
-pub async fn answer(path: Path, request: Request<Incoming>, host: &Host, context: &Context) -> Answer {
-    let (get, put) = (request.method() == Method::GET, request.method() == Method::PUT);
-    let query = request.uri().query().unwrap_or("").to_string();
-    let not_so = |why| refuse(StatusCode::METHOD_NOT_ALLOWED, why);
-    match path {
-        Path::Routes if get => read(&query, host).await,
-        Path::Routes if put => propose(request, context).await,
-        Path::Routes => not_so("GET reads the table, PUT proposes another"),
-        Path::Reports if put => report(request, host, context).await,
-        Path::Reports => not_so("PUT reports; what comes of it is at /registry/drift"),
-        Path::Drift if get => drift(&query, host).await,
-        Path::Drift => not_so("GET reads the findings"),
-        Path::Traces if get => json_page(&host.traces.ring.page()),
-        Path::Traces if put => segment(request, host, context).await,
-        Path::Traces => not_so("GET tells what is held, PUT sends a segment"),
-    }
+/// The page of the table's state. The order of fields is that of the JSON keys.
+#[derive(Serialize)]
+struct RoutesPage {
+    #[serde(flatten)]
+    state: StatePage,
+    #[serde(rename = "judging")]
+    evaluation: Option<Value>,
 }
 
-fn json_page(what: &impl Serialize) -> Answer {
-    match serde_json::to_vec(what) {
-        Ok(text) => page(StatusCode::OK, text),
-        Err(e) => refuse(StatusCode::INTERNAL_SERVER_ERROR, e),
-    }
+/// The page of the findings. The order of fields is that of the JSON keys.
+#[derive(Serialize)]
+struct FindingsPage {
+    version: u64,
+    #[serde(flatten)]
+    drift: DriftPage,
 }
 
-async fn propose(request: Request<Incoming>, context: &Context) -> Answer {
-    let Propose { from, weights, by, override_why, fence } = match body(request, context).await {
-        Ok(propose) => propose,
-        Err(refusal) => return refusal,
+/// Passes a call to its handler.
+pub(super) async fn handle(
+    path: RouteTablePath,
+    request: Request<Incoming>,
+    service: &RouteTableService,
+    context: &Context,
+) -> HandlerResult {
+    let is_get = request.method() == Method::GET;
+    let is_put = request.method() == Method::PUT;
+    let query = request.uri().query().unwrap_or("").to_string();
+    let allowed = match path {
+        RouteTablePath::Routes if is_get => return read_table(&query, service).await,
+        RouteTablePath::Routes if is_put => return propose(request, context).await,
+        RouteTablePath::Routes => "GET reads the table, PUT proposes another",
+        RouteTablePath::Reports if is_put => return take_report(request, service, context).await,
+        RouteTablePath::Reports => "PUT reports; what comes of it is at /registry/drift",
+        RouteTablePath::Drift if is_get => return read_drift(&query, service).await,
+        RouteTablePath::Drift => "GET reads the findings",
+        RouteTablePath::Traces if is_get => return json_page(&service.traces.ring.page()),
+        RouteTablePath::Traces if is_put => return store_segment(request, service, context).await,
+        RouteTablePath::Traces => "GET tells what is held, PUT sends a segment",
     };
-    if fence.duty != DUTY {
-        let why = format!("fence: duty must be {DUTY:?}; acquire it at /registry/leases");
-        return refuse(StatusCode::BAD_REQUEST, why);
+    Err(Rejection::method_not_allowed(allowed))
+}
+
+/// PUT `/registry/routes`: proposes another table.
+async fn propose(request: Request<Incoming>, context: &Context) -> HandlerResult {
+    let body: ProposalBody = context.write_bodies.json(request).await?;
+    let ProposalBody { from, weights, by, override_why, fence } = body;
+    if fence.duty != PROPOSER_DUTY {
+        return Err(Rejection::bad_request(format!(
+            "fence: duty must be {PROPOSER_DUTY:?}; acquire it at /registry/leases"
+        )));
     }
     let proposal = Proposal { from, weights, by, override_why };
     write_and_answer(WriteOperation::Proposal { proposal, fence }, &context.writes).await
 }
 
-/// The state of the table, or the table that is meant for a proxy.
-async fn read(query: &str, host: &Host) -> Answer {
-    #[derive(Serialize)]
-    struct Page {
-        #[serde(flatten)]
-        state: StatePage,
-        judging: Option<Value>,
-    }
-    let Watch { after, wait, name } = match watch(query, "the table", &["name", "generation"]) {
-        Ok(asked) => asked,
-        Err(why) => return refuse(StatusCode::BAD_REQUEST, why),
-    };
+/// GET `/registry/routes`: the state of the table, or with `name` the table of that proxy, for which it waits up to
+/// `wait_ms` while the proxy's is not older.
+async fn read_table(query: &str, service: &RouteTableService) -> HandlerResult {
+    let WatchQuery { after, wait, name } =
+        watch(query, "the table", &["name", "generation"]).map_err(Rejection::bad_request)?;
     let Some(name) = name else {
         if !query.is_empty() {
-            return refuse(
-                StatusCode::BAD_REQUEST,
-                "name: is missing; without a query the state is answered",
-            );
+            return Err(Rejection::bad_request("name: is missing; without a query the state is answered"));
         }
-        let (state, judging) = host.state_page();
-        return json_page(&Page { state, judging });
+        let (state, evaluation) = service.state_page();
+        return json_page(&RoutesPage { state, evaluation });
     };
-    let until = Instant::now() + wait;
-    let mut tables = host.tables.subscribe();
+    let deadline = Instant::now() + wait;
+    let mut tables = service.tables.subscribe();
     loop {
         tables.borrow_and_update();
-        let (revision, text) = match host.meant_for(&name) {
-            Ok(meant) => meant,
-            Err(e) => return refuse(StatusCode::INTERNAL_SERVER_ERROR, e),
-        };
-        // An older one than is held is no news: a registry that lost state must not take a fleet back.
-        let news = after.is_none_or(|after| revision > after);
-        if news || !matches!(timeout_at(until, tables.changed()).await, Ok(Ok(()))) {
-            return page(StatusCode::OK, text);
+        let (revision, table) = service.table_for(&name).map_err(encoding_failed)?;
+        // Failure: a registry that lost its state has an older table, and would take the fleet back to it at once. An
+        // older revision than the proxy has ends no wait, and the proxy does not apply it.
+        let is_newer = after.is_none_or(|after| revision > after);
+        if is_newer || !matches!(timeout_at(deadline, tables.changed()).await, Ok(Ok(()))) {
+            return Ok(encoded(table));
         }
     }
 }
 
-async fn report(request: Request<Incoming>, host: &Host, context: &Context) -> Answer {
-    let text = match bytes(request, &context.reports, MAX_REPORT, context).await {
-        Ok(text) => text,
-        Err(refusal) => return refusal,
-    };
-    match serde_json::from_slice::<Report>(&text) {
-        Err(e) => refuse(StatusCode::BAD_REQUEST, e),
-        Ok(report) => match host.report(report) {
-            Ok(()) => page(StatusCode::OK, "{}"),
-            Err(why) => refuse(StatusCode::from_u16(why.status()).unwrap_or(StatusCode::BAD_REQUEST), why),
-        },
+/// PUT `/registry/reports`: a proxy's report.
+async fn take_report(
+    request: Request<Incoming>,
+    service: &RouteTableService,
+    context: &Context,
+) -> HandlerResult {
+    let report: Report = context.report_bodies.json(request).await?;
+    match service.report(report) {
+        Ok(()) => Ok(encoded("{}")),
+        Err(why) => {
+            let status = StatusCode::from_u16(why.status()).unwrap_or(StatusCode::BAD_REQUEST);
+            Err(Rejection::new(status, why))
+        }
     }
 }
 
-/// What drifts, or waits until that changes.
-async fn drift(query: &str, host: &Host) -> Answer {
-    #[derive(Serialize)]
-    struct Page {
-        version: u64,
-        #[serde(flatten)]
-        fleet: DriftPage,
-    }
-    let Watch { after, wait, .. } = match watch(query, "drift", &[]) {
-        Ok(asked) => asked,
-        Err(why) => return refuse(StatusCode::BAD_REQUEST, why),
-    };
+/// GET `/registry/drift`: the findings. With `after` it waits until they have another version.
+async fn read_drift(query: &str, service: &RouteTableService) -> HandlerResult {
+    let WatchQuery { after, wait, .. } = watch(query, "drift", &[]).map_err(Rejection::bad_request)?;
     if let Some(after) = after {
-        let mut findings = host.findings.subscribe();
-        // Another version than the newest is an older one, or of another start: either way there is news.
-        let _ = tokio::time::timeout(wait, findings.wait_for(|version| *version != after)).await;
+        let mut findings = service.findings.subscribe();
+        // Any other version than the present one ends the wait: it is an older one, or one of an earlier start.
+        let _ = timeout(wait, findings.wait_for(|version| *version != after)).await;
     }
-    let (version, fleet) = host.drift_page();
-    json_page(&Page { version, fleet })
+    let (version, drift) = service.drift_page();
+    json_page(&FindingsPage { version, drift })
 }
 
-/// A recorded segment, as the proxy packed it.
-async fn segment(request: Request<Incoming>, host: &Host, context: &Context) -> Answer {
-    let packed: Bytes = match bytes(request, &context.traces, MAX_ENCODED, context).await {
-        Ok(packed) => packed,
-        Err(refusal) => return refusal,
+/// PUT `/registry/traces`: a recorded segment, as the proxy packed it.
+async fn store_segment(
+    request: Request<Incoming>,
+    service: &RouteTableService,
+    context: &Context,
+) -> HandlerResult {
+    let packed = context.segment_bodies.bytes(request).await?;
+    let Some(outcome) = service.traces.store(packed, service.now_ms()) else {
+        return Err(Rejection::unavailable("too many segments at once; send it again in a second"));
     };
-    let Some(answered) = host.traces.hand(packed, host.now()) else {
-        return refuse(
-            StatusCode::SERVICE_UNAVAILABLE,
-            "too many segments at once; send it again in a second",
-        );
-    };
-    match answered.await {
-        Ok(Ok(left_out)) => json_page(&json!({"taken": left_out.is_none(), "left_out": left_out})),
-        Ok(Err(why @ RingError::Bad(BadSegment::TooLong { .. } | BadSegment::Swells))) => {
-            refuse(StatusCode::PAYLOAD_TOO_LARGE, why)
-        }
-        Ok(Err(why @ RingError::Storage(_))) => refuse(StatusCode::SERVICE_UNAVAILABLE, why),
-        Ok(Err(why)) => refuse(StatusCode::BAD_REQUEST, why),
-        Err(_) => {
-            refuse(StatusCode::SERVICE_UNAVAILABLE, "segments are no longer taken: restart the registry")
-        }
+    match outcome.await {
+        Ok(Ok(skipped)) => json_page(&json!({"taken": skipped.is_none(), "left_out": skipped})),
+        Ok(Err(error)) => Err(Rejection::new(segment_error_status(&error), error)),
+        Err(_) => Err(Rejection::unavailable("segments are no longer taken: restart the registry")),
+    }
+}
+
+fn segment_error_status(error: &SegmentError) -> StatusCode {
+    match error {
+        SegmentError::Bad(BadSegment::TooLong { .. } | BadSegment::Swells) => StatusCode::PAYLOAD_TOO_LARGE,
+        SegmentError::Storage(_) => StatusCode::SERVICE_UNAVAILABLE,
+        SegmentError::Bad(_) | SegmentError::Ahead(_) => StatusCode::BAD_REQUEST,
     }
 }
--- /dev/null
+++ b/src/bin/registry/http/server.rs
@@ -0,0 +1,76 @@
+//! Accepts connections and serves the calls on them.
+
+use super::answer::Answer;
+use super::context::{Context, Limits};
+use super::route;
+use crate::writer::{Shared, WriteQueue};
+use hyper::Request;
+use hyper::body::Incoming;
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper_util::rt::{TokioIo, TokioTimer};
+use std::convert::Infallible;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::Semaphore;
+use tokio_io_timeout::TimeoutStream;
+use tracing::{debug, warn};
+
+/// Pause after a connection could not be accepted.
+const ACCEPT_RETRY: Duration = Duration::from_millis(50);
+
+/// Serves until it is dropped.
+pub(crate) async fn serve(listener: TcpListener, shared: Arc<Shared>, writes: WriteQueue, limits: Limits) {
+    let permits = Arc::new(Semaphore::new(limits.connections));
+    let context = Arc::new(Context::new(shared, writes, limits));
+    loop {
+        let (stream, peer) = match listener.accept().await {
+            Ok(accepted) => accepted,
+            Err(e) => {
+                // Failure: the process is out of descriptors, and accepting fails at once, again and again. Without a
+                // pause this loop would take a whole core until some are closed.
+                warn!(error = %e, "accept failed");
+                tokio::time::sleep(ACCEPT_RETRY).await;
+                continue;
+            }
+        };
+        let Ok(permit) = permits.clone().try_acquire_owned() else {
+            debug!(%peer, "connection closed: every place is taken");
+            continue;
+        };
+        let context = context.clone();
+        tokio::spawn(async move {
+            serve_connection(stream, peer, context, limits.header_timeout).await;
+            drop(permit);
+        });
+    }
+}
+
+/// Serves a connection until its client closes it or is too slow.
+///
+/// Failure: a client that sends nothing, or takes nothing of its answer, would keep its connection for ever, and a few
+/// thousand of them would take every permit. The time bounds the head of each request, and each wait for a write.
+async fn serve_connection(
+    stream: TcpStream,
+    peer: SocketAddr,
+    context: Arc<Context>,
+    header_timeout: Duration,
+) {
+    let _ = stream.set_nodelay(true);
+    let mut stream = TimeoutStream::new(stream);
+    stream.set_write_timeout(Some(header_timeout));
+    let service = service_fn(move |request| handle(request, context.clone()));
+    let connection = http1::Builder::new()
+        .timer(TokioTimer::new())
+        .header_read_timeout(header_timeout)
+        .serve_connection(TokioIo::new(Box::pin(stream)), service);
+    if let Err(e) = connection.await {
+        debug!(%peer, error = %e, "connection ended");
+    }
+}
+
+async fn handle(request: Request<Incoming>, context: Arc<Context>) -> Result<Answer, Infallible> {
+    Ok(route(request, &context).await.unwrap_or_else(Answer::from))
+}
--- a/src/bin/registry/http/write_reply.rs
+++ b/src/bin/registry/http/write_reply.rs
@@ -1,7 +1,7 @@
-//! Hands writes to the writer thread, and maps its replies to HTTP. The one place where a write's outcome becomes a status.
+//! Sends writes to the writer thread, and maps its replies to HTTP: the one place where a write's outcome gets a status.
 
-use super::answer::{Answer, answer, refuse};
-use super::context::NO_PATH;
+use super::NO_PATH;
+use super::answer::{HandlerResult, Rejection, answer, encoded};
 use crate::lease::LeaseError;
 use crate::writer::{WriteError, WriteOperation, WriteOutcome, WriteQueue, WriteRequest};
 use hyper::StatusCode;
@@ -9,16 +9,19 @@
 use serde_json::{Value, json};
 use tokio::sync::oneshot;
 
+/// The reason when the writer thread has ended, which only a fault in it can cause.
+const WRITER_STOPPED: &str = "the writer has stopped";
+
 /// Sends a write to the writer thread and answers once it is on disk, or has failed.
-pub(super) async fn write_and_answer(operation: WriteOperation, writes: &WriteQueue) -> Answer {
+pub(super) async fn write_and_answer(operation: WriteOperation, writes: &WriteQueue) -> HandlerResult {
     let (reply, receiver) = oneshot::channel();
     if writes.send(WriteRequest { operation, reply }).is_err() {
-        return refuse(StatusCode::SERVICE_UNAVAILABLE, "the writer has stopped");
+        return Err(Rejection::unavailable(WRITER_STOPPED));
     }
     match receiver.await {
-        Ok(Ok(outcome)) => answer(StatusCode::OK, outcome_json(outcome).to_string()),
-        Ok(Err(error)) => refuse_write(error),
-        Err(_) => refuse(StatusCode::SERVICE_UNAVAILABLE, "the writer has stopped"),
+        Ok(Ok(outcome)) => Ok(encoded(outcome_json(outcome).to_string())),
+        Ok(Err(error)) => answer_error(error),
+        Err(_) => Err(Rejection::unavailable(WRITER_STOPPED)),
     }
 }
 
@@ -30,20 +33,20 @@
     }
 }
 
-/// The status of each error; its text is the answer's body.
-fn refuse_write(error: WriteError) -> Answer {
+/// The status of each error. A duty that another holds is answered as JSON, all others by their text.
+fn answer_error(error: WriteError) -> HandlerResult {
     let status = match &error {
         WriteError::Lease(LeaseError::Held { lease, remaining_ms }) => {
             let body = json!({"held": lease, "left_ms": remaining_ms}).to_string();
-            return answer(StatusCode::CONFLICT, body);
+            return Ok(answer(StatusCode::CONFLICT, body));
         }
-        WriteError::NoRouteTable => return refuse(StatusCode::NOT_FOUND, NO_PATH),
+        WriteError::NoRouteTable => return Err(Rejection::new(StatusCode::NOT_FOUND, NO_PATH)),
         WriteError::Lease(LeaseError::NotHeld) | WriteError::Fenced => StatusCode::CONFLICT,
         WriteError::Lease(LeaseError::TooMany) | WriteError::Storage(_) => StatusCode::SERVICE_UNAVAILABLE,
         WriteError::Proposal(why) => StatusCode::from_u16(why.status()).unwrap_or(StatusCode::BAD_REQUEST),
         WriteError::ProposalTooLong(_) => StatusCode::PAYLOAD_TOO_LARGE,
     };
-    refuse(status, error)
+    Err(Rejection::new(status, error))
 }
 
 fn accepted_proposal_json(record: &RouteRecord) -> Value {
--- a/src/bin/registry/main.rs
+++ b/src/bin/registry/main.rs
@@ -14,7 +14,7 @@
 use clap::Parser;
 use config::{Args, Config};
 use error::StartError;
-use route_table::Host;
+use route_table::RouteTableService;
 use std::process::ExitCode;
 use std::sync::{Arc, mpsc};
 use std::time::Instant;
@@ -69,7 +69,7 @@
         writer::write_snapshot(&mut log, &state);
     }
     let routes = match routes {
-        Some(config) => Some(Host::start(config, &state, &data)?),
+        Some(config) => Some(RouteTableService::start(config, &state, &data)?),
         None => None,
     };
     let shared = Arc::new(Shared::new(state, routes));
--- a/src/bin/registry/route_table/clock.rs
+++ b/src/bin/registry/route_table/clock.rs
@@ -1,22 +1,23 @@
-//! The time that decisions go by.
+//! The clock of the route table's decisions.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Unix time that never goes back.
-pub struct Clock {
+/// Unix time that never falls. It is read from the system once; from then on the monotonic clock counts, so that setting
+/// the system's clock neither ends a stage of a rollout early nor holds it up.
+pub(super) struct Clock {
     start: Instant,
-    unix_ms: u64,
+    start_unix_ms: u64,
 }
 
 impl Clock {
-    /// From the system's clock on.
-    pub fn start() -> Clock {
+    /// Starts at the system's present time.
+    pub(super) fn start() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), unix_ms: unix.as_millis() as u64 }
+        Clock { start: Instant::now(), start_unix_ms: unix.as_millis() as u64 }
     }
 
-    /// In milliseconds.
-    pub fn now(&self) -> u64 {
-        self.unix_ms + self.start.elapsed().as_millis() as u64
+    /// The present Unix time in milliseconds.
+    pub(super) fn now_ms(&self) -> u64 {
+        self.start_unix_ms + self.start.elapsed().as_millis() as u64
     }
 }
--- a/src/bin/registry/route_table/config.rs
+++ b/src/bin/registry/route_table/config.rs
@@ -1,46 +1,47 @@
-//! The keys under `[routes]`: the host's own here, all others the library's.
+//! The keys under `[routes]` of the configuration file. Those in [`ServiceConfig`] are the registry's; all others are read
+//! by the library, and an unknown key is an error there.
 
 use load_balancer::replay::Bounds;
-use load_balancer::route_table::{Config as Control, ConfigError};
+use load_balancer::route_table::{Config as ControlConfig, ConfigError};
 use serde::Deserialize;
 use thiserror::Error;
 
-/// What the host goes by. Off unless `enabled`.
+/// The configuration of the route table. It is hosted only if `enabled`.
 #[derive(Deserialize, Clone, Debug, Default)]
 #[serde(try_from = "toml::Table")]
-pub struct RoutesConfig {
-    /// The host's own keys.
-    pub own: Own,
-    /// The library's keys: the rollout's and the drift detector's.
-    pub control: Control,
+pub(crate) struct RoutesConfig {
+    /// The registry's keys.
+    pub(crate) service: ServiceConfig,
+    /// The library's keys: those of the rollout and of the drift detection.
+    pub(super) control: ControlConfig,
 }
 
-/// The host's own keys.
+/// The registry's keys.
 #[derive(Deserialize, Clone, Debug)]
 #[serde(deny_unknown_fields, default)]
-pub struct Own {
-    /// Whether anything of it runs.
-    pub enabled: bool,
-    /// Bytes of recorded segments on disk; the oldest go first.
-    pub ring_bytes: u64,
-    /// A segment that ends longer ago than this is late and left out; what is held goes at that age too.
-    pub keep_ms: u64,
-    /// Recorded requests that a judging reads at the most, the newest of them.
-    pub judge_requests: usize,
-    /// Replays of each table.
-    pub judge_seeds: usize,
-    /// Threads of a judging.
-    pub judge_threads: usize,
-    /// Proxies that should have recorded; 0 for as many as their settings say.
-    pub fleet: usize,
-    /// The tier by its place in the settings, where there are several.
-    pub tier: Option<u32>,
-    /// What a verdict must keep to.
-    pub bounds: Bounds,
+pub(crate) struct ServiceConfig {
+    /// Whether the route table is hosted.
+    pub(crate) enabled: bool,
+    /// Most bytes of recorded segments on disk; the oldest are removed first.
+    pub(super) ring_bytes: u64,
+    /// Age, in milliseconds, at which a recorded segment is removed, and from which on it is not accepted.
+    pub(super) keep_ms: u64,
+    /// Most recorded requests that an evaluation reads, the newest ones.
+    pub(super) judge_requests: usize,
+    /// Replays of each table in an evaluation.
+    pub(super) judge_seeds: usize,
+    /// Threads of an evaluation.
+    pub(super) judge_threads: usize,
+    /// Proxies that are expected to record; 0 for the number in their settings.
+    pub(super) fleet: usize,
+    /// The tier's place in the settings, where there are several.
+    pub(super) tier: Option<u32>,
+    /// The bounds that an accepted proposal must keep.
+    pub(super) bounds: Bounds,
 }
 
-/// Those keys by name.
-const OWN: [&str; 9] = [
+/// The names of the registry's keys.
+const SERVICE_KEYS: [&str; 9] = [
     "enabled",
     "ring_bytes",
     "keep_ms",
@@ -52,9 +53,9 @@
     "bounds",
 ];
 
-impl Default for Own {
+impl Default for ServiceConfig {
     fn default() -> Self {
-        Own {
+        ServiceConfig {
             enabled: false,
             ring_bytes: 64 << 20,
             keep_ms: 3_600_000,
@@ -68,21 +69,21 @@
     }
 }
 
-/// What is wrong with a key.
+/// What is wrong with a key. The text ends the start.
 #[derive(Error, Debug)]
-pub enum RoutesConfigError {
+pub(crate) enum RoutesConfigError {
     /// An unknown key, or a value of another kind.
     #[error("routes: {0}")]
     Key(#[from] toml::de::Error),
-    /// One of the library's out of range.
+    /// A value of the library's keys is out of range.
     #[error(transparent)]
     Control(#[from] ConfigError),
-    /// One of the host's out of range.
+    /// A value of the registry's keys is out of range.
     #[error("routes.{key}: must be {range}; set it or leave it out for its default")]
     Range {
-        /// Which.
+        /// The key.
         key: &'static str,
-        /// What it must be.
+        /// The allowed range.
         range: &'static str,
     },
 }
@@ -91,22 +92,22 @@
     type Error = RoutesConfigError;
 
     fn try_from(table: toml::Table) -> Result<Self, RoutesConfigError> {
-        let (own, control): (toml::Table, toml::Table) =
-            table.into_iter().partition(|(key, _)| OWN.contains(&key.as_str()));
-        let own: Own = toml::Value::Table(own).try_into()?;
-        let control: Control = toml::Value::Table(control).try_into()?;
+        let (service, control): (toml::Table, toml::Table) =
+            table.into_iter().partition(|(key, _)| SERVICE_KEYS.contains(&key.as_str()));
+        let service: ServiceConfig = toml::Value::Table(service).try_into()?;
+        let control: ControlConfig = toml::Value::Table(control).try_into()?;
         control.check()?;
         let ranges = [
-            ("ring_bytes", "1048576 to 1099511627776", (1 << 20..=1 << 40).contains(&own.ring_bytes)),
-            ("keep_ms", "1000 to 86400000", (1000..=86_400_000).contains(&own.keep_ms)),
-            ("judge_requests", "1 to 10000000", (1..=10_000_000).contains(&own.judge_requests)),
-            ("judge_seeds", "1 to 100", (1..=100).contains(&own.judge_seeds)),
-            ("judge_threads", "1 to 64", (1..=64).contains(&own.judge_threads)),
-            ("fleet", "0 to 65536", own.fleet <= 1 << 16),
+            ("ring_bytes", "1048576 to 1099511627776", (1 << 20..=1 << 40).contains(&service.ring_bytes)),
+            ("keep_ms", "1000 to 86400000", (1000..=86_400_000).contains(&service.keep_ms)),
+            ("judge_requests", "1 to 10000000", (1..=10_000_000).contains(&service.judge_requests)),
+            ("judge_seeds", "1 to 100", (1..=100).contains(&service.judge_seeds)),
+            ("judge_threads", "1 to 64", (1..=64).contains(&service.judge_threads)),
+            ("fleet", "0 to 65536", service.fleet <= 1 << 16),
         ];
-        match ranges.into_iter().find(|(_, _, good)| !good) {
+        match ranges.into_iter().find(|(_, _, is_in_range)| !is_in_range) {
             Some((key, range, _)) => Err(RoutesConfigError::Range { key, range }),
-            None => Ok(RoutesConfig { own, control }),
+            None => Ok(RoutesConfig { service, control }),
         }
     }
 }
--- a/src/bin/registry/route_table/mod.rs
+++ b/src/bin/registry/route_table/mod.rs
@@ -1,15 +1,22 @@
-//! Hosts the decisions of `load_balancer::route_table`: gives them the clock, the list and the log, serves what they say. The
-//! writer drives them, so that a decision and its record cannot cross; reports come in beside it.
+//! Hosts the route table: its proposals, their evaluation and rollout, and the drift of the fleet.
+//!
+//! The decisions are made by `load_balancer::route_table::Control`, which has no clock, socket or disk. [`RouteTableService`]
+//! gives it the time, the list of backends and the proxies' reports, and carries out its effects. The writer thread alone
+//! calls for decisions, in its step "decide", and says in its step "commit" whether their records are on disk; so a
+//! decision never rests on one that was not written. Reports and reads come from the serving side at any time.
+//!
+//! Two threads work for it: "traces" (`traces.rs`) stores recorded segments in a ring on disk (`trace_ring.rs`), "judge"
+//! (`evaluation.rs`) replays them to evaluate a proposal.
 
 mod clock;
 mod config;
-mod held;
-mod host;
-mod judging;
-mod pages;
-mod ring;
+mod evaluation;
+mod page_cache;
+mod service;
+mod trace_index;
+mod trace_ring;
 mod traces;
 
-pub use config::RoutesConfig;
-pub use host::{Host, TooLong};
-pub use ring::RingError;
+pub(crate) use config::RoutesConfig;
+pub(crate) use service::{RouteTableService, TooLong};
+pub(crate) use trace_ring::SegmentError;
--- /dev/null
+++ b/src/bin/registry/route_table/service.rs
@@ -0,0 +1,264 @@
+//! [`RouteTableService`]: the library's decisions with the clock, the list, the threads and the log around them.
+
+use super::clock::Clock;
+use super::config::{RoutesConfig, ServiceConfig};
+use super::evaluation::Evaluator;
+use super::page_cache::PageCache;
+use super::traces::Traces;
+use crate::error::StartError;
+use crate::store::{MAX_RECORD_BYTES, Record, State};
+use bytes::Bytes;
+use load_balancer::catalog::{Entry, ServiceName};
+use load_balancer::replay::{Job, Listed};
+use load_balancer::route_table::{
+    Backend, BadReport, Control, DriftPage, Effect, Finding, Outcome, Proposal, Refused, Report, Revision,
+    RouteRecord, StatePage, Table,
+};
+use serde_json::{Value, json};
+use std::path::Path;
+use std::sync::{Arc, Mutex, MutexGuard};
+use thiserror::Error;
+use tokio::sync::watch;
+use tracing::{debug, info, warn};
+
+/// Time between two ticks of the decisions, in milliseconds.
+const TICK_INTERVAL_MS: u64 = 250;
+
+/// A record that is too long to be read again from the log. The text is answered to the proposer.
+#[derive(Error, Clone, Debug, PartialEq)]
+#[error(
+    "the table takes {bytes} bytes on disk, at most {MAX_RECORD_BYTES}: say it by class or zone, or with shorter names"
+)]
+pub(crate) struct TooLong {
+    /// The record's length on disk.
+    bytes: usize,
+}
+
+/// The decisions and what they rest on.
+struct Decisions {
+    control: Control,
+    /// The listed backends, sorted by host.
+    backends: Vec<Backend>,
+    /// The version of the list that `backends` is from.
+    list_version: u64,
+    /// When the next tick is due, Unix time in milliseconds.
+    next_tick_ms: u64,
+}
+
+/// The route table, its rollout and the drift of the fleet.
+pub(crate) struct RouteTableService {
+    config: ServiceConfig,
+    clock: Clock,
+    decisions: Mutex<Decisions>,
+    evaluator: Evaluator,
+    pages: Mutex<PageCache>,
+    /// The recorded segments.
+    pub(crate) traces: Traces,
+    /// Rises when any proxy's table changes; watches of tables wait on it.
+    pub(crate) tables: watch::Sender<u64>,
+    /// Rises when a finding is raised or cleared; watches of the drift page wait on it.
+    pub(crate) findings: watch::Sender<u64>,
+}
+
+impl RouteTableService {
+    /// Continues from the newest record on disk, and starts the threads for segments and for evaluations.
+    pub(crate) fn start(
+        config: RoutesConfig,
+        state: &State,
+        data: &Path,
+    ) -> Result<Arc<RouteTableService>, StartError> {
+        let clock = Clock::start();
+        let now_ms = clock.now_ms();
+        let (control, effects) = Control::restore(config.control, state.routes.iter().cloned(), now_ms);
+        let traces = Traces::start(&data.join("traces"), config.service.ring_bytes, config.service.keep_ms)?;
+        let evaluator = Evaluator::start(traces.ring.clone(), config.service.judge_requests)?;
+        let service = RouteTableService {
+            config: config.service,
+            clock,
+            tables: watch::Sender::new(control.version()),
+            findings: watch::Sender::new(now_ms),
+            decisions: Mutex::new(Decisions {
+                control,
+                backends: Vec::new(),
+                list_version: 0,
+                next_tick_ms: 0,
+            }),
+            evaluator,
+            pages: Mutex::default(),
+            traces,
+        };
+        let mut decisions = service.decisions();
+        decisions.follow_list(state);
+        service.run_effects(&decisions, effects);
+        drop(decisions);
+        Ok(Arc::new(service))
+    }
+
+    fn decisions(&self) -> MutexGuard<'_, Decisions> {
+        self.decisions.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+    }
+
+    /// The present Unix time in milliseconds; it never falls.
+    pub(crate) fn now_ms(&self) -> u64 {
+        self.clock.now_ms()
+    }
+
+    /// Decides on a proposal. Its record is to be written, then passed to [`RouteTableService::settle`]. Called by the
+    /// writer thread.
+    pub(crate) fn propose(&self, proposal: Proposal, state: &State) -> Result<Outcome, Refused> {
+        let mut decisions = self.decisions();
+        decisions.follow_list(state);
+        let Decisions { control, backends, .. } = &mut *decisions;
+        control.propose(self.now_ms(), proposal, backends)
+    }
+
+    /// Takes the verdict of an evaluation, and decides what is due by now, such as the next stage of a rollout. A
+    /// decision's record is to be written, then passed to [`RouteTableService::settle`]. Called by the writer thread.
+    pub(crate) fn tick(&self, state: &State) -> Option<RouteRecord> {
+        let now_ms = self.now_ms();
+        let mut decisions = self.decisions();
+        if now_ms < decisions.next_tick_ms {
+            return None;
+        }
+        decisions.next_tick_ms = now_ms + TICK_INTERVAL_MS;
+        decisions.follow_list(state);
+        let mut effects = Vec::new();
+        if let Some(verdict) = self.evaluator.take_verdict() {
+            info!(from = verdict.from, digest = verdict.digest, requests = verdict.requests,
+                decision = %json!(verdict.decision), "proposal judged");
+            match decisions.control.verdict(now_ms, verdict) {
+                Ok(more) => effects.extend(more),
+                Err(stale) => debug!(%stale, "verdict passed over"),
+            }
+        }
+        effects.extend(decisions.control.tick(now_ms));
+        self.run_effects(&decisions, effects)
+    }
+
+    /// Carries out a decision whose record is on disk, or undoes one whose record could not be written. Called by the
+    /// writer thread.
+    pub(crate) fn settle(&self, record: RouteRecord, is_on_disk: bool) {
+        let mut decisions = self.decisions();
+        if !is_on_disk {
+            return decisions.control.put_back();
+        }
+        let stage =
+            record.work.as_ref().and_then(|work| Some((work.table.revision, work.rollout.as_ref()?.stage)));
+        info!(change = record.change, in_force = record.in_force.revision, rolling = ?stage, "route table changed");
+        let effects = decisions.control.apply(self.now_ms(), record);
+        self.run_effects(&decisions, effects);
+    }
+
+    /// Whether a record is short enough to be read again from the log.
+    pub(crate) fn check_length(record: &RouteRecord) -> Result<(), TooLong> {
+        let bytes = Record::Routes(Box::new(record.clone())).encode().map_or(usize::MAX, |text| text.len());
+        if bytes <= MAX_RECORD_BYTES { Ok(()) } else { Err(TooLong { bytes }) }
+    }
+
+    /// Carries out the effects of a decision. Returns the record that is to be written, if there is one.
+    fn run_effects(&self, decisions: &Decisions, effects: Vec<Effect>) -> Option<RouteRecord> {
+        let mut record = None;
+        for effect in effects {
+            match effect {
+                Effect::Persist(decided) => record = Some(*decided),
+                Effect::Judge { table, in_force } => {
+                    self.evaluator.begin(table.revision, self.job(decisions, table, in_force))
+                }
+                Effect::Cancel { revision } => self.evaluator.cancel(revision),
+                Effect::Publish { version } => {
+                    self.tables.send_replace(version);
+                }
+                Effect::Raised(finding) => {
+                    let Finding { kind, proxy, proxies, some, since_ms, evidence, what_to_do, .. } = finding;
+                    let kind = json!(kind);
+                    warn!(
+                        kind = kind.as_str(),
+                        proxy,
+                        proxies,
+                        ?some,
+                        since_ms,
+                        evidence,
+                        what_to_do,
+                        "drift raised"
+                    );
+                    self.findings.send_modify(|version| *version += 1);
+                }
+                Effect::Cleared(finding) => {
+                    let Finding { kind, proxy, proxies, since_ms, .. } = finding;
+                    let kind = json!(kind);
+                    info!(kind = kind.as_str(), proxy, proxies, since_ms, "drift cleared");
+                    self.findings.send_modify(|version| *version += 1);
+                }
+            }
+        }
+        record
+    }
+
+    /// The evaluation of a table against the one in force.
+    fn job(&self, decisions: &Decisions, table: Table, in_force: Table) -> Job {
+        let listed = decisions.backends.iter().cloned();
+        Job {
+            from: in_force.revision,
+            in_force: in_force.weights,
+            seed: table.revision,
+            proposal: table.weights,
+            list_version: decisions.list_version,
+            listed: listed
+                .map(|Backend { host, class, zone, share }| Listed { host, class, zone, share })
+                .collect(),
+            fleet: self.config.fleet,
+            tier: self.config.tier,
+            now_ms: self.now_ms() as f64,
+            bounds: self.config.bounds.clone(),
+            seeds: self.config.judge_seeds,
+            threads: self.config.judge_threads,
+        }
+    }
+
+    /// Takes in a proxy's report.
+    pub(crate) fn report(&self, report: Report) -> Result<(), BadReport> {
+        let mut decisions = self.decisions();
+        decisions.control.report(self.now_ms(), report)
+    }
+
+    /// The table that a proxy is to use, by the proxy's name: its revision and the table as JSON.
+    pub(crate) fn table_for(&self, proxy: &str) -> serde_json::Result<(Revision, Bytes)> {
+        let decisions = self.decisions();
+        let table = decisions.control.meant_for(proxy);
+        let newest = decisions.control.newest_revision();
+        let mut pages = self.pages.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        Ok((table.revision, pages.get(table, newest)?))
+    }
+
+    /// The state of the table and of the present evaluation, for operators.
+    pub(crate) fn state_page(&self) -> (StatePage, Option<Value>) {
+        (self.decisions().control.state_page(), self.evaluator.page())
+    }
+
+    /// The version of the findings, and the drift of the fleet, for operators.
+    pub(crate) fn drift_page(&self) -> (u64, DriftPage) {
+        let decisions = self.decisions();
+        (*self.findings.borrow(), decisions.control.drift_page(self.now_ms()))
+    }
+}
+
+impl Decisions {
+    /// Takes over the list of backends if it has changed. The table is for the unnamed service, so it is that one's list.
+    fn follow_list(&mut self, state: &State) {
+        let service = ServiceName::default();
+        let version = state.catalog.version(&service);
+        if self.list_version == version {
+            return;
+        }
+        self.list_version = version;
+        let backend = |entry: &Entry| Backend {
+            host: entry.host.clone(),
+            class: entry.class.clone(),
+            zone: entry.site.clone(),
+            share: entry.share,
+        };
+        self.backends = state.catalog.entries(&service).map(|change| backend(&change.entry)).collect();
+        self.backends.sort_by(|a, b| a.host.cmp(&b.host));
+        self.control.list(&self.backends);
+    }
+}
--- a/src/bin/registry/writer/commit.rs
+++ b/src/bin/registry/writer/commit.rs
@@ -42,8 +42,8 @@
                 self.deadlines.retry(expired, now + EXPIRY_RETRY);
             }
         }
-        if let (Some(host), Some(record)) = (self.shared.routes.as_deref(), route_decision) {
-            host.settle(record, result.is_ok());
+        if let (Some(service), Some(record)) = (self.shared.route_table.as_deref(), route_decision) {
+            service.settle(record, result.is_ok());
         }
         (replies, result)
     }
--- a/src/bin/registry/writer/decide.rs
+++ b/src/bin/registry/writer/decide.rs
@@ -4,7 +4,7 @@
 use super::records::{EntryId, Registration};
 use super::request::{Fence, ReplySender, WriteError, WriteOperation, WriteOutcome, WriteRequest};
 use crate::lease::LeaseChange;
-use crate::route_table::Host;
+use crate::route_table::RouteTableService;
 use load_balancer::catalog::ServiceName;
 use load_balancer::route_table::{Proposal, RouteRecord};
 use std::time::Instant;
@@ -109,11 +109,11 @@
 
     /// The decision that time brings for the route table, such as the next stage of a rollout.
     fn decide_route_tick(&self) -> Option<RouteRecord> {
-        let host = self.shared.routes.as_deref()?;
-        let record = host.tick(&self.shared.state())?;
-        if let Err(why) = Host::fits(&record) {
+        let service = self.shared.route_table.as_deref()?;
+        let record = service.tick(&self.shared.state())?;
+        if let Err(why) = RouteTableService::check_length(&record) {
             error!(%why, "a decision on the route table cannot be written");
-            host.settle(record, false);
+            service.settle(record, false);
             return None;
         }
         Some(record)
@@ -126,13 +126,13 @@
         fence: &Fence,
         now: Instant,
     ) -> Result<RouteRecord, WriteError> {
-        let host = self.shared.routes.as_deref().ok_or(WriteError::NoRouteTable)?;
+        let service = self.shared.route_table.as_deref().ok_or(WriteError::NoRouteTable)?;
         if !self.is_held(fence, now) {
             return Err(WriteError::Fenced);
         }
-        let outcome = host.propose(proposal, &self.shared.state()).map_err(WriteError::Proposal)?;
-        if let Err(why) = Host::fits(&outcome.record) {
-            host.settle(outcome.record, false);
+        let outcome = service.propose(proposal, &self.shared.state()).map_err(WriteError::Proposal)?;
+        if let Err(why) = RouteTableService::check_length(&outcome.record) {
+            service.settle(outcome.record, false);
             return Err(WriteError::ProposalTooLong(why));
         }
         Ok(outcome.record)
--- a/src/bin/registry/writer/shared.rs
+++ b/src/bin/registry/writer/shared.rs
@@ -1,7 +1,7 @@
 //! The state that the writer thread shares with the serving side. The writer changes it, the serving side reads it.
 
 use super::wake::Wakers;
-use crate::route_table::Host;
+use crate::route_table::RouteTableService;
 use crate::store::State;
 use bytes::Bytes;
 use load_balancer::catalog::{PageCache, ServiceName};
@@ -18,14 +18,14 @@
     pub(crate) wakers: Arc<Wakers>,
     pages: Mutex<PageCache>,
     /// The route table, where this registry hosts it.
-    pub(crate) routes: Option<Arc<Host>>,
+    pub(crate) route_table: Option<Arc<RouteTableService>>,
 }
 
 impl Shared {
     /// Shares a state as it was read from disk.
-    pub(crate) fn new(state: State, routes: Option<Arc<Host>>) -> Self {
+    pub(crate) fn new(state: State, route_table: Option<Arc<RouteTableService>>) -> Self {
         let pages = Mutex::new(PageCache::new(MAX_PAGE_CACHE_BYTES));
-        Shared { state: RwLock::new(state), wakers: Arc::default(), pages, routes }
+        Shared { state: RwLock::new(state), wakers: Arc::default(), pages, route_table }
     }
 
     /// Locks the state for reading.
--- a/tests/unit/registry/route_table/config.rs
+++ b/tests/unit/registry/route_table/config.rs
@@ -7,7 +7,7 @@
     let read = |text: &str| toml::from_str::<RoutesConfig>(text);
     let good = read("enabled = true\nring_bytes = 2097152\nreport_ms = 500\n[bounds]\ncoverage = 0.5");
     let good = good.expect("sound");
-    assert!(good.own.enabled && good.control.report_ms == 500 && good.own.bounds.coverage == 0.5);
+    assert!(good.service.enabled && good.control.report_ms == 500 && good.service.bounds.coverage == 0.5);
     for (text, named) in [
         ("colour = 1", "colour"),
         ("ring_bytes = 5", "ring_bytes"),
