--- a/src/bin/registry/config.rs
+++ b/src/bin/registry/config.rs
@@ -1,4 +1,6 @@
-//! The command line and the configuration file.
+//! The registry's configuration: from the command line, the TOML file that it names, and defaults, in this order.
+//!
+//! Both are read once, before anything else. Their keys are described in `docs/registry.md`.
 
 use crate::error::StartError;
 use crate::http::Limits;
@@ -6,21 +8,21 @@
 use crate::store::SyncMode;
 use clap::Parser;
 use serde::Deserialize;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Connections open at once, where nothing is configured. A proxy holds up to four (list, route table, reports, recorded
-/// segments), so that these do for 12,500 proxies. At 15.7 KiB each (measured, `cargo bench --bench registry`) they take
-/// 767 MiB.
-const MAX_CONNECTIONS: usize = 50_000;
-/// Longest body of a write, in bytes, where nothing is configured: 10,000 entries of 400 bytes, or a route table of 16,384
-/// weights with names of 200. Of all bodies in work together 64 MiB are held.
-const MAX_BODY: usize = 4 << 20;
+/// Default of the most connections open at once. A proxy has up to four (list, route table, reports, recorded segments),
+/// so this is enough for 12,500 proxies. At 15.7 KiB each (measured, `cargo bench --bench registry`) they take 767 MiB.
+const DEFAULT_MAX_CONNECTIONS: usize = 50_000;
+/// Default of the longest body of a write, in bytes: 10,000 entries of 400 bytes, or a route table of 16,384 weights with
+/// names of 200. All bodies that are being read together take at most 64 MiB (`http/context.rs`).
+const DEFAULT_MAX_BODY_BYTES: usize = 4 << 20;
 
-/// The command line; each flag goes before the same key of the configuration file.
+/// The command line. A flag has precedence over the same key of the configuration file. The comments of the fields are
+/// the help texts.
 #[derive(Parser)]
 #[command(name = "registry", version, about = "The list service that the proxy's discovery reads")]
-pub struct Args {
+pub(crate) struct Args {
     /// A TOML file with the keys below.
     #[arg(long)]
     config: Option<PathBuf>,
@@ -50,10 +52,10 @@
     log_json: bool,
 }
 
-/// The configuration file. Every key may be left out.
+/// The configuration file. Every key may be left out, and an unknown one ends the start.
 #[derive(Deserialize, Default)]
 #[serde(deny_unknown_fields)]
-struct File {
+struct ConfigFile {
     listen: Option<String>,
     data: Option<PathBuf>,
     sync: Option<SyncMode>,
@@ -66,38 +68,42 @@
     routes: Option<RoutesConfig>,
 }
 
-/// What a start goes by.
-pub struct Config {
-    /// Address to serve on.
-    pub listen: String,
+impl ConfigFile {
+    fn read(path: &Path) -> Result<ConfigFile, StartError> {
+        let text = std::fs::read_to_string(path)
+            .map_err(|error| StartError::ConfigRead { path: path.to_path_buf(), error })?;
+        toml::from_str(&text).map_err(|error| StartError::Config { path: path.to_path_buf(), error })
+    }
+}
+
+/// The configuration.
+pub(crate) struct Config {
+    /// The address to listen on, as `HOST:PORT`.
+    pub(crate) listen: String,
     /// The data directory.
-    pub data: PathBuf,
-    /// When a write is on disk.
-    pub sync: SyncMode,
-    /// Changes between snapshots.
-    pub snapshot_every: u64,
-    /// Deletions kept.
-    pub max_tombstones: usize,
-    /// Logs as JSON lines.
-    pub log_json: bool,
-    /// Limits of the serving side.
-    pub limits: Limits,
-    /// The route table, where it is hosted.
-    pub routes: Option<RoutesConfig>,
+    pub(crate) data: PathBuf,
+    /// How records are synced to disk.
+    pub(crate) sync: SyncMode,
+    /// Records between two snapshots, at least 1.
+    pub(crate) snapshot_every: u64,
+    /// Most deletions that are kept for deltas.
+    pub(crate) max_tombstones: usize,
+    /// Whether log lines are JSON.
+    pub(crate) log_json: bool,
+    /// The limits of the serving side.
+    pub(crate) limits: Limits,
+    /// The route table's configuration, if it is hosted.
+    pub(crate) routes: Option<RoutesConfig>,
 }
 
 impl Config {
-    /// From the flags, the file that they name, and the defaults.
-    pub fn new(args: Args) -> Result<Config, StartError> {
-        let file = match args.config {
-            None => File::default(),
-            Some(path) => {
-                let text = std::fs::read_to_string(&path)
-                    .map_err(|error| StartError::ConfigRead { path: path.clone(), error })?;
-                toml::from_str(&text).map_err(|error| StartError::Config { path, error })?
-            }
+    /// Reads the configuration file, if one is named, and fills in the defaults.
+    pub(crate) fn new(args: Args) -> Result<Config, StartError> {
+        let file = match &args.config {
+            None => ConfigFile::default(),
+            Some(path) => ConfigFile::read(path)?,
         };
-        let header_timeout = args.header_timeout_ms.or(file.header_timeout_ms).unwrap_or(10_000);
+        let header_timeout_ms = args.header_timeout_ms.or(file.header_timeout_ms).unwrap_or(10_000);
         Ok(Config {
             listen: args.listen.or(file.listen).unwrap_or_else(|| "127.0.0.1:7400".into()),
             data: args.data.or(file.data).unwrap_or_else(|| "registry-data".into()),
@@ -106,9 +112,13 @@
             max_tombstones: args.max_tombstones.or(file.max_tombstones).unwrap_or(100_000),
             log_json: args.log_json || file.log_json.unwrap_or(false),
             limits: Limits {
-                connections: args.max_connections.or(file.max_connections).unwrap_or(MAX_CONNECTIONS).max(1),
-                header_timeout: Duration::from_millis(header_timeout),
-                max_body: file.max_body_bytes.unwrap_or(MAX_BODY),
+                max_connections: args
+                    .max_connections
+                    .or(file.max_connections)
+                    .unwrap_or(DEFAULT_MAX_CONNECTIONS)
+                    .max(1),
+                header_timeout: Duration::from_millis(header_timeout_ms),
+                max_body_bytes: file.max_body_bytes.unwrap_or(DEFAULT_MAX_BODY_BYTES),
             },
             routes: file.routes.filter(|routes| routes.service.enabled),
         })
--- a/src/bin/registry/error.rs
+++ b/src/bin/registry/error.rs
@@ -1,58 +1,58 @@
-//! Why the registry does not start, with what to do.
+//! Why the registry does not start. Each text says what an operator can do.
 
 use crate::store::OpenError;
 use std::io;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// What ends a start.
+/// An error that ends the start.
 #[derive(Error, Debug)]
-pub enum StartError {
+pub(crate) enum StartError {
     /// The configuration file can't be read.
     #[error("config: {}: {error}; give a file that can be read, or none", path.display())]
     ConfigRead {
-        /// Which file.
+        /// The file.
         path: PathBuf,
-        /// Why.
+        /// The system's error.
         error: io::Error,
     },
-    /// The configuration file is wrong.
+    /// The configuration file is no TOML, or has a wrong key or value.
     #[error("config: {}: {error}", path.display())]
     Config {
-        /// Which file.
+        /// The file.
         path: PathBuf,
-        /// Where, and what is allowed there.
+        /// The place in the file, and what is allowed there.
         error: toml::de::Error,
     },
-    /// The data directory can't be used.
+    /// The data directory can't be opened.
     #[error("data: {}: {error}", path.display())]
     Data {
-        /// Which directory.
+        /// The directory.
         path: PathBuf,
-        /// Why, and what to do.
+        /// The reason, and what to do.
         error: OpenError,
     },
-    /// The address can't be served on.
+    /// The address can't be listened on.
     #[error("listen: {address}: {error}; give a free address of this machine")]
     Listen {
-        /// Which address.
+        /// The address.
         address: String,
-        /// Why.
+        /// The system's error.
         error: io::Error,
     },
-    /// The system gives no thread, event loop or signal.
+    /// The operating system refuses a thread, an event loop or a signal handler.
     #[error("{what}: {error}; look at the limits of this process (threads, descriptors)")]
     System {
-        /// What was asked for.
+        /// The thread's name, or `event loop` or `signal`.
         what: &'static str,
-        /// Why.
+        /// The system's error.
         error: io::Error,
     },
 }
 
 impl StartError {
-    /// For a system's refusal.
-    pub fn system(what: &'static str) -> impl FnOnce(io::Error) -> StartError {
+    /// Makes an error of the operating system's refusal of `what`.
+    pub(crate) fn system(what: &'static str) -> impl FnOnce(io::Error) -> StartError {
         move |error| StartError::System { what, error }
     }
 }
--- a/src/bin/registry/http/context.rs
+++ b/src/bin/registry/http/context.rs
@@ -18,11 +18,11 @@
 #[derive(Clone, Copy)]
 pub(crate) struct Limits {
     /// Most connections open at once; further ones are closed as soon as they are accepted.
-    pub(crate) connections: usize,
+    pub(crate) max_connections: usize,
     /// Time in which the head of a request, and then its body, must arrive, and in which an answer must be taken.
     pub(crate) header_timeout: Duration,
     /// Longest body of a write, in bytes.
-    pub(crate) max_body: usize,
+    pub(crate) max_body_bytes: usize,
 }
 
 /// What each handler is given.
@@ -42,12 +42,12 @@
 impl Context {
     /// The context of a server with these limits. The budget of writes always fits one write of the longest kind.
     pub(super) fn new(shared: Arc<Shared>, writes: WriteQueue, limits: Limits) -> Context {
-        let write_budget_kib = WRITE_BUDGET_KIB.max(limits.max_body / 1024 + 1);
+        let write_budget_kib = WRITE_BUDGET_KIB.max(limits.max_body_bytes / 1024 + 1);
         let reader = |budget_kib, max_bytes| BodyReader::new(budget_kib, max_bytes, limits.header_timeout);
         Context {
             shared,
             writes,
-            write_bodies: reader(write_budget_kib, limits.max_body),
+            write_bodies: reader(write_budget_kib, limits.max_body_bytes),
             report_bodies: reader(REPORT_BUDGET_KIB, MAX_REPORT_BYTES),
             segment_bodies: reader(SEGMENT_BUDGET_KIB, load_balancer::replay::MAX_ENCODED),
         }
--- a/src/bin/registry/http/server.rs
+++ b/src/bin/registry/http/server.rs
@@ -23,14 +23,14 @@
 
 /// Serves until it is dropped.
 pub(crate) async fn serve(listener: TcpListener, shared: Arc<Shared>, writes: WriteQueue, limits: Limits) {
-    let permits = Arc::new(Semaphore::new(limits.connections));
+    let permits = Arc::new(Semaphore::new(limits.max_connections));
     let context = Arc::new(Context::new(shared, writes, limits));
     loop {
         let (stream, peer) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(e) => {
                 // Failure: the process is out of descriptors, and accepting fails at once, again and again. Without a
-                // pause this loop would take a whole core until some are closed.
+                // pause this loop would keep a core busy until some are closed.
                 warn!(error = %e, "accept failed");
                 tokio::time::sleep(ACCEPT_RETRY).await;
                 continue;
--- a/src/bin/registry/main.rs
+++ b/src/bin/registry/main.rs
@@ -1,4 +1,9 @@
-//! registry: the project's own list service. Discovery as the protocol states it, durable, with watches.
+//! registry: the project's own discovery service. It answers the lists of backends as the protocol states, durably and
+//! with watches, and keeps leases; where configured it hosts the route table.
+//!
+//! A start reads the configuration (`config`), opens the data directory (`store`), starts the route table
+//! (`route_table`) and the writer thread (`writer`), then serves HTTP (`http`) until SIGTERM. Every write that was answered
+//! as stored is on disk at any time, so a stop needs no further step and a kill loses nothing.
 
 #![forbid(unsafe_code)]
 
@@ -18,11 +23,11 @@
 use std::process::ExitCode;
 use std::sync::{Arc, mpsc};
 use std::time::Instant;
-use store::Log;
+use store::{Log, State};
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
 use tracing::{error, info, warn};
-use writer::Shared;
+use writer::{Shared, WriteQueue};
 
 fn main() -> ExitCode {
     let config = match Config::new(Args::parse()) {
@@ -32,15 +37,8 @@
             return ExitCode::from(2);
         }
     };
-    let logs = tracing_subscriber::fmt().with_writer(std::io::stderr).with_env_filter(
-        tracing_subscriber::EnvFilter::try_from_default_env().unwrap_or_else(|_| "info".into()),
-    );
-    if config.log_json {
-        logs.json().flatten_event(true).init();
-    } else {
-        logs.init();
-    }
-    match start(config) {
+    start_logs(config.log_json);
+    match run(config) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             error!(error = %e, "registry stopped");
@@ -49,13 +47,43 @@
     }
 }
 
-fn start(config: Config) -> Result<(), StartError> {
-    let Config { listen, data, sync, snapshot_every, max_tombstones, mut limits, routes, .. } = config;
-    limits.connections = descriptors::allow(limits.connections);
+/// Logs to standard error, at `info` unless `RUST_LOG` says otherwise.
+fn start_logs(as_json: bool) {
+    let filter = tracing_subscriber::EnvFilter::try_from_default_env().unwrap_or_else(|_| "info".into());
+    let logs = tracing_subscriber::fmt().with_writer(std::io::stderr).with_env_filter(filter);
+    if as_json {
+        logs.json().flatten_event(true).init();
+    } else {
+        logs.init();
+    }
+}
+
+/// Starts every part, and serves until SIGTERM.
+fn run(mut config: Config) -> Result<(), StartError> {
+    config.limits.max_connections = descriptors::allow_connections(config.limits.max_connections);
+    let (log, state) = open_data(&config)?;
+    let route_table = match config.routes.take() {
+        Some(routes) => Some(RouteTableService::start(routes, &state, &config.data)?),
+        None => None,
+    };
+    let shared = Arc::new(Shared::new(state, route_table));
+    let writes = start_writer(log, shared.clone(), config.snapshot_every)?;
+    // One thread serves; the writer thread waits for the disk. More serving threads would need another feature of tokio,
+    // which the proxy's build would then have too.
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(StartError::system("event loop"))?;
+    runtime.block_on(serve(config, shared, writes))
+}
+
+/// Reads the state from the data directory, and writes a snapshot if one is due.
+fn open_data(config: &Config) -> Result<(Log, State), StartError> {
     let started = Instant::now();
-    let (mut log, state, recovery) = Log::open(&data, sync, max_tombstones)
-        .map_err(|error| StartError::Data { path: data.clone(), error })?;
+    let (mut log, state, recovery) = Log::open(&config.data, config.sync, config.max_tombstones)
+        .map_err(|error| StartError::Data { path: config.data.clone(), error })?;
     if recovery.cut_bytes > 0 {
+        // The text is kept: operators look for it (docs/registry.md).
         warn!(
             bytes = recovery.cut_bytes,
             after_records = recovery.records,
@@ -63,37 +91,42 @@
         );
     }
     let took_ms = started.elapsed().as_millis() as u64;
-    info!(seq = state.catalog.newest(), entries = state.catalog.entry_count(), services = state.catalog.service_count(), records = recovery.records, snapshot = ?recovery.snapshot_seq, took_ms,
-        "state read from disk");
-    if log.is_snapshot_due(snapshot_every) {
+    info!(
+        seq = state.catalog.newest(),
+        entries = state.catalog.entry_count(),
+        services = state.catalog.service_count(),
+        records = recovery.records,
+        snapshot = ?recovery.snapshot_seq,
+        took_ms,
+        "state read from disk"
+    );
+    if log.is_snapshot_due(config.snapshot_every) {
         writer::write_snapshot(&mut log, &state);
     }
-    let routes = match routes {
-        Some(config) => Some(RouteTableService::start(config, &state, &data)?),
-        None => None,
-    };
-    let shared = Arc::new(Shared::new(state, routes));
-    let (writes, write_requests) = mpsc::channel();
-    let for_writer = shared.clone();
+    Ok((log, state))
+}
+
+/// Starts the writer thread; it ends when the queue and its clones are dropped.
+fn start_writer(log: Log, shared: Arc<Shared>, snapshot_every: u64) -> Result<WriteQueue, StartError> {
+    let (writes, requests) = mpsc::channel();
     std::thread::Builder::new()
         .name("writer".into())
-        .spawn(move || writer::run(log, for_writer, write_requests, snapshot_every))
+        .spawn(move || writer::run(log, shared, requests, snapshot_every))
         .map_err(StartError::system("writer"))?;
-    // One thread serves; the writer thread waits on the disk, and the proxy's build keeps the tokio features it had.
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .map_err(StartError::system("event loop"))?;
-    runtime.block_on(async move {
-        let no_listener = |error| StartError::Listen { address: listen.clone(), error };
-        let listener = TcpListener::bind(&listen).await.map_err(no_listener)?;
-        let address = listener.local_addr().map_err(no_listener)?;
-        info!(%address, data = %data.display(), ?sync, "listening");
-        let mut stop = signal(SignalKind::terminate()).map_err(StartError::system("signal"))?;
-        tokio::select! {
-            () = http::serve(listener, shared, writes, limits) => {}
-            _ = stop.recv() => info!("SIGTERM: stopping; every answered write is on disk"),
-        }
-        Ok(())
-    })
+    Ok(writes)
+}
+
+/// Listens and serves until SIGTERM.
+async fn serve(config: Config, shared: Arc<Shared>, writes: WriteQueue) -> Result<(), StartError> {
+    let Config { listen, data, sync, limits, .. } = config;
+    let listen_failed = |error| StartError::Listen { address: listen.clone(), error };
+    let listener = TcpListener::bind(&listen).await.map_err(listen_failed)?;
+    let address = listener.local_addr().map_err(listen_failed)?;
+    info!(%address, data = %data.display(), ?sync, "listening");
+    let mut terminate = signal(SignalKind::terminate()).map_err(StartError::system("signal"))?;
+    tokio::select! {
+        () = http::serve(listener, shared, writes, limits) => {}
+        _ = terminate.recv() => info!("SIGTERM: stopping; every answered write is on disk"),
+    }
+    Ok(())
 }
--- a/src/bin/registry/route_table/mod.rs
+++ b/src/bin/registry/route_table/mod.rs
@@ -10,13 +10,15 @@
 
 mod clock;
 mod config;
+mod decisions;
 mod evaluation;
 mod page_cache;
+mod segment_error;
 mod service;
 mod trace_index;
 mod trace_ring;
 mod traces;
 
 pub(crate) use config::RoutesConfig;
+pub(crate) use segment_error::SegmentError;
 pub(crate) use service::{RouteTableService, TooLong};
-pub(crate) use trace_ring::SegmentError;
--- a/src/bin/registry/route_table/page_cache.rs
+++ b/src/bin/registry/route_table/page_cache.rs
@@ -1,4 +1,4 @@
-//! Encoded tables. After a change the whole fleet asks for the same few; each is encoded once.
+//! Encoded tables. After a change all proxies ask for the same few; each is encoded once.
 
 use bytes::Bytes;
 use load_balancer::route_table::{Revision, Table, Weights};
--- a/src/bin/registry/route_table/service.rs
+++ b/src/bin/registry/route_table/service.rs
@@ -2,13 +2,13 @@
 
 use super::clock::Clock;
 use super::config::{RoutesConfig, ServiceConfig};
+use super::decisions::Decisions;
 use super::evaluation::Evaluator;
 use super::page_cache::PageCache;
 use super::traces::Traces;
 use crate::error::StartError;
 use crate::store::{MAX_RECORD_BYTES, Record, State};
 use bytes::Bytes;
-use load_balancer::catalog::{Entry, ServiceName};
 use load_balancer::replay::{Job, Listed};
 use load_balancer::route_table::{
     Backend, BadReport, Control, DriftPage, Effect, Finding, Outcome, Proposal, Refused, Report, Revision,
@@ -34,17 +34,6 @@
     bytes: usize,
 }
 
-/// The decisions and what they rest on.
-struct Decisions {
-    control: Control,
-    /// The listed backends, sorted by host.
-    backends: Vec<Backend>,
-    /// The version of the list that `backends` is from.
-    list_version: u64,
-    /// When the next tick is due, Unix time in milliseconds.
-    next_tick_ms: u64,
-}
-
 /// The route table, its rollout and the drift of the fleet.
 pub(crate) struct RouteTableService {
     config: ServiceConfig,
@@ -77,12 +66,7 @@
             clock,
             tables: watch::Sender::new(control.version()),
             findings: watch::Sender::new(now_ms),
-            decisions: Mutex::new(Decisions {
-                control,
-                backends: Vec::new(),
-                list_version: 0,
-                next_tick_ms: 0,
-            }),
+            decisions: Mutex::new(Decisions::new(control)),
             evaluator,
             pages: Mutex::default(),
             traces,
@@ -169,24 +153,11 @@
                     self.tables.send_replace(version);
                 }
                 Effect::Raised(finding) => {
-                    let Finding { kind, proxy, proxies, some, since_ms, evidence, what_to_do, .. } = finding;
-                    let kind = json!(kind);
-                    warn!(
-                        kind = kind.as_str(),
-                        proxy,
-                        proxies,
-                        ?some,
-                        since_ms,
-                        evidence,
-                        what_to_do,
-                        "drift raised"
-                    );
+                    log_raised(&finding);
                     self.findings.send_modify(|version| *version += 1);
                 }
                 Effect::Cleared(finding) => {
-                    let Finding { kind, proxy, proxies, since_ms, .. } = finding;
-                    let kind = json!(kind);
-                    info!(kind = kind.as_str(), proxy, proxies, since_ms, "drift cleared");
+                    log_cleared(&finding);
                     self.findings.send_modify(|version| *version += 1);
                 }
             }
@@ -242,23 +213,14 @@
     }
 }
 
-impl Decisions {
-    /// Takes over the list of backends if it has changed. The table is for the unnamed service, so it is that one's list.
-    fn follow_list(&mut self, state: &State) {
-        let service = ServiceName::default();
-        let version = state.catalog.version(&service);
-        if self.list_version == version {
-            return;
-        }
-        self.list_version = version;
-        let backend = |entry: &Entry| Backend {
-            host: entry.host.clone(),
-            class: entry.class.clone(),
-            zone: entry.site.clone(),
-            share: entry.share,
-        };
-        self.backends = state.catalog.entries(&service).map(|change| backend(&change.entry)).collect();
-        self.backends.sort_by(|a, b| a.host.cmp(&b.host));
-        self.control.list(&self.backends);
-    }
+fn log_raised(finding: &Finding) {
+    let Finding { kind, proxy, proxies, some, since_ms, evidence, what_to_do, .. } = finding;
+    let kind = json!(kind);
+    warn!(kind = kind.as_str(), proxy, proxies, ?some, since_ms, evidence, what_to_do, "drift raised");
+}
+
+fn log_cleared(finding: &Finding) {
+    let Finding { kind, proxy, proxies, since_ms, .. } = finding;
+    let kind = json!(kind);
+    info!(kind = kind.as_str(), proxy, proxies, since_ms, "drift cleared");
 }
--- a/src/bin/registry/route_table/trace_ring.rs
+++ b/src/bin/registry/route_table/trace_ring.rs
@@ -6,14 +6,12 @@
 //! start, and it is removed and counted as `spoilt`. Why that is enough: a segment is a sample, and the missing number
 //! is stated as a gap in its proxy's segments.
 
+use super::segment_error::{SegmentError, SkipReason};
 use super::trace_index::{RingPage, SegmentInfo, TraceIndex};
 use load_balancer::replay::{BadSegment, Segment};
-use serde::Serialize;
 use std::fs;
-use std::io;
 use std::path::{Path, PathBuf};
 use std::sync::{Condvar, Mutex, MutexGuard};
-use thiserror::Error;
 use tracing::{info, warn};
 
 /// Most segments that are stored, however small.
@@ -24,30 +22,6 @@
 /// at times of its own.
 const READ_MARGIN_MS: f64 = 2.0 * MAX_CLOCK_AHEAD_MS;
 
-/// Why a segment was rejected. The texts are answered to the proxy.
-#[derive(Error, Debug)]
-pub(crate) enum SegmentError {
-    /// It can't be decoded.
-    #[error(transparent)]
-    Bad(#[from] BadSegment),
-    /// It ends after this registry's clock, by so many milliseconds.
-    #[error("span_ms: ends {0} ms after this registry's clock; set the proxy's clock right")]
-    Ahead(u64),
-    /// It could not be written.
-    #[error("storage: {0}; make room on the disk of the data directory")]
-    Storage(#[from] io::Error),
-}
-
-/// Why a sound segment was not stored.
-#[derive(Serialize, Clone, Copy, Debug, PartialEq, Eq)]
-#[serde(rename_all = "lowercase")]
-pub(crate) enum SkipReason {
-    /// It is stored already.
-    Repeated,
-    /// It ended longer ago than segments are kept.
-    Late,
-}
-
 /// The ring.
 pub(crate) struct TraceRing {
     directory: PathBuf,
--- a/src/bin/registry/route_table/traces.rs
+++ b/src/bin/registry/route_table/traces.rs
@@ -1,6 +1,7 @@
 //! The thread that stores recorded segments, so that decoding, checksums and the disk delay no other call.
 
-use super::trace_ring::{SegmentError, SkipReason, TraceRing};
+use super::segment_error::{SegmentError, SkipReason};
+use super::trace_ring::TraceRing;
 use crate::error::StartError;
 use bytes::Bytes;
 use std::path::Path;
