--- a/src/bin/registry/http/write_reply.rs
+++ b/src/bin/registry/http/write_reply.rs
@@ -50,12 +50,12 @@
 }
 
 fn accepted_proposal_json(record: &RouteRecord) -> Value {
-    let Some(work) = &record.work else { return json!({"revision": record.in_force.revision}) };
-    let state = if work.rollout.is_some() { "rolling_out" } else { "judging" };
+    let Some(active) = &record.active else { return json!({"revision": record.in_force.revision}) };
+    let state = if active.rollout.is_some() { "rolling_out" } else { "judging" };
     json!({
-        "revision": work.table.revision,
-        "from": work.table.from,
-        "digest": work.table.digest,
+        "revision": active.table.revision,
+        "from": active.table.from,
+        "digest": active.table.digest,
         "state": state,
     })
 }
--- a/src/bin/registry/route_table/decisions.rs
+++ b/src/bin/registry/route_table/decisions.rs
@@ -37,6 +37,6 @@
         };
         self.backends = state.catalog.entries(&service).map(|change| backend(&change.entry)).collect();
         self.backends.sort_by(|a, b| a.host.cmp(&b.host));
-        self.control.list(&self.backends);
+        self.control.update_backends(&self.backends);
     }
 }
--- a/src/bin/registry/route_table/service.rs
+++ b/src/bin/registry/route_table/service.rs
@@ -11,8 +11,8 @@
 use bytes::Bytes;
 use load_balancer::replay::{Job, Listed};
 use load_balancer::route_table::{
-    Backend, BadReport, Control, DriftPage, Effect, Finding, Outcome, Proposal, Refused, Report, Revision,
-    RouteRecord, StatePage, Table,
+    AcceptedProposal, Backend, Control, DriftPage, Effect, Finding, Proposal, ProposalError, Report,
+    ReportError, Revision, RouteRecord, StatePage, Table,
 };
 use serde_json::{Value, json};
 use std::path::Path;
@@ -89,7 +89,11 @@
 
     /// Decides on a proposal. Its record is to be written, then passed to [`RouteTableService::settle`]. Called by the
     /// writer thread.
-    pub(crate) fn propose(&self, proposal: Proposal, state: &State) -> Result<Outcome, Refused> {
+    pub(crate) fn propose(
+        &self,
+        proposal: Proposal,
+        state: &State,
+    ) -> Result<AcceptedProposal, ProposalError> {
         let mut decisions = self.decisions();
         decisions.follow_list(state);
         let Decisions { control, backends, .. } = &mut *decisions;
@@ -110,7 +114,7 @@
         if let Some(verdict) = self.evaluator.take_verdict() {
             info!(from = verdict.from, digest = verdict.digest, requests = verdict.requests,
                 decision = %json!(verdict.decision), "proposal judged");
-            match decisions.control.verdict(now_ms, verdict) {
+            match decisions.control.receive_verdict(now_ms, verdict) {
                 Ok(more) => effects.extend(more),
                 Err(stale) => debug!(%stale, "verdict passed over"),
             }
@@ -124,10 +128,12 @@
     pub(crate) fn settle(&self, record: RouteRecord, is_on_disk: bool) {
         let mut decisions = self.decisions();
         if !is_on_disk {
-            return decisions.control.put_back();
+            return decisions.control.discard_pending();
         }
-        let stage =
-            record.work.as_ref().and_then(|work| Some((work.table.revision, work.rollout.as_ref()?.stage)));
+        let stage = record
+            .active
+            .as_ref()
+            .and_then(|active| Some((active.table.revision, active.rollout.as_ref()?.stage)));
         info!(change = record.change, in_force = record.in_force.revision, rolling = ?stage, "route table changed");
         let effects = decisions.control.apply(self.now_ms(), record);
         self.run_effects(&decisions, effects);
@@ -187,15 +193,15 @@
     }
 
     /// Takes in a proxy's report.
-    pub(crate) fn report(&self, report: Report) -> Result<(), BadReport> {
+    pub(crate) fn report(&self, report: Report) -> Result<(), ReportError> {
         let mut decisions = self.decisions();
-        decisions.control.report(self.now_ms(), report)
+        decisions.control.receive_report(self.now_ms(), report)
     }
 
     /// The table that a proxy is to use, by the proxy's name: its revision and the table as JSON.
     pub(crate) fn table_for(&self, proxy: &str) -> serde_json::Result<(Revision, Bytes)> {
         let decisions = self.decisions();
-        let table = decisions.control.meant_for(proxy);
+        let table = decisions.control.target_table(proxy);
         let newest = decisions.control.newest_revision();
         let mut pages = self.pages.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         Ok((table.revision, pages.get(table, newest)?))
@@ -214,9 +220,9 @@
 }
 
 fn log_raised(finding: &Finding) {
-    let Finding { kind, proxy, proxies, some, since_ms, evidence, what_to_do, .. } = finding;
+    let Finding { kind, proxy, proxies, examples, since_ms, evidence, what_to_do, .. } = finding;
     let kind = json!(kind);
-    warn!(kind = kind.as_str(), proxy, proxies, ?some, since_ms, evidence, what_to_do, "drift raised");
+    warn!(kind = kind.as_str(), proxy, proxies, some = ?examples, since_ms, evidence, what_to_do, "drift raised");
 }
 
 fn log_cleared(finding: &Finding) {
--- a/src/catalog/snapshot.rs
+++ b/src/catalog/snapshot.rs
@@ -18,13 +18,13 @@
     /// The newest version of any service that was dropped.
     pub dropped_version: u64,
     /// Every service, sorted by name.
-    pub services: Vec<ServiceSnapshot>,
+    pub services: Vec<SavedService>,
 }
 
 /// One service in [`CatalogSnapshot`].
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct ServiceSnapshot {
+pub struct SavedService {
     /// The service's name.
     pub name: ServiceName,
     /// All changes of the service after this version are in `changes`.
@@ -33,9 +33,9 @@
     pub changes: Vec<Change>,
 }
 
-impl ServiceSnapshot {
-    fn of(name: &ServiceName, service: &Service) -> ServiceSnapshot {
-        ServiceSnapshot {
+impl SavedService {
+    fn of(name: &ServiceName, service: &Service) -> SavedService {
+        SavedService {
             name: name.clone(),
             horizon: service.horizon(),
             changes: service.changes().cloned().collect(),
@@ -47,7 +47,7 @@
     /// The catalog as a snapshot holds it.
     pub fn snapshot(&self) -> CatalogSnapshot {
         let mut services: Vec<_> =
-            self.services.iter().map(|(name, service)| ServiceSnapshot::of(name, service)).collect();
+            self.services.iter().map(|(name, service)| SavedService::of(name, service)).collect();
         services.sort_by(|a, b| a.name.cmp(&b.name));
         CatalogSnapshot {
             newest: self.history.newest(),
@@ -67,7 +67,7 @@
             max_tombstones,
             dropped_version: snapshot.dropped_version,
         };
-        for ServiceSnapshot { name, horizon, changes } in snapshot.services {
+        for SavedService { name, horizon, changes } in snapshot.services {
             let mut service = Service::new(horizon);
             for change in changes {
                 if change.entry.health == Health::Deleted {
