--- a/src/catalog/saved.rs
+++ b/src/catalog/snapshot.rs
@@ -1,32 +1,33 @@
-//! The whole catalog as a snapshot holds it.
+//! The catalog's part of a snapshot of the registry.
 
 use super::history::History;
 use super::{Catalog, Change, Health, Service, ServiceName};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// All of a [`Catalog`] at one version, but for the last start: a restored one must be told of a start.
+/// A [`Catalog`] at one version, without the version of the last start: after [`Catalog::restore`] comes
+/// [`Catalog::start`].
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Saved {
+pub struct CatalogSnapshot {
     /// The newest version.
     pub newest: u64,
-    /// Versions between these were never given out.
+    /// Pairs of versions; those between the two of a pair were never given out.
     pub gaps: VecDeque<(u64, u64)>,
-    /// Nothing is known of gaps before this version.
+    /// Gaps that end at or before this version are not remembered.
     pub horizon: u64,
     /// The newest version of any service that was dropped.
-    pub dropped: u64,
-    /// Every service, in the order of the names.
+    pub dropped_version: u64,
+    /// Every service, sorted by name.
     pub services: Vec<SavedService>,
 }
 
-/// One service in [`Saved`].
+/// One service in [`CatalogSnapshot`].
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct SavedService {
-    /// Which.
+    /// The service's name.
     pub name: ServiceName,
-    /// Its changes after this version are all there.
+    /// All changes of the service after this version are in `changes`.
     pub horizon: u64,
     /// Entries and tombstones in the order of their versions.
     pub changes: Vec<Change>,
@@ -34,36 +35,39 @@
 
 impl SavedService {
     fn of(name: &ServiceName, service: &Service) -> SavedService {
-        let (horizon, changes) = (service.horizon(), service.changes().cloned().collect());
-        SavedService { name: name.clone(), horizon, changes }
+        SavedService {
+            name: name.clone(),
+            horizon: service.horizon(),
+            changes: service.changes().cloned().collect(),
+        }
     }
 }
 
 impl Catalog {
-    /// All of it, to be written.
-    pub fn save(&self) -> Saved {
+    /// The catalog as a snapshot holds it.
+    pub fn snapshot(&self) -> CatalogSnapshot {
         let mut services: Vec<_> =
             self.services.iter().map(|(name, service)| SavedService::of(name, service)).collect();
         services.sort_by(|a, b| a.name.cmp(&b.name));
-        Saved {
+        CatalogSnapshot {
             newest: self.history.newest(),
-            gaps: self.history.kept_gaps().clone(),
+            gaps: self.history.gaps().clone(),
             horizon: self.history.horizon(),
-            dropped: self.dropped,
+            dropped_version: self.dropped_version,
             services,
         }
     }
 
-    /// What was saved. A smaller bound on tombstones than it was saved with drops the oldest.
-    pub fn restore(saved: Saved, max_tombstones: usize) -> Catalog {
+    /// The catalog of a snapshot. If `max_tombstones` is smaller than when the snapshot was made, the oldest go.
+    pub fn restore(snapshot: CatalogSnapshot, max_tombstones: usize) -> Catalog {
         let mut catalog = Catalog {
-            history: History::restored(saved.newest, saved.gaps, saved.horizon),
+            history: History::restored(snapshot.newest, snapshot.gaps, snapshot.horizon),
             services: HashMap::new(),
             tombstones: BTreeMap::new(),
             max_tombstones,
-            dropped: saved.dropped,
+            dropped_version: snapshot.dropped_version,
         };
-        for SavedService { name, horizon, changes } in saved.services {
+        for SavedService { name, horizon, changes } in snapshot.services {
             let mut service = Service::new(horizon);
             for change in changes {
                 if change.entry.health == Health::Deleted {
@@ -75,7 +79,7 @@
                 catalog.services.insert(name, service);
             }
         }
-        catalog.trim();
+        catalog.drop_oldest_tombstones();
         catalog
     }
 }
