--- /dev/null
+++ b/src/bin/proxy/body/buffer_budget.rs
@@ -0,0 +1,56 @@
+//! The budget for buffered bodies.
+//!
+//! One budget is shared by all requests and responses. Each buffered body holds a reservation, which is returned when
+//! it is dropped.
+
+use super::SMALL;
+use std::cell::Cell;
+use std::rc::Rc;
+
+/// The bytes that are left for buffered bodies.
+///
+/// Failure: many bodies are buffered at once and exceed the memory limit. A body that gets no reservation is streamed,
+/// as a long one is, and cannot be sent again.
+pub struct BufferBudget(Cell<usize>);
+
+/// Bytes reserved for one body; returned to the budget when dropped.
+pub struct BufferReservation {
+    budget: Rc<BufferBudget>,
+    bytes: usize,
+}
+
+impl BufferBudget {
+    /// A budget of `bytes`.
+    pub fn new(bytes: usize) -> Rc<Self> {
+        Rc::new(BufferBudget(Cell::new(bytes)))
+    }
+
+    /// Reserves memory for a body of this length, or for the longest buffered one where the length is unknown. None if
+    /// too little is left, or if the body is too long to be buffered.
+    pub fn take(self: &Rc<Self>, length: Option<u64>) -> Option<BufferReservation> {
+        let length = length.unwrap_or(SMALL as u64);
+        let bytes = usize::try_from(length).ok().filter(|bytes| *bytes <= SMALL)?;
+        let left = self.0.get().checked_sub(bytes)?;
+        self.0.set(left);
+        Some(BufferReservation { budget: self.clone(), bytes })
+    }
+}
+
+impl BufferReservation {
+    /// Returns what exceeds `bytes`, once the body's length is known.
+    pub fn shrink(&mut self, bytes: usize) {
+        let excess = self.bytes.saturating_sub(bytes);
+        self.bytes -= excess;
+        self.budget.0.update(|left| left + excess);
+    }
+}
+
+impl Drop for BufferReservation {
+    fn drop(&mut self) {
+        self.budget.0.update(|left| left + self.bytes);
+    }
+}
+
+#[cfg(test)]
+#[path = "../../../../tests/unit/proxy/body/buffer_budget.rs"]
+mod tests;
--- a/src/bin/proxy/body/mod.rs
+++ b/src/bin/proxy/body/mod.rs
@@ -1,16 +1,22 @@
-//! Bodies that flow: taken from one side only as the other side takes them, and never waited for without end.
+//! Request and response bodies: buffered where they are small, streamed where they are not.
+//!
+//! - [`buffer_budget`] bounds the memory of all buffered bodies together.
+//! - [`rate_floor`] reads a body and ends it when its sender is too slow.
+//! - [`remaining`] streams the part of a request's body that was not buffered to the one attempt that can send it.
+//!
+//! A streamed body is read from one side only as the other side accepts it.
 
-mod paced;
-mod rest;
-mod room;
+mod buffer_budget;
+mod rate_floor;
+mod remaining;
 
-pub use paced::{BACKEND, CLIENT, Paced};
-pub use rest::{Flow, Rest};
-pub use room::{Held, Room};
+pub use buffer_budget::{BufferBudget as Room, BufferReservation as Held};
+pub use rate_floor::{BACKEND_RATE_FLOOR as BACKEND, CLIENT_RATE_FLOOR as CLIENT, RateLimitedBody as Paced};
+pub use remaining::{BodyState as Flow, RemainingBody as Rest};
 
-/// Bodies up to this are held whole, and can be sent again.
+/// The longest body that is buffered, in bytes; a buffered body can be sent again.
 pub const SMALL: usize = 64 * 1024;
-/// Longest body that is passed on.
+/// The longest body that is passed on, in bytes.
 pub const LARGEST: u64 = 32 << 20;
-/// Size of the HTTP library's buffers: one for each direction of a connection.
+/// Bytes of each of the HTTP library's buffers: one for each direction of a connection.
 pub const BUFFER: usize = 16 * 1024;
--- a/src/bin/proxy/io/client.rs
+++ b/src/bin/proxy/io/client.rs
@@ -1,4 +1,7 @@
-//! A client's stream, whose end is seen behind bytes that nobody wants yet.
+//! A client's stream, which notices that the client has left.
+//!
+//! The HTTP library does not read a stream while it has bytes that it needs later, and so misses an end behind them.
+//! [`Client`] reads ahead, up to a limit, and keeps what it has read for the library.
 
 use crate::body::{BUFFER, LARGEST};
 use bytes::{Buf, BytesMut};
@@ -16,99 +19,121 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::time::sleep;
 
-/// Where more is unread than is read ahead, the system is asked so often whether the stream has ended. No setting
-/// can break this: a client that left may be sent for 100 ms longer, whatever its deadline.
-const LOOK: Duration = Duration::from_millis(25);
+/// Interval at which a stream is checked for its end where the read-ahead is full.
+///
+/// The platform allows attempts for a client that left for 100 ms longer, whatever its deadline.
+const END_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// So much is read and dropped at one look, so that no client holds up the others.
-const DROP: u64 = 1 << 20;
+/// Bytes that are read ahead at once.
+const READ_CHUNK: usize = 4096;
 
-/// A client as far as its stream tells whether it is there. The HTTP library does not read a stream on which it has
-/// bytes that it does not want yet; this does, up to a limit.
+/// The most bytes that one check reads and discards, so that no client occupies the thread.
+const MAX_DISCARDED_PER_CHECK: u64 = 1 << 20;
+
+/// The reading half of a client's stream, by which its end is noticed.
 pub struct Client {
     stream: RefCell<TokioIo<OwnedReadHalf>>,
-    ahead: RefCell<Ahead>,
-    whole: Cell<bool>,
+    ahead: RefCell<ReadAhead>,
+    /// The request has been read completely, so that what is unread belongs to another one.
+    request_complete: Cell<bool>,
 }
 
-/// What was read before it was asked for.
+/// What was read before the HTTP library asked for it.
 #[derive(Default)]
-struct Ahead {
+struct ReadAhead {
     bytes: BytesMut,
-    /// How much behind them was dropped.
-    dropped: u64,
+    /// Bytes that followed these and were discarded.
+    discarded: u64,
+    /// How the stream ended, if it has.
     end: Option<io::Result<()>>,
 }
 
-impl Client {
-    /// Whether the client has closed its connection, ended its sending or reset it, as far as the system has said.
-    pub fn left(&self) -> bool {
-        let (stream, ahead) = (self.stream.borrow(), &mut *self.ahead.borrow_mut());
-        let (mut part, most) = ([0; 4096], ahead.dropped + DROP);
-        while ahead.end.is_none() && (ahead.bytes.len() < BUFFER || self.whole.get() && ahead.dropped < most)
-        {
-            match stream.inner().try_read(&mut part) {
-                Ok(0) => ahead.end = Some(Ok(())),
-                Ok(n) if ahead.dropped == 0 && ahead.bytes.len() < BUFFER => {
-                    ahead.bytes.extend_from_slice(&part[..n]);
-                }
-                Ok(n) => ahead.dropped += n as u64,
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return false,
-                Err(e) => ahead.end = Some(Err(e)),
+impl ReadAhead {
+    /// Reads what is there up to the limit of the read-ahead, and if it `discards`, further bytes up to that of one
+    /// check. Returns whether all was read, which shows that the stream has not ended.
+    ///
+    /// Failure: a client sends without end behind its request. Past [`LARGEST`] discarded bytes its stream counts as
+    /// ended.
+    fn fill(&mut self, stream: &OwnedReadHalf, discards: bool) -> bool {
+        let mut chunk = [0; READ_CHUNK];
+        let max_discarded = self.discarded + MAX_DISCARDED_PER_CHECK;
+        while self.end.is_none() && (!self.is_full() || discards && self.discarded < max_discarded) {
+            match stream.try_read(&mut chunk) {
+                Ok(0) => self.end = Some(Ok(())),
+                Ok(n) if self.discarded == 0 && !self.is_full() => self.bytes.extend_from_slice(&chunk[..n]),
+                Ok(n) => self.discarded += n as u64,
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return true,
+                Err(error) => self.end = Some(Err(error)),
             }
         }
-        if ahead.dropped > LARGEST {
-            ahead.end = Some(Err(io::ErrorKind::FileTooLarge.into()));
+        if self.discarded > LARGEST {
+            self.end = Some(Err(io::ErrorKind::FileTooLarge.into()));
+        }
+        false
+    }
+
+    fn is_full(&self) -> bool {
+        self.bytes.len() >= BUFFER
+    }
+}
+
+impl Client {
+    /// Whether the client has closed its connection, its sending direction, or reset it, as far as the system knows.
+    pub fn left(&self) -> bool {
+        let stream = self.stream.borrow();
+        let ahead = &mut *self.ahead.borrow_mut();
+        if ahead.fill(stream.inner(), self.request_complete.get()) {
+            return false;
         }
-        // The system tells of an end also behind what is unread.
+        // The system reports an end also while bytes before it are unread.
         let mut ready = pin!(stream.inner().ready(Interest::READABLE));
         let ready = ready.as_mut().poll(&mut Context::from_waker(Waker::noop()));
-        ahead.end.is_some() || matches!(ready, Poll::Ready(Ok(r)) if r.is_read_closed())
+        ahead.end.is_some() || matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed())
     }
 
-    /// Whether its request has come whole: what is unread then is another one, or none.
-    pub fn is_at(&self, whole: bool) {
-        self.whole.set(whole);
+    /// Sets whether its request has been read completely: bytes that are unread then may be discarded.
+    pub fn is_at(&self, request_complete: bool) {
+        self.request_complete.set(request_complete);
     }
 
-    /// Whether the connection has to close after the answer, since more came behind the request than is kept.
+    /// Whether bytes behind the request were discarded, so that the connection has to close after the answer.
     pub fn spilt(&self) -> bool {
-        self.ahead.borrow().dropped > 0
+        self.ahead.borrow().discarded > 0
     }
 
-    /// Waits until it has left. Only the connection's own task may wait.
+    /// Waits until the client has left. Only one task may wait, that of the connection.
     pub async fn leaves(&self) {
         while !self.left() {
-            let full = self.ahead.borrow().bytes.len() >= BUFFER;
-            if !full {
-                // An error shows at the next look.
+            let is_full = self.ahead.borrow().is_full();
+            if !is_full {
+                // An error shows at the next check.
                 let _ = poll_fn(|cx| self.stream.borrow().inner().as_ref().poll_read_ready(cx)).await;
             } else {
-                sleep(LOOK).await;
+                sleep(END_CHECK_INTERVAL).await;
             }
         }
     }
 }
 
-/// Both directions of a client's stream, for the HTTP library.
+/// A client's stream in both directions, for the HTTP library.
 pub struct ClientStream {
     client: Rc<Client>,
     write: TokioIo<OwnedWriteHalf>,
 }
 
 impl ClientStream {
-    /// Takes a stream.
+    /// Splits a stream.
     pub fn new(stream: TcpStream) -> Self {
         let (read, write) = stream.into_split();
         let client = Client {
             stream: RefCell::new(TokioIo::new(read)),
             ahead: RefCell::default(),
-            whole: Cell::default(),
+            request_complete: Cell::default(),
         };
         ClientStream { client: Rc::new(client), write: TokioIo::new(write) }
     }
 
-    /// Its client.
+    /// Its client, shared with the request.
     pub fn client(&self) -> Rc<Client> {
         self.client.clone()
     }
@@ -159,8 +184,8 @@
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let ended = Pin::new(&mut self.write).poll_shutdown(cx);
         if ended.is_ready() {
-            // What still comes is read for nobody, so that a gap in it means nothing any more.
-            self.client.ahead.borrow_mut().dropped = 0;
+            // What is read from now on is discarded by the HTTP library too, so that gaps in it do no harm.
+            self.client.ahead.borrow_mut().discarded = 0;
         }
         ended
     }
--- a/src/bin/proxy/io/mod.rs
+++ b/src/bin/proxy/io/mod.rs
@@ -1,15 +1,18 @@
-//! A stream that watches its own writes: whether a request got out whole, and whether the other side has
-//! stopped taking bytes.
+//! Streams between the proxy's peers and the HTTP library.
+//!
+//! A [`Watched`] stream observes what the library reads and writes: whether a request was written completely, whether
+//! the peer accepts bytes, and the framing headers of a request's head. Its [`Progress`] is shared with the request that
+//! uses the connection. [`ClientStream`] also notices that a client has left, [`Outgoing`] is the body that is written.
 
 mod client;
-mod head;
 mod outgoing;
+mod request_head;
 
 pub use client::{Client, ClientStream};
 pub use outgoing::Outgoing;
 
-use head::Head;
 use hyper::rt::{Read, ReadBuf, ReadBufCursor, Write};
+use request_head::RequestHead;
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::io;
@@ -19,94 +22,116 @@
 use std::time::Duration;
 use tokio::time::{Sleep, sleep};
 
-/// A silent machine resets nothing: a write that makes no headway for so long has failed. Shorter deadlines end the
-/// attempt or the answer themselves; with longer ones the request fails, and no rule hangs on it.
-const STALL: Duration = Duration::from_secs(10);
+/// How long a write may make no progress before it fails.
+///
+/// Failure: a machine falls silent without resetting its connections, and a write to it stays pending for minutes.
+/// Deadlines shorter than this end the attempt or the answer by themselves.
+const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A head is read in parts of this size.
-const HEAD_PART: usize = 4096;
+/// Bytes of a head that are read at once.
+const HEAD_CHUNK: usize = 4096;
 
-/// How far the request on a connection has got.
+/// How far the request on a connection has been read or written.
 #[derive(Default)]
 pub struct Progress {
+    /// The HTTP library has taken the last of the body.
     body_taken: Cell<bool>,
-    begun: Cell<bool>,
-    flushed: Cell<bool>,
-    abandoned: Cell<bool>,
-    wholes: Rc<Cell<u64>>,
-    head: RefCell<Option<Head>>,
+    /// A byte has been written.
+    has_begun: Cell<bool>,
+    /// The last byte has been written.
+    is_flushed: Cell<bool>,
+    is_abandoned: Cell<bool>,
+    /// Requests that were written completely, on all connections that share this count.
+    completed_requests: Rc<Cell<u64>>,
+    /// The head that is being read, or the one that was read last.
+    head: RefCell<Option<RequestHead>>,
 }
 
 impl Progress {
     /// A new request is about to be written.
     pub fn begin(&self) {
         self.body_taken.set(false);
-        self.begun.set(false);
-        self.flushed.set(false);
+        self.has_begun.set(false);
+        self.is_flushed.set(false);
     }
-    /// The next bytes to be read are those of a request's head, as far as is known.
+    /// Expects the next bytes that are read to be those of a request's head.
     pub fn await_head(&self) {
-        self.head.replace(Some(Head::default()));
+        self.head.replace(Some(RequestHead::default()));
     }
-    /// Whether the head that came last told two framings.
+    /// Whether the head that was read last has two framings, a length and an encoding.
     pub fn contradicts(&self) -> bool {
-        self.head.borrow().as_ref().is_some_and(|h| h.over && h.length && h.encoding)
-    }
-    /// Whether the request's last byte was given to the system. The HTTP library flushes a stream only once
-    /// all that it has buffered is written, and by then it has taken the body.
+        self.head
+            .borrow()
+            .as_ref()
+            .is_some_and(|head| head.is_complete && head.has_length && head.has_encoding)
+    }
+    /// Whether the request's last byte was written to the socket.
+    ///
+    /// The HTTP library flushes a stream only once all that it has buffered is written, and by then it has taken the
+    /// body.
     pub fn whole(&self) -> bool {
-        self.flushed.get()
+        self.is_flushed.get()
     }
-    /// Nothing more is written, not even what the HTTP library holds already: what is not whole yet never will be.
+    /// Ends all writing, also of what the HTTP library has buffered: a request that is incomplete stays so.
     pub fn abandon(&self) {
-        self.abandoned.set(true);
+        self.is_abandoned.set(true);
     }
 }
 
-/// A stream that sees what is written to it.
+/// A stream that observes what is read from it and written to it.
 pub struct Watched<S> {
     stream: S,
     progress: Rc<Progress>,
-    stalled: Option<Pin<Box<Sleep>>>,
-    /// Whether nothing has come from the other side, asked before a request's first byte.
-    quiet: Option<fn(&S) -> bool>,
+    /// The timeout of a write that makes no progress.
+    stall_timeout: Option<Pin<Box<Sleep>>>,
+    /// Whether the peer has sent nothing; read before a request's first byte is written.
+    is_quiet: Option<fn(&S) -> bool>,
 }
 
 impl<S> Watched<S> {
-    /// Watches a stream.
+    /// Observes a stream.
     pub fn new(stream: S) -> Self {
-        Watched { stream, progress: Rc::default(), stalled: None, quiet: None }
+        Watched { stream, progress: Rc::default(), stall_timeout: None, is_quiet: None }
     }
 
-    /// Watches a stream and counts the requests that it has written whole; begins none unless the other side has
-    /// been `quiet` up to that moment.
-    pub fn counting(stream: S, wholes: Rc<Cell<u64>>, quiet: fn(&S) -> bool) -> Self {
-        let progress = Rc::new(Progress { wholes, ..Progress::default() });
-        Watched { stream, progress, stalled: None, quiet: Some(quiet) }
+    /// Observes a stream and counts the requests that are written completely in `completed_requests`. A request's first
+    /// byte is only written if `is_quiet` holds.
+    ///
+    /// Failure: a backend closes a kept connection, or answers on it unasked, just before a request is written to it. The
+    /// request would end with a reset, after which it may have run. Not begun, it can be sent elsewhere.
+    pub fn counting(stream: S, completed_requests: Rc<Cell<u64>>, is_quiet: fn(&S) -> bool) -> Self {
+        let progress = Rc::new(Progress { completed_requests, ..Progress::default() });
+        Watched { stream, progress, stall_timeout: None, is_quiet: Some(is_quiet) }
     }
 
-    /// What is seen.
+    /// What is observed, shared with the request on the connection.
     pub fn progress(&self) -> Rc<Progress> {
         self.progress.clone()
     }
 
     fn may_write(&self) -> io::Result<()> {
-        let broken = self.quiet.is_some_and(|quiet| !self.progress.begun.get() && !quiet(&self.stream));
-        if broken || self.progress.abandoned.get() {
+        let begins = !self.progress.has_begun.get();
+        let broken = self.is_quiet.is_some_and(|is_quiet| begins && !is_quiet(&self.stream));
+        if broken || self.progress.is_abandoned.get() {
             Err(io::ErrorKind::ConnectionAborted.into())
         } else {
             Ok(())
         }
     }
 
-    fn wrote(&mut self, cx: &mut Context<'_>, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+    /// Notes the result of a write; a pending one fails once it is past its timeout.
+    fn record_write(
+        &mut self,
+        cx: &mut Context<'_>,
+        result: Poll<io::Result<usize>>,
+    ) -> Poll<io::Result<usize>> {
         if result.is_pending() {
-            let stalled = self.stalled.get_or_insert_with(|| Box::pin(sleep(STALL)));
-            return stalled.as_mut().poll(cx).map(|()| Err(io::ErrorKind::TimedOut.into()));
+            let timeout = self.stall_timeout.get_or_insert_with(|| Box::pin(sleep(WRITE_STALL_TIMEOUT)));
+            return timeout.as_mut().poll(cx).map(|()| Err(io::ErrorKind::TimedOut.into()));
         }
-        self.stalled = None;
+        self.stall_timeout = None;
         if let Poll::Ready(Ok(1..)) = result {
-            self.progress.begun.set(true);
+            self.progress.has_begun.set(true);
         }
         result
     }
@@ -120,14 +145,14 @@
     ) -> Poll<io::Result<()>> {
         let this = &mut *self;
         let mut head = this.progress.head.borrow_mut();
-        let Some(head) = head.as_mut().filter(|h| !h.over) else {
+        let Some(head) = head.as_mut().filter(|head| !head.is_complete) else {
             return Pin::new(&mut this.stream).poll_read(cx, buf);
         };
-        let mut bytes = [0; HEAD_PART];
-        let mut part = ReadBuf::new(&mut bytes[..buf.remaining().min(HEAD_PART)]);
-        let read = Pin::new(&mut this.stream).poll_read(cx, part.unfilled());
-        head.read(part.filled());
-        buf.put_slice(part.filled());
+        let mut bytes = [0; HEAD_CHUNK];
+        let mut chunk = ReadBuf::new(&mut bytes[..buf.remaining().min(HEAD_CHUNK)]);
+        let read = Pin::new(&mut this.stream).poll_read(cx, chunk.unfilled());
+        head.read(chunk.filled());
+        buf.put_slice(chunk.filled());
         read
     }
 }
@@ -136,7 +161,7 @@
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         self.may_write()?;
         let result = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.wrote(cx, result)
+        self.record_write(cx, result)
     }
 
     fn poll_write_vectored(
@@ -146,7 +171,7 @@
     ) -> Poll<io::Result<usize>> {
         self.may_write()?;
         let result = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.wrote(cx, result)
+        self.record_write(cx, result)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -154,9 +179,9 @@
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let p = &self.progress;
-        if p.begun.get() && p.body_taken.get() && !p.flushed.replace(true) {
-            p.wholes.update(|n| n + 1);
+        let progress = &self.progress;
+        if progress.has_begun.get() && progress.body_taken.get() && !progress.is_flushed.replace(true) {
+            progress.completed_requests.update(|count| count + 1);
         }
         Pin::new(&mut self.stream).poll_flush(cx)
     }
--- a/src/bin/proxy/io/outgoing.rs
+++ b/src/bin/proxy/io/outgoing.rs
@@ -1,4 +1,4 @@
-//! The body of a request that goes out.
+//! The body of a request as it is written to a backend: the buffered part, then the streamed one.
 
 use super::Progress;
 use crate::body::{Flow, Rest};
@@ -9,25 +9,27 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// A request's body; tells when the HTTP library has taken it.
+/// A request's body; notes in the connection's [`Progress`] when the HTTP library has taken the last of it.
 pub struct Outgoing {
-    held: Bytes,
-    rest: Option<Rc<Rest>>,
+    /// The buffered part that has not been taken.
+    buffered: Bytes,
+    remaining: Option<Rc<Rest>>,
     progress: Rc<Progress>,
 }
 
 impl Outgoing {
     /// The body of the request that is about to be written.
-    pub fn new(held: Bytes, rest: Option<Rc<Rest>>, progress: Rc<Progress>) -> Self {
+    pub fn new(buffered: Bytes, remaining: Option<Rc<Rest>>, progress: Rc<Progress>) -> Self {
         progress.begin();
-        // The library does not ask for a body that is empty.
-        progress.body_taken.set(held.is_empty() && rest.is_none());
-        Outgoing { held, rest, progress }
+        // The HTTP library does not poll an empty body.
+        progress.body_taken.set(buffered.is_empty() && remaining.is_none());
+        Outgoing { buffered, remaining, progress }
     }
 
-    fn over(&self) -> bool {
-        let whole = |r: &Rc<Rest>| matches!(r.state(), Flow::Whole(_));
-        self.held.is_empty() && self.rest.as_ref().is_none_or(whole)
+    /// Whether all of it has been taken.
+    fn is_taken(&self) -> bool {
+        let is_complete = |remaining: &Rc<Rest>| matches!(remaining.state(), Flow::Whole(_));
+        self.buffered.is_empty() && self.remaining.as_ref().is_none_or(is_complete)
     }
 }
 
@@ -36,30 +38,30 @@
     type Error = io::Error;
 
     fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
-        let held = std::mem::take(&mut self.held);
-        let next = match &self.rest {
-            _ if !held.is_empty() => Ok(Some(held)),
+        let buffered = std::mem::take(&mut self.buffered);
+        let next = match &self.remaining {
+            _ if !buffered.is_empty() => Ok(Some(buffered)),
             None => Ok(None),
-            Some(rest) => match rest.poll_next(cx) {
+            Some(remaining) => match remaining.poll_next(cx) {
                 Poll::Ready(next) => next,
                 Poll::Pending => return Poll::Pending,
             },
         };
-        if self.over() {
+        if self.is_taken() {
             self.progress.body_taken.set(true);
         }
-        Poll::Ready(next.transpose().map(|piece| piece.map(Frame::data)))
+        Poll::Ready(next.transpose().map(|data| data.map(Frame::data)))
     }
 
     fn is_end_stream(&self) -> bool {
-        self.over()
+        self.is_taken()
     }
 
     fn size_hint(&self) -> SizeHint {
-        let held = self.held.len() as u64;
-        match self.rest.as_ref().map(|r| r.length()) {
-            None => SizeHint::with_exact(held),
-            Some(Some(rest)) => SizeHint::with_exact(held + rest),
+        let buffered = self.buffered.len() as u64;
+        match self.remaining.as_ref().map(|remaining| remaining.length()) {
+            None => SizeHint::with_exact(buffered),
+            Some(Some(remaining)) => SizeHint::with_exact(buffered + remaining),
             Some(None) => SizeHint::default(),
         }
     }
--- a/tests/unit/proxy/io.rs
+++ b/tests/unit/proxy/io.rs
@@ -98,7 +98,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_write_that_makes_no_headway_fails() {
     // The far end stays open and takes nothing: only the time limit ends this.
-    assert!(!broken_after(60_000, async |_| sleep(STALL * 2).await).await);
+    assert!(!broken_after(60_000, async |_| sleep(WRITE_STALL_TIMEOUT * 2).await).await);
     let (near, _far) = duplex(8);
     let mut watched = Watched::new(TokioIo::new(near));
     let write = std::future::poll_fn(|cx| Pin::new(&mut watched).poll_write(cx, &[0; 8]));
