--- a/src/bin/proxy/route_table/proxy.rs
+++ b/src/bin/proxy/route_table/proxy.rs
@@ -3,12 +3,12 @@
 use crate::counters::Counters;
 use crate::engine::Engine;
 use crate::observer::Observer;
-use load_balancer::client::route_table::{RoutedProxy, Tally, Totals};
-use load_balancer::route_table::{LeftOut, Revision, Weights};
+use load_balancer::client::route_table::{CallCounts, RequestTotals, RoutedProxy};
+use load_balancer::route_table::{ExclusionReason, Revision, Weights};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The engine, and what is counted about it.
+/// The engine, and what is counted of its calls.
 pub(super) struct ObservedEngine {
     pub(super) engine: Rc<Engine>,
     pub(super) observer: Rc<Observer>,
@@ -17,34 +17,34 @@
 
 impl RoutedProxy for ObservedEngine {
     fn put_in_force(&self, revision: Revision, weights: Weights) {
-        self.engine.weigh(revision, weights);
+        self.engine.apply_route_table(revision, weights);
     }
 
     fn weights(&self) -> BTreeMap<String, f64> {
-        let names = self.observer.names();
-        let in_force = self.engine.in_force().into_iter();
-        in_force.filter_map(|(id, weight)| Some((names.get(&id)?.clone(), weight))).collect()
+        let hosts = self.observer.hosts();
+        let weights = self.engine.weights_in_force().into_iter();
+        weights.filter_map(|(id, weight)| Some((hosts.get(&id)?.clone(), weight))).collect()
     }
 
     fn digest(&self) -> String {
-        self.observer.digest(&self.engine.in_force())
+        self.observer.digest(&self.engine.weights_in_force())
     }
 
-    fn left_out(&self) -> BTreeMap<String, LeftOut> {
-        let names = self.observer.names();
-        let standings = self.engine.standings().into_iter();
-        standings.filter_map(|(id, why)| Some((names.get(&id)?.clone(), why?))).collect()
+    fn left_out(&self) -> BTreeMap<String, ExclusionReason> {
+        let hosts = self.observer.hosts();
+        let left_out = self.engine.left_out().into_iter();
+        left_out.filter_map(|(id, reason)| Some((hosts.get(&id)?.clone(), reason?))).collect()
     }
 
     fn list_version(&self) -> u64 {
         self.observer.list_version()
     }
 
-    fn drain_calls(&self) -> BTreeMap<String, Tally> {
-        self.observer.drain()
+    fn drain_calls(&self) -> BTreeMap<String, CallCounts> {
+        self.observer.drain_tallies()
     }
 
-    fn totals(&self) -> Totals {
+    fn totals(&self) -> RequestTotals {
         self.counters.totals()
     }
 }
--- a/src/client/registry/error.rs
+++ b/src/client/registry/error.rs
@@ -1,6 +1,6 @@
 //! The errors of a call to a registry.
 
-use crate::client::route_table::Spoilt;
+use crate::client::route_table::TableError;
 use hyper::StatusCode;
 use std::io;
 
@@ -32,7 +32,7 @@
     Body(Box<dyn std::error::Error + Send + Sync>),
     /// The answer is a route table whose content is not accepted.
     #[error("{0}")]
-    RejectedTable(#[from] Spoilt),
+    RejectedTable(#[from] TableError),
     /// The answer does not parse as a route table.
     #[error("a table that cannot be read: {0}; see that this is a registry's address")]
     InvalidTable(serde_json::Error),
