--- a/src/bin/proxy/downstream/handle.rs
+++ b/src/bin/proxy/downstream/handle.rs
@@ -92,7 +92,7 @@
         announced: Announced,
         source: RequestSource<'_>,
     ) -> Reply {
-        let body = request.call.rest.clone();
+        let body = request.call.remaining_body.clone();
         let received_at = request.received_at;
         source.client.is_at(body.is_none());
         let mut ended = pin!(ended(self.engine.admit(request)));
@@ -119,7 +119,7 @@
     /// request that came late after the stop it counts as too late.
     fn in_time(&self, end: RequestEnd, complete_at: Instant) -> RequestEnd {
         match end {
-            RequestEnd::Served(UpstreamResponse { rest: Some(_), .. })
+            RequestEnd::Served(UpstreamResponse { remaining: Some(_), .. })
                 if self.lifecycle.is_late_request(complete_at) =>
             {
                 RequestEnd::DeadlineExceeded
--- a/src/bin/proxy/downstream/mod.rs
+++ b/src/bin/proxy/downstream/mod.rs
@@ -34,7 +34,7 @@
     /// Connections beyond that limit, accepted only to have their requests rejected at once.
     pub spare: usize,
     /// Budget of the bodies that are buffered.
-    pub room: Rc<Room>,
+    pub buffer_budget: Rc<Room>,
     /// How many processes serve this address.
     pub processes: watch::Sender<u32>,
     /// How many connections are open.
--- a/src/bin/proxy/downstream/read_request.rs
+++ b/src/bin/proxy/downstream/read_request.rs
@@ -39,10 +39,10 @@
 
 /// A body as far as it was read.
 struct BufferedBody {
-    held: Bytes,
+    buffered: Bytes,
     /// What follows that; `None` where the body is complete.
-    rest: Option<Paced>,
-    room: Option<Held>,
+    remaining: Option<Paced>,
+    buffer_permit: Option<Held>,
 }
 
 impl Downstream {
@@ -54,11 +54,13 @@
     ) -> Result<(ParsedRequest, RequestRecord), ErrorReply> {
         let (head, body) = request.into_parts();
         let checked = self.check_head(&head.method, &head.uri, &head.headers, body.is_end_stream())?;
-        let BufferedBody { held, rest, room } = self.buffer_body(body, &head.headers).await?;
+        let BufferedBody { buffered, remaining, buffer_permit } =
+            self.buffer_body(body, &head.headers).await?;
         let received_at = Instant::now();
         let client = Rc::downgrade(source.client);
-        let is_complete = rest.is_none();
-        let rest = rest.map(|body| Rc::new(Rest::new(body, checked.client_timeout, client.clone())));
+        let is_complete = remaining.is_none();
+        let remaining_body =
+            remaining.map(|body| Rc::new(Rest::new(body, checked.client_timeout, client.clone())));
         let mut record = self.counters.record(checked.class);
         if is_complete {
             source.progress.await_head();
@@ -71,10 +73,10 @@
             host: head.headers.get(HOST).cloned(),
             id: checked.id,
             key: checked.idempotency_key,
-            held,
-            rest,
+            buffered_body: buffered,
+            remaining_body,
             client,
-            _room: room,
+            _buffer_permit: buffer_permit,
             client_deadline: received_at + checked.client_timeout,
         };
         let parsed = ParsedRequest {
@@ -150,16 +152,20 @@
             }
             return Err(status(StatusCode::PAYLOAD_TOO_LARGE));
         }
-        let Some(mut room) = self.room.take(length) else {
-            return Ok(BufferedBody { held: Bytes::new(), rest: Some(body), room: None });
+        let Some(mut buffer_permit) = self.buffer_budget.take(length) else {
+            return Ok(BufferedBody { buffered: Bytes::new(), remaining: Some(body), buffer_permit: None });
         };
-        let mut held = BytesMut::new();
-        let is_complete = body.hold(&mut held).await.map_err(|e| match e.kind() {
+        let mut buffered = BytesMut::new();
+        let is_complete = body.hold(&mut buffered).await.map_err(|e| match e.kind() {
             io::ErrorKind::TimedOut => status(StatusCode::REQUEST_TIMEOUT),
             _ => bad_request(),
         })?;
-        room.shrink(held.len());
-        Ok(BufferedBody { held: held.freeze(), rest: (!is_complete).then_some(body), room: Some(room) })
+        buffer_permit.shrink(buffered.len());
+        Ok(BufferedBody {
+            buffered: buffered.freeze(),
+            remaining: (!is_complete).then_some(body),
+            buffer_permit: Some(buffer_permit),
+        })
     }
 }
 
--- a/src/bin/proxy/downstream/respond.rs
+++ b/src/bin/proxy/downstream/respond.rs
@@ -20,9 +20,9 @@
 #[derive(Default)]
 pub struct ResponseBody {
     data: Bytes,
-    rest: Option<Paced>,
+    remaining: Option<Paced>,
     record: Option<RequestRecord>,
-    _room: Option<Held>,
+    _buffer_permit: Option<Held>,
 }
 
 impl Body for ResponseBody {
@@ -31,10 +31,10 @@
 
     fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         let data = std::mem::take(&mut self.data);
-        let next = match &mut self.rest {
+        let next = match &mut self.remaining {
             _ if !data.is_empty() => Ok(Some(data)),
             None => Ok(None),
-            Some(rest) => match rest.poll_next(cx) {
+            Some(remaining) => match remaining.poll_next(cx) {
                 Poll::Ready(next) => next,
                 Poll::Pending => return Poll::Pending,
             },
@@ -47,14 +47,14 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.data.is_empty() && self.rest.as_ref().is_none_or(Paced::over)
+        self.data.is_empty() && self.remaining.as_ref().is_none_or(Paced::over)
     }
 
     fn size_hint(&self) -> SizeHint {
         let data = self.data.len() as u64;
-        match self.rest.as_ref().map(Paced::left) {
+        match self.remaining.as_ref().map(Paced::left) {
             None => SizeHint::with_exact(data),
-            Some(Some(rest)) => SizeHint::with_exact(data + rest),
+            Some(Some(remaining)) => SizeHint::with_exact(data + remaining),
             Some(None) => SizeHint::default(),
         }
     }
@@ -93,8 +93,9 @@
         RequestEnd::Rejected { retry_after } => (UpstreamResponse::default(), retry_after),
         _ => (UpstreamResponse::default(), None),
     };
-    let UpstreamResponse { data, rest, room } = response;
-    let mut reply = Response::new(ResponseBody { data, rest, record: Some(record), _room: room });
+    let UpstreamResponse { data, remaining, buffer_permit } = response;
+    let mut reply =
+        Response::new(ResponseBody { data, remaining, record: Some(record), _buffer_permit: buffer_permit });
     *reply.status_mut() = status;
     if status == StatusCode::REQUEST_TIMEOUT {
         reply = closing(reply);
--- a/src/bin/proxy/engine/admit.rs
+++ b/src/bin/proxy/engine/admit.rs
@@ -41,7 +41,7 @@
         if self.last_answer_at.get().is_some_and(too_late) {
             return Err(NotAdmitted);
         }
-        let remaining_body = call.rest.clone();
+        let remaining_body = call.remaining_body.clone();
         let deadline_ms = match &remaining_body {
             // The client's time counts from the last byte, which has not arrived.
             Some(_) => f64::MAX,
--- a/src/bin/proxy/engine/attempts.rs
+++ b/src/bin/proxy/engine/attempts.rs
@@ -76,7 +76,7 @@
                 pending.end(RequestEnd::Served(response));
             }
             // A backend begins its work with the last byte of a request.
-            let begun_at = match pending.call.rest.as_ref().map(|r| r.state()) {
+            let begun_at = match pending.call.remaining_body.as_ref().map(|r| r.state()) {
                 Some(Flow::Whole(at)) => at.max(attempt.sent_at),
                 _ => attempt.sent_at,
             };
@@ -105,6 +105,6 @@
         outcome,
         latency_ms,
         request_ended: matches!(pending.answer, AnswerState::Sent),
-        body_consumed: pending.call.rest.as_ref().is_some_and(|r| r.passed()),
+        body_consumed: pending.call.remaining_body.as_ref().is_some_and(|r| r.passed()),
     })
 }
--- a/src/bin/proxy/engine/request.rs
+++ b/src/bin/proxy/engine/request.rs
@@ -103,7 +103,7 @@
     /// Its client has gone: what of its body was not written is never written.
     pub(super) fn abandon(&mut self) {
         self.answer = AnswerState::Sent;
-        if let Some(body) = &self.call.rest {
+        if let Some(body) = &self.call.remaining_body {
             body.withdraw();
         }
     }
--- a/src/bin/proxy/recorder.rs
+++ b/src/bin/proxy/recorder/mod.rs
@@ -4,63 +4,28 @@
 //! segments that wait for a registry. No request waits for it: segments are encoded on a thread of their own, and the oldest
 //! are dropped where no registry accepts them.
 
-use hyper::Method;
-use load_balancer::client::registry::{Call, CallError, DEFAULT_BACKOFF, EndpointFailover, call};
+mod settings;
+mod shipping;
+
+pub use settings::Settings;
+
 use load_balancer::client::route_table::Identity;
-use load_balancer::client::traffic::{Traffic, TrafficKind};
+use load_balancer::client::traffic::Traffic;
 use load_balancer::interface::{Arrival, AttemptNo, BackendId, Outcome, RequestId};
-use load_balancer::replay::{
-    About, Ending, Listed, MAX_BACKENDS, MAX_TRACES, Recorder, Reply, SAMPLED_OF, Segment,
-};
-use serde::Deserialize;
+use load_balancer::replay::{About, Ending, Listed, MAX_BACKENDS, Recorder, Reply, SAMPLED_OF, Segment};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
-use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::sync::{Notify, watch};
-use tokio::task::spawn_blocking;
+use tokio::sync::Notify;
 use tokio::time::sleep;
-use tracing::{info, warn};
+use tracing::warn;
 
 /// How often it is checked whether a segment is due.
 const CUT_INTERVAL: Duration = Duration::from_millis(250);
 /// Most segments that wait for a registry. One more, and the oldest is dropped.
 const MAX_WAITING: usize = 4;
-/// Longest answer to a segment, bytes.
-const MAX_ANSWER_BYTES: usize = 64 << 10;
-
-/// What is recorded.
-#[derive(Deserialize, Clone, Debug)]
-#[serde(deny_unknown_fields, default)]
-pub struct Settings {
-    /// Share of the requests that is recorded; the same at all proxies, so that they keep the same ones.
-    pub sampled: f64,
-    /// Most requests of a segment, and most that are open at once: what bounds the memory.
-    pub traces: usize,
-    /// Longest time that a segment covers, ms.
-    pub segment_ms: u64,
-}
-
-impl Default for Settings {
-    fn default() -> Self {
-        Settings { sampled: 0.05, traces: 4096, segment_ms: 10_000 }
-    }
-}
-
-impl Settings {
-    /// What is wrong with them, if anything is.
-    pub fn invalid(&self) -> Option<String> {
-        let least = 1.0 / f64::from(SAMPLED_OF);
-        let wrong = [
-            (!(least..=1.0).contains(&self.sampled), "sampled: from 1/65536 to 1".to_string()),
-            (!(1..=MAX_TRACES).contains(&self.traces), format!("traces: from 1 to {MAX_TRACES}")),
-            (!(1000..=600_000).contains(&self.segment_ms), "segment_ms: from 1000 to 600000".to_string()),
-        ];
-        wrong.into_iter().find(|(bad, _)| *bad).map(|(_, what)| what)
-    }
-}
 
 /// What became of the segments.
 #[derive(Default, Clone, Copy)]
@@ -177,71 +142,6 @@
             self.enqueue(cut);
         }
     }
-
-    /// Sends segments to a registry for as long as the process runs, also when the registries' addresses change.
-    pub async fn ship_segments(self: Rc<Self>, mut registries: watch::Receiver<Vec<SocketAddr>>) {
-        loop {
-            let at = registries.borrow_and_update().clone();
-            tokio::select! {
-                () = self.ship_to(at) => return,
-                Ok(()) = registries.changed() => {}
-            }
-        }
-    }
-
-    async fn ship_to(&self, registries: Vec<SocketAddr>) {
-        let mut source = EndpointFailover::new("record", registries, DEFAULT_BACKOFF);
-        let mut link = None;
-        loop {
-            let Some(segment) = self.waiting.borrow_mut().pop_front() else {
-                self.ready.notified().await;
-                continue;
-            };
-            let number = segment.number;
-            // Off this thread: packing takes milliseconds, and requests are served here.
-            let Ok(bytes) = spawn_blocking(move || segment.encode()).await.map(bytes::Bytes::from) else {
-                continue;
-            };
-            loop {
-                let put = Call {
-                    kind: TrafficKind::Trace,
-                    method: Method::PUT,
-                    path: "/registry/traces",
-                    body: bytes.clone(),
-                    wait: Duration::ZERO,
-                    max_answer: MAX_ANSWER_BYTES,
-                };
-                match call(&mut link, source.address(), put, &self.traffic).await {
-                    Ok(_) => {
-                        if source.record_success() {
-                            info!("record: {} takes segments, on from {number}", source.address());
-                        }
-                        self.count(|shipped| {
-                            shipped.segments += 1;
-                            shipped.bytes += bytes.len() as u64;
-                        });
-                        break;
-                    }
-                    Err(CallError::Status { status, why })
-                        if status.is_client_error() && status != 429 && status != 408 =>
-                    {
-                        warn!("record: segment {number} lost: {} answered {status}{why}", source.address());
-                        self.count(|s| s.lost += 1);
-                        break;
-                    }
-                    Err(fault) => {
-                        link = None;
-                        sleep(source.record_failure(&fault)).await;
-                        // Newer segments are more useful.
-                        if self.waiting.borrow().len() >= MAX_WAITING {
-                            self.count(|s| s.lost += 1);
-                            break;
-                        }
-                    }
-                }
-            }
-        }
-    }
 }
 
 /// An outcome as the recorder knows it.
--- /dev/null
+++ b/src/bin/proxy/recorder/shipping.rs
@@ -0,0 +1,102 @@
+//! Sends the recorder's segments to a registry, the oldest first.
+//!
+//! Acts when a segment is cut, and again after a backoff where no registry accepts it. Owns the connection to the registry.
+
+use super::{MAX_WAITING, Recording};
+use bytes::Bytes;
+use hyper::{Method, StatusCode};
+use load_balancer::client::registry::{Call, CallError, Connection, DEFAULT_BACKOFF, EndpointFailover, call};
+use load_balancer::client::traffic::TrafficKind;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::watch;
+use tokio::task::spawn_blocking;
+use tokio::time::sleep;
+use tracing::{info, warn};
+
+/// Longest answer to a segment, bytes.
+const MAX_ANSWER_BYTES: usize = 64 << 10;
+
+/// The registry that segments go to.
+struct Destination {
+    registries: EndpointFailover,
+    connection: Option<Connection>,
+}
+
+impl Recording {
+    /// Sends segments to a registry for as long as the process runs, also when the registries' addresses change.
+    pub async fn ship_segments(self: Rc<Self>, mut registries: watch::Receiver<Vec<SocketAddr>>) {
+        loop {
+            let addresses = registries.borrow_and_update().clone();
+            tokio::select! {
+                () = self.ship_to(addresses) => return,
+                Ok(()) = registries.changed() => {}
+            }
+        }
+    }
+
+    async fn ship_to(&self, addresses: Vec<SocketAddr>) {
+        let registries = EndpointFailover::new("record", addresses, DEFAULT_BACKOFF);
+        let mut destination = Destination { registries, connection: None };
+        loop {
+            let Some(segment) = self.waiting.borrow_mut().pop_front() else {
+                self.ready.notified().await;
+                continue;
+            };
+            let number = segment.number;
+            // Off this thread: encoding takes milliseconds, and requests are served here.
+            let Ok(bytes) = spawn_blocking(move || segment.encode()).await.map(Bytes::from) else {
+                continue;
+            };
+            while !self.send_segment(&mut destination, number, &bytes).await {}
+        }
+    }
+
+    /// Sends a segment once; whether it is done with, accepted or lost.
+    async fn send_segment(&self, destination: &mut Destination, number: u64, bytes: &Bytes) -> bool {
+        let Destination { registries, connection } = destination;
+        let put = Call {
+            kind: TrafficKind::Trace,
+            method: Method::PUT,
+            path: "/registry/traces",
+            body: bytes.clone(),
+            wait: Duration::ZERO,
+            max_answer: MAX_ANSWER_BYTES,
+        };
+        match call(connection, registries.address(), put, &self.traffic).await {
+            Ok(_) => {
+                if registries.record_success() {
+                    info!("record: {} takes segments, on from {number}", registries.address());
+                }
+                self.count(|shipped| {
+                    shipped.segments += 1;
+                    shipped.bytes += bytes.len() as u64;
+                });
+                true
+            }
+            Err(CallError::Status { status, why }) if is_final(status) => {
+                warn!("record: segment {number} lost: {} answered {status}{why}", registries.address());
+                self.count(|shipped| shipped.lost += 1);
+                true
+            }
+            Err(error) => {
+                *connection = None;
+                sleep(registries.record_failure(&error)).await;
+                // Guards against segments that pile up while no registry can be reached: newer ones are more useful.
+                let is_full = self.waiting.borrow().len() >= MAX_WAITING;
+                if is_full {
+                    self.count(|shipped| shipped.lost += 1);
+                }
+                is_full
+            }
+        }
+    }
+}
+
+/// Whether a registry that answers so would answer the same again.
+fn is_final(status: StatusCode) -> bool {
+    status.is_client_error()
+        && status != StatusCode::TOO_MANY_REQUESTS
+        && status != StatusCode::REQUEST_TIMEOUT
+}
--- a/src/bin/proxy/startup/core_parts.rs
+++ b/src/bin/proxy/startup/core_parts.rs
@@ -27,7 +27,7 @@
     /// How many processes serve this address.
     pub(super) processes: watch::Sender<u32>,
     /// Budget of the bodies that are buffered.
-    pub(super) room: Rc<Room>,
+    pub(super) buffer_budget: Rc<Room>,
     pub(super) pool: Rc<Pool>,
     pub(super) observer: Option<Rc<Observer>>,
     pub(super) engine: Rc<Engine>,
@@ -51,8 +51,8 @@
             drain_grace: millis(site.drain_grace_ms),
             may_duplicate: site.may_hedge,
         };
-        let room = Room::new(config.memory / BODY_MEMORY_PART);
-        let pool = Rc::new(Pool::new(limits, counters.attempts(), room.clone()));
+        let buffer_budget = Room::new(config.memory / BODY_MEMORY_PART);
+        let pool = Rc::new(Pool::new(limits, counters.attempts(), buffer_budget.clone()));
         let (watch_wanted_sender, watch_wanted) = watch::channel(false);
         let observer = is_observed(config).then(Observer::new);
         let platform = config.platform.clone();
@@ -66,7 +66,7 @@
         Ok(Core {
             counters,
             processes,
-            room,
+            buffer_budget,
             pool,
             observer,
             engine,
--- a/src/bin/proxy/startup/mod.rs
+++ b/src/bin/proxy/startup/mod.rs
@@ -216,7 +216,7 @@
         // The backends have the other half.
         connections: descriptors.usable - descriptors.usable / 2,
         spare: descriptors.spare,
-        room: core.room.clone(),
+        buffer_budget: core.buffer_budget.clone(),
         processes: core.processes.clone(),
         open: Cell::new(0),
     };
--- a/src/bin/proxy/upstream/attempt.rs
+++ b/src/bin/proxy/upstream/attempt.rs
@@ -174,7 +174,7 @@
     call: &UpstreamRequest,
 ) -> Result<AttemptEnd, Outcome> {
     let early = !link.progress.whole();
-    let end = read_response(response, &pool.room, call.client_deadline()).await;
+    let end = read_response(response, &pool.buffer_budget, call.client_deadline()).await;
     if !early || end.outcome() == Outcome::Rejected {
         return Ok(end);
     }
--- a/src/bin/proxy/upstream/mod.rs
+++ b/src/bin/proxy/upstream/mod.rs
@@ -25,9 +25,9 @@
     /// Its body, or the first part of it.
     pub data: Bytes,
     /// What follows that.
-    pub rest: Option<Paced>,
+    pub remaining: Option<Paced>,
     /// The part of the buffer budget that `data` takes up.
-    pub room: Option<Held>,
+    pub buffer_permit: Option<Held>,
 }
 
 /// Where a backend is reached, and since when it takes nothing new.
--- a/src/bin/proxy/upstream/pool.rs
+++ b/src/bin/proxy/upstream/pool.rs
@@ -48,7 +48,7 @@
     pub(super) superseded: Rc<Cell<usize>>,
     /// Attempts that were written completely.
     attempts: Rc<Cell<u64>>,
-    pub(super) room: Rc<Room>,
+    pub(super) buffer_budget: Rc<Room>,
 }
 
 struct Idle {
@@ -89,15 +89,15 @@
 }
 
 impl Pool {
-    /// An empty pool; attempts that it has written completely are counted in `attempts`, responses buffered in `room`.
-    pub fn new(limits: Limits, attempts: Rc<Cell<u64>>, room: Rc<Room>) -> Self {
+    /// An empty pool; attempts that it has written completely are counted in `attempts`, responses buffered in `buffer_budget`.
+    pub fn new(limits: Limits, attempts: Rc<Cell<u64>>, buffer_budget: Rc<Room>) -> Self {
         Pool {
             limits,
             idle: RefCell::default(),
             open: Rc::default(),
             superseded: Rc::default(),
             attempts,
-            room,
+            buffer_budget,
         }
     }
 
--- a/src/bin/proxy/upstream/request.rs
+++ b/src/bin/proxy/upstream/request.rs
@@ -40,13 +40,13 @@
     /// `Idempotency-Key`.
     pub key: Option<HeaderValue>,
     /// Its body, or the first part of it.
-    pub held: Bytes,
+    pub buffered_body: Bytes,
     /// What follows that, where the body is too long to be buffered.
-    pub rest: Option<Rc<Rest>>,
+    pub remaining_body: Option<Rc<Rest>>,
     /// Who sent it.
     pub client: Weak<Client>,
-    /// The part of the buffer budget that `held` takes up.
-    pub _room: Option<Held>,
+    /// The part of the buffer budget that `buffered_body` takes up.
+    pub _buffer_permit: Option<Held>,
     /// When its client stops waiting, unless its last byte has yet to arrive.
     pub client_deadline: Instant,
 }
@@ -54,12 +54,12 @@
 impl UpstreamRequest {
     /// Whether its last byte has arrived.
     pub fn is_complete(&self) -> bool {
-        self.rest.as_ref().is_none_or(|r| matches!(r.state(), Flow::Whole(_)))
+        self.remaining_body.as_ref().is_none_or(|r| matches!(r.state(), Flow::Whole(_)))
     }
 
     /// When its client stops waiting, as far as is known.
     pub(super) fn client_deadline(&self) -> Instant {
-        match self.rest.as_ref().map(|r| (r.state(), r.patience)) {
+        match self.remaining_body.as_ref().map(|r| (r.state(), r.patience)) {
             Some((Flow::Whole(at), client_timeout)) => at + client_timeout,
             _ => self.client_deadline,
         }
@@ -72,14 +72,14 @@
     }
 
     pub(super) fn is_broken(&self) -> bool {
-        self.rest.as_ref().is_some_and(|r| r.state() == Flow::Broken)
+        self.remaining_body.as_ref().is_some_and(|r| r.state() == Flow::Broken)
     }
 
     /// Waits until a response would be too late. A body that is still being received has a time limit of its own.
     pub(super) async fn deadline_passed(&self, deadline: Instant) {
-        let Some(rest) = &self.rest else { return sleep_until(deadline).await };
-        match rest.settled().await {
-            Flow::Whole(at) => sleep_until(at + rest.patience - deadline_margin(rest.patience)).await,
+        let Some(body) = &self.remaining_body else { return sleep_until(deadline).await };
+        match body.settled().await {
+            Flow::Whole(at) => sleep_until(at + body.patience - deadline_margin(body.patience)).await,
             _ => std::future::pending().await,
         }
     }
@@ -87,7 +87,7 @@
     /// The request for one attempt; its body reports to `progress` how far it was written.
     pub(super) fn to_http(&self, progress: &Rc<Progress>, deadline: Instant) -> Option<Request<Outgoing>> {
         let remaining = deadline.saturating_duration_since(Instant::now());
-        let timeout_ms = self.rest.as_ref().map_or(remaining, |r| r.patience).as_millis() as u64;
+        let timeout_ms = self.remaining_body.as_ref().map_or(remaining, |r| r.patience).as_millis() as u64;
         let mut request = Request::builder().method(self.method.clone()).uri(self.uri.clone());
         let headers = request.headers_mut()?;
         headers.insert(HOST, self.host.clone().unwrap_or(HeaderValue::from_static(DEFAULT_HOST)));
@@ -96,9 +96,11 @@
         if let Some(key) = &self.key {
             headers.insert("idempotency-key", key.clone());
         }
-        if self.held.is_empty() && self.rest.is_none() && self.method != Method::GET {
+        if self.buffered_body.is_empty() && self.remaining_body.is_none() && self.method != Method::GET {
             headers.insert(CONTENT_LENGTH, HeaderValue::from_static("0"));
         }
-        request.body(Outgoing::new(self.held.clone(), self.rest.clone(), progress.clone())).ok()
+        request
+            .body(Outgoing::new(self.buffered_body.clone(), self.remaining_body.clone(), progress.clone()))
+            .ok()
     }
 }
--- a/src/bin/proxy/upstream/response.rs
+++ b/src/bin/proxy/upstream/response.rs
@@ -25,7 +25,7 @@
 /// Reads a response as far as it is buffered, and says what it means.
 pub(super) async fn read_response(
     response: Response<Incoming>,
-    room: &Rc<Room>,
+    buffer_budget: &Rc<Room>,
     client_deadline: Instant,
 ) -> AttemptEnd {
     let (head, body) = response.into_parts();
@@ -36,11 +36,11 @@
     }
     let declined = head.headers.get("srv-declined").is_some_and(|v| v == "1");
     // A response that breaks off is none: the request may have run.
-    let Ok(mut response) = buffer(Paced::new(body, body::BACKEND), room).await else {
+    let Ok(mut response) = buffer(Paced::new(body, body::BACKEND), buffer_budget).await else {
         return AttemptEnd::Failed(Outcome::Reset);
     };
-    if let Some(rest) = &mut response.rest {
-        rest.end_by(client_deadline + OVERDUE);
+    if let Some(remaining) = &mut response.remaining {
+        remaining.end_by(client_deadline + OVERDUE);
     }
     match head.status {
         StatusCode::OK => AttemptEnd::Response(response),
@@ -53,13 +53,13 @@
 }
 
 /// Buffers a small body, and of a longer one the first bytes: their arrival is what is measured as the latency.
-async fn buffer(mut body: Paced, room: &Rc<Room>) -> io::Result<UpstreamResponse> {
+async fn buffer(mut body: Paced, buffer_budget: &Rc<Room>) -> io::Result<UpstreamResponse> {
     let length = body.left();
     let Some(first) = body.next().await? else {
         return Ok(UpstreamResponse::default());
     };
-    let Some(mut room) = room.take(length) else {
-        return Ok(UpstreamResponse { data: first, rest: Some(body), room: None });
+    let Some(mut buffer_permit) = buffer_budget.take(length) else {
+        return Ok(UpstreamResponse { data: first, remaining: Some(body), buffer_permit: None });
     };
     let mut buffered = BytesMut::new();
     buffered.extend_from_slice(&first);
@@ -67,7 +67,7 @@
         Some(_) => body.hold(&mut buffered).await?,
         None => timeout(BUFFERING_TIMEOUT, body.hold(&mut buffered)).await.unwrap_or(Ok(false))?,
     };
-    room.shrink(buffered.len());
-    let rest = (!complete).then_some(body);
-    Ok(UpstreamResponse { data: buffered.freeze(), rest, room: Some(room) })
+    buffer_permit.shrink(buffered.len());
+    let remaining = (!complete).then_some(body);
+    Ok(UpstreamResponse { data: buffered.freeze(), remaining, buffer_permit: Some(buffer_permit) })
 }
--- a/tests/unit/proxy/downstream.rs
+++ b/tests/unit/proxy/downstream.rs
@@ -17,7 +17,7 @@
 
 fn downstream() -> Rc<Downstream> {
     let platform = load_balancer::platform_settings::parse(settings().to_string().as_bytes()).expect("sound");
-    let (counters, room) = (Counters::new(platform.site.classes.clone()), Room::new(1 << 20));
+    let (counters, buffer_budget) = (Counters::new(platform.site.classes.clone()), Room::new(1 << 20));
     let processes = watch::Sender::new(1);
     let limits = Limits {
         connections: 8,
@@ -27,7 +27,7 @@
         drain_grace: Duration::from_millis(500),
         may_duplicate: true,
     };
-    let pool = Rc::new(Pool::new(limits, counters.attempts(), room.clone()));
+    let pool = Rc::new(Pool::new(limits, counters.attempts(), buffer_budget.clone()));
     let engine = Engine::new(platform.clone(), 1, pool, watch::Sender::new(false), None).expect("sound");
     let (lifecycle, open) = (Rc::new(Lifecycle::new()), Cell::new(0));
     lifecycle.begin();
@@ -38,7 +38,7 @@
         lifecycle,
         connections: 8,
         spare: 1,
-        room,
+        buffer_budget,
         processes,
         open,
     })
