--- a/src/bin/proxy/config/check.rs
+++ b/src/bin/proxy/config/check.rs
@@ -11,16 +11,19 @@
 /// The first error.
 pub(super) fn first_error(sockets: usize, platform: &PlatformSettings) -> Option<String> {
     let site = &platform.site;
-    let s = &platform.settings;
+    let settings = &platform.settings;
     let caps = [
         (sockets < MIN_SOCKETS, "limits.sockets: too few to work with, from 64 on"),
-        (s.instance_count == 0, "settings: peersTotal: is 0, and this proxy is one; from 1 on"),
+        (settings.instance_count == 0, "settings: peersTotal: is 0, and this proxy is one; from 1 on"),
         (
-            s.instance_index >= s.instance_count,
+            settings.instance_index >= settings.instance_count,
             "settings: slotNo: out of range, from 0 to one less than peersTotal",
         ),
-        (s.classes.is_empty(), "settings: classes: is empty, at least one is served"),
-        (s.caps.max_attempts == 0, "settings: caps.tryLimit: is 0, and nothing would be sent; from 1 on"),
+        (settings.classes.is_empty(), "settings: classes: is empty, at least one is served"),
+        (
+            settings.caps.max_attempts == 0,
+            "settings: caps.tryLimit: is 0, and nothing would be sent; from 1 on",
+        ),
         (site.max_open_requests == 0, "settings: caps.openCap: is missing or 0"),
         (site.connection_idle_ms <= 0.0, "settings: caps.connIdle: is missing or 0"),
         (site.connect_timeout_ms <= 0.0, "settings: caps.connectTimeout: is missing or 0"),
--- a/src/bin/proxy/engine/act.rs
+++ b/src/bin/proxy/engine/act.rs
@@ -16,39 +16,39 @@
     /// Hands an event to the module and carries out its actions; then the events that those actions caused, until the queue
     /// is empty. Events are queued and not handled in place, so that the module is never entered twice.
     pub(super) fn handle_event(self: &Rc<Self>, event: Event) {
-        let s = &mut *self.state.borrow_mut();
-        s.events.push_back(event);
-        while let Some(event) = s.events.pop_front() {
-            let mut actions = std::mem::take(&mut s.actions);
-            s.balancer.handle(self.clock.at(Instant::now()), event, &mut actions);
+        let state = &mut *self.state.borrow_mut();
+        state.events.push_back(event);
+        while let Some(event) = state.events.pop_front() {
+            let mut actions = std::mem::take(&mut state.actions);
+            state.balancer.handle(self.clock.at(Instant::now()), event, &mut actions);
             for action in actions.drain(..) {
-                self.perform(s, action);
+                self.perform(state, action);
             }
-            s.actions = actions;
+            state.actions = actions;
         }
     }
 
-    fn perform(self: &Rc<Self>, s: &mut State, action: Action) {
+    fn perform(self: &Rc<Self>, state: &mut State, action: Action) {
         match action {
             Action::Send { request, backend, deadline_ms } => {
-                self.start_attempt(s, request, backend, deadline_ms);
+                self.start_attempt(state, request, backend, deadline_ms);
             }
             Action::Reject { request, retry_after_ms } => {
                 let retry_after = Some(millis(retry_after_ms)).filter(|d| !d.is_zero());
-                s.end_request(request, RequestEnd::Rejected { retry_after });
+                state.end_request(request, RequestEnd::Rejected { retry_after });
             }
-            Action::Fail { request } => s.end_request(request, RequestEnd::UpstreamFailed),
-            Action::Cancel { request, attempt } => cancel_attempt(s, request, attempt),
+            Action::Fail { request } => state.end_request(request, RequestEnd::UpstreamFailed),
+            Action::Cancel { request, attempt } => cancel_attempt(state, request, attempt),
             Action::SetTimer { delay_ms, token } => self.set_timer(millis(delay_ms), token),
             Action::CloseIdle { backend } => {
-                if let Some(target) = s.targets.get(&backend) {
+                if let Some(target) = state.targets.get(&backend) {
                     self.pool.close_idle(target.address);
                 }
             }
             Action::Watch { on } => {
                 self.watch_wanted.send_replace(on);
             }
-            Action::Withdraw { backend } => s.withdraw(backend, &self.pool),
+            Action::Withdraw { backend } => state.withdraw(backend, &self.pool),
             Action::Resync => {
                 self.resync_requested.set(true);
                 self.watch_wanted.send_replace(true);
@@ -65,8 +65,8 @@
     }
 }
 
-fn cancel_attempt(s: &mut State, request: RequestId, attempt: AttemptNo) {
-    let pending = s.requests.get_mut(&request);
+fn cancel_attempt(state: &mut State, request: RequestId, attempt: AttemptNo) {
+    let pending = state.requests.get_mut(&request);
     let in_flight = pending.and_then(|r| r.attempts.get_mut(usize::from(attempt))?.as_mut());
     if let Some(cancel) = in_flight.and_then(|attempt| attempt.cancel.take()) {
         // The receiver is gone when the attempt ended at this moment; then there is nothing to cancel.
--- a/src/bin/proxy/engine/admit.rs
+++ b/src/bin/proxy/engine/admit.rs
@@ -71,12 +71,12 @@
         class: u16,
         answer: oneshot::Sender<RequestEnd>,
     ) -> Result<RequestId, NotAdmitted> {
-        let s = &mut *self.state.borrow_mut();
-        if s.requests.len() >= self.platform.site.max_open_requests {
+        let state = &mut *self.state.borrow_mut();
+        if state.requests.len() >= self.platform.site.max_open_requests {
             return Err(NotAdmitted);
         }
-        let id = s.next_request_id;
-        s.next_request_id += 1;
+        let id = state.next_request_id;
+        state.next_request_id += 1;
         let pending = PendingRequest {
             call: Rc::new(call),
             answer: AnswerState::Pending(answer),
@@ -84,7 +84,7 @@
             dedup_window: self.dedup_window(class),
             first_sent_at: None,
         };
-        s.requests.insert(id, pending);
+        state.requests.insert(id, pending);
         Ok(id)
     }
 
--- a/src/bin/proxy/engine/attempts.rs
+++ b/src/bin/proxy/engine/attempts.rs
@@ -18,18 +18,18 @@
     /// Starts an attempt at the endpoint that the module selected; where it may not start, it ends as not sent.
     pub(super) fn start_attempt(
         self: &Rc<Self>,
-        s: &mut State,
+        state: &mut State,
         request: RequestId,
         backend: BackendId,
         deadline_ms: f64,
     ) {
-        let Some(number) = s.requests.get(&request).map(|pending| pending.attempts.len()) else { return };
-        let target = self.select_endpoint(s, request, backend);
+        let Some(number) = state.requests.get(&request).map(|pending| pending.attempts.len()) else { return };
+        let target = self.select_endpoint(state, request, backend);
         let sent_at = Instant::now();
-        let Some(pending) = s.requests.get_mut(&request) else { return };
+        let Some(pending) = state.requests.get_mut(&request) else { return };
         let Some(target) = target else {
             pending.attempts.push(None);
-            s.events.push_back(resolved(request, number, backend, Outcome::NotSent, 0.0, pending));
+            state.events.push_back(resolved(request, number, backend, Outcome::NotSent, 0.0, pending));
             self.observe_not_sent(request, number, backend);
             return;
         };
@@ -47,16 +47,21 @@
 
     /// The phase `select_endpoint`: where the backend that the module selected is reached. `None` where the attempt must not
     /// start: the client has gone, the request has ended, the backend is unknown here, or too many attempts were made.
-    fn select_endpoint(&self, s: &mut State, request: RequestId, backend: BackendId) -> Option<Rc<Target>> {
-        let pending = s.requests.get_mut(&request)?;
+    fn select_endpoint(
+        &self,
+        state: &mut State,
+        request: RequestId,
+        backend: BackendId,
+    ) -> Option<Rc<Target>> {
+        let pending = state.requests.get_mut(&request)?;
         // Guards against work for a client that left while this process stood still: its end then lies unread on the
         // socket, and an attempt that begins later than 0.1 s after it is a break of the protocol.
         if pending.is_unanswered() && pending.call.client_gone() {
             pending.end(RequestEnd::ClientGone);
-            s.events.push_back(Event::ClientGone { request });
+            state.events.push_back(Event::ClientGone { request });
         }
         let may_start = pending.attempts.len() < self.platform.settings.caps.max_attempts as usize;
-        let target = s.targets.get(&backend)?;
+        let target = state.targets.get(&backend)?;
         (may_start && pending.is_unanswered()).then(|| target.clone())
     }
 
@@ -64,8 +69,8 @@
     /// the module's decision.
     fn attempt_ended(self: &Rc<Self>, request: RequestId, number: usize, end: AttemptEnd) {
         let event = {
-            let s = &mut *self.state.borrow_mut();
-            let Some(pending) = s.requests.get_mut(&request) else { return };
+            let state = &mut *self.state.borrow_mut();
+            let Some(pending) = state.requests.get_mut(&request) else { return };
             let Some(attempt) = pending.attempts.get_mut(number).and_then(Option::take) else { return };
             let outcome = end.outcome();
             if !outcome.never_ran() {
@@ -83,7 +88,7 @@
             let latency_ms = begun_at.elapsed().as_secs_f64() * 1000.0;
             self.observe_reply(request, number, attempt.backend, outcome);
             let event = resolved(request, number, attempt.backend, outcome, latency_ms, pending);
-            s.remove_if_done(request);
+            state.remove_if_done(request);
             event
         };
         self.handle_event(event);
--- a/src/bin/proxy/engine/list.rs
+++ b/src/bin/proxy/engine/list.rs
@@ -34,8 +34,8 @@
     /// A list of backends, or changes to it, and the version that it leads to.
     pub fn apply_list(self: &Rc<Self>, kind: ListKind, version: u64, hosts: Vec<EndpointEntry>) {
         let entries = {
-            let s = &mut *self.state.borrow_mut();
-            hosts.into_iter().filter_map(|host| self.list_entry(s, host)).collect()
+            let state = &mut *self.state.borrow_mut();
+            hosts.into_iter().filter_map(|host| self.list_entry(state, host)).collect()
         };
         let unlisted_before = self.unlisted();
         self.apply_new_weights();
@@ -71,9 +71,9 @@
 
     /// A backend of the list as the module knows it; `None` where its zone is unknown. A backend that takes work is
     /// reachable from here on.
-    fn list_entry(&self, s: &mut State, host: EndpointEntry) -> Option<Entry> {
-        let backend = s.id_of(&host.name);
-        s.removal_candidates.insert(backend);
+    fn list_entry(&self, state: &mut State, host: EndpointEntry) -> Option<Entry> {
+        let backend = state.id_of(&host.name);
+        state.removal_candidates.insert(backend);
         let phase = match host.health {
             Health::Serving => Phase::Ready,
             Health::Draining => Phase::Draining,
@@ -92,7 +92,7 @@
         }
         // For those that drain or are gone the module decides what becomes of their connections.
         if phase == Phase::Ready {
-            self.update_target(s, backend, &host);
+            self.update_target(state, backend, &host);
         }
         Some(Entry {
             backend,
@@ -118,7 +118,7 @@
     /// Guards against a request that is sent on a connection of the backend's previous process: where its machine fell silent
     /// such a connection still looks open, and the request would end as a reset, which may have run. So another address or
     /// start time makes another target, and closes the idle connections of the old one.
-    fn update_target(&self, s: &mut State, backend: BackendId, host: &EndpointEntry) {
+    fn update_target(&self, state: &mut State, backend: BackendId, host: &EndpointEntry) {
         let Some(address) = host.address else { return };
         let started_at_ms = host.started_ms;
         let unchanged = |target: &Rc<Target>| {
@@ -126,11 +126,11 @@
                 && target.started_at_ms == started_at_ms
                 && target.drained_at.get().is_none()
         };
-        if s.targets.get(&backend).is_some_and(unchanged) {
+        if state.targets.get(&backend).is_some_and(unchanged) {
             return;
         }
-        s.withdraw(backend, &self.pool);
+        state.withdraw(backend, &self.pool);
         let target = Target { address, started_at_ms, drained_at: Cell::new(None) };
-        s.targets.insert(backend, Rc::new(target));
+        state.targets.insert(backend, Rc::new(target));
     }
 }
--- a/src/bin/proxy/engine/mod.rs
+++ b/src/bin/proxy/engine/mod.rs
@@ -123,10 +123,10 @@
 
     /// Ends all open requests towards their clients; their ids.
     fn end_all_requests(&self) -> Vec<RequestId> {
-        let s = &mut *self.state.borrow_mut();
-        for pending in s.requests.values_mut() {
+        let state = &mut *self.state.borrow_mut();
+        for pending in state.requests.values_mut() {
             pending.end(RequestEnd::DeadlineExceeded);
         }
-        s.requests.keys().copied().collect()
+        state.requests.keys().copied().collect()
     }
 }
--- a/src/bin/proxy/engine/observe.rs
+++ b/src/bin/proxy/engine/observe.rs
@@ -26,7 +26,7 @@
     }
 
     /// All backends in the list, each with the reason why it gets less traffic than its weight says.
-    pub fn left_out(&self) -> Vec<(BackendId, Option<ExclusionReason>)> {
+    pub fn exclusion_reasons(&self) -> Vec<(BackendId, Option<ExclusionReason>)> {
         let reason = |share| match share {
             TrafficShare::Full => None,
             TrafficShare::Ejected => Some(ExclusionReason::Ejected),
--- a/src/bin/proxy/engine/request.rs
+++ b/src/bin/proxy/engine/request.rs
@@ -136,10 +136,10 @@
 
     /// Takes the request from its client; whether it was unanswered.
     fn abandon_unanswered(&self) -> bool {
-        let s = &mut *self.engine.state.borrow_mut();
-        let pending = s.requests.get_mut(&self.request).filter(|pending| pending.is_unanswered());
+        let state = &mut *self.engine.state.borrow_mut();
+        let pending = state.requests.get_mut(&self.request).filter(|pending| pending.is_unanswered());
         let was_unanswered = pending.map(PendingRequest::abandon).is_some();
-        s.remove_if_done(self.request);
+        state.remove_if_done(self.request);
         was_unanswered
     }
 }
--- a/src/bin/proxy/route_table/proxy.rs
+++ b/src/bin/proxy/route_table/proxy.rs
@@ -32,8 +32,8 @@
 
     fn left_out(&self) -> BTreeMap<String, ExclusionReason> {
         let hosts = self.observer.hosts();
-        let left_out = self.engine.left_out().into_iter();
-        left_out.filter_map(|(id, reason)| Some((hosts.get(&id)?.clone(), reason?))).collect()
+        let reasons = self.engine.exclusion_reasons().into_iter();
+        reasons.filter_map(|(id, reason)| Some((hosts.get(&id)?.clone(), reason?))).collect()
     }
 
     fn list_version(&self) -> u64 {
--- a/src/bin/proxy/upstream/pool.rs
+++ b/src/bin/proxy/upstream/pool.rs
@@ -42,7 +42,7 @@
 /// The connections to all backends.
 pub struct Pool {
     pub(super) limits: Limits,
-    idle: RefCell<HashMap<SocketAddr, Vec<Idle>>>,
+    idle: RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>,
     open: Rc<Cell<usize>>,
     /// Connections on which the response of a superseded attempt is awaited.
     pub(super) superseded: Rc<Cell<usize>>,
@@ -51,9 +51,9 @@
     pub(super) buffer_budget: Rc<Room>,
 }
 
-struct Idle {
+struct IdleConnection {
     link: Link,
-    since: Instant,
+    idle_since: Instant,
 }
 
 /// A connection that carries one request at a time.
@@ -115,7 +115,7 @@
             self.close_oldest_idle();
         }
         self.idle.borrow_mut().retain(|_, links| {
-            links.retain(|i| !i.link.sender.is_closed() && i.since.elapsed() < max_age);
+            links.retain(|idle| !idle.link.sender.is_closed() && idle.idle_since.elapsed() < max_age);
             !links.is_empty()
         });
     }
@@ -125,8 +125,8 @@
         let max_age = self.limits.idle.mul_f64(MAX_IDLE_PART);
         let mut idle = self.idle.borrow_mut();
         let links = idle.get_mut(&address)?;
-        while let Some(Idle { link, since }) = links.pop() {
-            if link.sender.is_ready() && since.elapsed() < max_age {
+        while let Some(IdleConnection { link, idle_since }) = links.pop() {
+            if link.sender.is_ready() && idle_since.elapsed() < max_age {
                 return Some(link);
             }
         }
@@ -136,7 +136,7 @@
     /// Keeps a connection idle, unless its backend takes nothing new.
     pub(super) fn keep(&self, target: &Target, link: Link) {
         if target.drained_at.get().is_none() && !link.sender.is_closed() {
-            let idle = Idle { link, since: Instant::now() };
+            let idle = IdleConnection { link, idle_since: Instant::now() };
             self.idle.borrow_mut().entry(target.address).or_default().push(idle);
         }
     }
@@ -144,7 +144,8 @@
     /// Closes the connection that has been idle longest, to whichever backend.
     fn close_oldest_idle(&self) {
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle.iter().filter_map(|(address, links)| Some((links.first()?.since, *address))).min();
+        let oldest =
+            idle.iter().filter_map(|(address, links)| Some((links.first()?.idle_since, *address))).min();
         if let Some(links) = oldest.and_then(|(_, address)| idle.get_mut(&address)) {
             links.remove(0);
         }
--- a/src/bin/proxy/upstream/response.rs
+++ b/src/bin/proxy/upstream/response.rs
@@ -29,8 +29,8 @@
     client_deadline: Instant,
 ) -> AttemptEnd {
     let (head, body) = response.into_parts();
-    // Guards against request smuggling's counterpart, a response of two framings: the HTTP library would take the chunks and
-    // pass over the length, and nobody knows which one the backend meant.
+    // Guards against a response with two framings: the HTTP library would take the chunks and ignore the length, the backend
+    // may have used the length, and the client would get a body that was cut at the wrong byte.
     if head.headers.contains_key(CONTENT_LENGTH) && head.headers.contains_key(TRANSFER_ENCODING) {
         return AttemptEnd::Failed(Outcome::Reset);
     }
