--- a/src/bin/proxy/engine/admit.rs
+++ b/src/bin/proxy/engine/admit.rs
@@ -41,7 +41,7 @@
         if self.last_answer_at.get().is_some_and(too_late) {
             return Err(NotAdmitted);
         }
-        let remaining_body = call.rest.clone();
+        let remaining_body = call.remaining_body.clone();
         let deadline_ms = match &remaining_body {
             // The client's time counts from the last byte, which has not arrived.
             Some(_) => f64::MAX,
@@ -71,12 +71,12 @@
         class: u16,
         answer: oneshot::Sender<RequestEnd>,
     ) -> Result<RequestId, NotAdmitted> {
-        let s = &mut *self.state.borrow_mut();
-        if s.requests.len() >= self.platform.site.max_open_requests {
+        let state = &mut *self.state.borrow_mut();
+        if state.requests.len() >= self.platform.site.max_open_requests {
             return Err(NotAdmitted);
         }
-        let id = s.next_request_id;
-        s.next_request_id += 1;
+        let id = state.next_request_id;
+        state.next_request_id += 1;
         let pending = PendingRequest {
             call: Rc::new(call),
             answer: AnswerState::Pending(answer),
@@ -84,7 +84,7 @@
             dedup_window: self.dedup_window(class),
             first_sent_at: None,
         };
-        s.requests.insert(id, pending);
+        state.requests.insert(id, pending);
         Ok(id)
     }
 
--- a/src/bin/proxy/engine/request.rs
+++ b/src/bin/proxy/engine/request.rs
@@ -103,7 +103,7 @@
     /// Its client has gone: what of its body was not written is never written.
     pub(super) fn abandon(&mut self) {
         self.answer = AnswerState::Sent;
-        if let Some(body) = &self.call.rest {
+        if let Some(body) = &self.call.remaining_body {
             body.withdraw();
         }
     }
@@ -136,10 +136,10 @@
 
     /// Takes the request from its client; whether it was unanswered.
     fn abandon_unanswered(&self) -> bool {
-        let s = &mut *self.engine.state.borrow_mut();
-        let pending = s.requests.get_mut(&self.request).filter(|pending| pending.is_unanswered());
+        let state = &mut *self.engine.state.borrow_mut();
+        let pending = state.requests.get_mut(&self.request).filter(|pending| pending.is_unanswered());
         let was_unanswered = pending.map(PendingRequest::abandon).is_some();
-        s.remove_if_done(self.request);
+        state.remove_if_done(self.request);
         was_unanswered
     }
 }
