--- a/src/bin/registry/route_table/host.rs
+++ b/src/bin/registry/route_table/host.rs
@@ -138,10 +138,10 @@
         for effect in effects {
             match effect {
                 Effect::Persist(decided) => record = Some(*decided),
-                Effect::Judge { table, in_force } => {
+                Effect::Evaluate { table, in_force } => {
                     self.judging.begin(table.revision, self.job(inner, table, in_force))
                 }
-                Effect::Cancel { revision } => self.judging.cancel(revision),
+                Effect::CancelEvaluation { revision } => self.judging.cancel(revision),
                 Effect::Publish { version } => {
                     self.tables.send_replace(version);
                 }
--- a/src/route_table/control.rs
+++ b/src/route_table/control.rs
@@ -115,7 +115,7 @@
             return Vec::new();
         }
         self.verdict = None;
-        let cancel = old.map(|(revision, _)| Effect::Cancel { revision });
+        let cancel = old.map(|(revision, _)| Effect::CancelEvaluation { revision });
         cancel.into_iter().chain(self.evaluation_request()).collect()
     }
 
--- a/src/route_table/effect.rs
+++ b/src/route_table/effect.rs
@@ -11,14 +11,14 @@
     Persist(Box<RouteRecord>),
     /// Evaluate a proposal against the table in force by a replay, one at a time;
     /// [`Control::receive_verdict`](super::Control::receive_verdict) takes the verdict.
-    Judge {
+    Evaluate {
         /// The proposed table.
         table: Table,
         /// The table in force.
         in_force: Table,
     },
     /// Cancel the evaluation of that revision: it is superseded, or must be run again.
-    Cancel {
+    CancelEvaluation {
         /// The revision that was evaluated.
         revision: Revision,
     },
--- a/src/route_table/proposal/lifecycle.rs
+++ b/src/route_table/proposal/lifecycle.rs
@@ -83,7 +83,7 @@
     }
 
     /// The next record of a proposal that awaits its verdict, or none while it waits.
-    pub(crate) fn decide_awaited(&mut self, now_ms: u64) -> Option<RouteRecord> {
+    pub(crate) fn decide_awaited(&self, now_ms: u64) -> Option<RouteRecord> {
         self.evaluate_for_changed_list(now_ms)
             .or_else(|| self.apply_verdict(now_ms))
             .or_else(|| self.lapse_without_verdict(now_ms))
@@ -161,7 +161,7 @@
     pub(crate) fn evaluation_request(&self) -> Option<Effect> {
         let awaiting = |active: &&ActiveProposal| active.admission == Admission::Awaited;
         let active = self.record.active.as_ref().filter(awaiting)?;
-        Some(Effect::Judge { table: active.table.clone(), in_force: self.record.in_force.clone() })
+        Some(Effect::Evaluate { table: active.table.clone(), in_force: self.record.in_force.clone() })
     }
 
     /// A revision above all that were ever issued, also by a registry whose state was lost: above the
--- a/tests/route_fleet/mod.rs
+++ b/tests/route_fleet/mod.rs
@@ -176,7 +176,7 @@
                     let effects = self.control.apply(self.now, *record);
                     self.take(effects);
                 }
-                Effect::Judge { table, in_force } => {
+                Effect::Evaluate { table, in_force } => {
                     self.judged += 1;
                     let (digest, decision) = (table.digest, self.says.clone());
                     let (records, from) = ("r".into(), in_force.revision);
@@ -186,7 +186,7 @@
                     let effects = self.control.receive_verdict(self.now, verdict).expect("awaited");
                     self.take(effects);
                 }
-                Effect::Cancel { .. } => self.cancelled += 1,
+                Effect::CancelEvaluation { .. } => self.cancelled += 1,
                 Effect::Publish { version } => assert_eq!(version, self.control.version()),
                 Effect::Raised(finding) => self.raised.push((self.now, finding)),
                 Effect::Cleared(finding) => self.cleared.push((self.now, finding)),
--- a/tests/routes/proposals.rs
+++ b/tests/routes/proposals.rs
@@ -70,7 +70,7 @@
     fleet.control.discard_pending();
     assert_eq!(fleet.control.newest_revision(), 0, "never written, never there");
     let judge = fleet.control.apply(fleet.now, first.record.clone());
-    assert!(matches!(&judge[..], [Effect::Judge { table, .. }] if *table == first.table));
+    assert!(matches!(&judge[..], [Effect::Evaluate { table, .. }] if *table == first.table));
     assert!(fleet.control.apply(fleet.now, first.record).is_empty(), "met twice");
     let newest = first.table.revision;
     assert_eq!(propose(&mut fleet, 0, 3.0), Err(ProposalError::Conflict { from: 0, newest }));
@@ -78,7 +78,7 @@
     assert!(second.table.revision > newest && second.table.from == 0);
     let effects = fleet.control.apply(fleet.now, second.record);
     assert!(
-        matches!(&effects[..], [Effect::Cancel { revision }, Effect::Judge { .. }] if *revision == newest)
+        matches!(&effects[..], [Effect::CancelEvaluation { revision }, Effect::Evaluate { .. }] if *revision == newest)
     );
     fleet.run(3000);
     assert!(matches!(fleet.end(), Some(ProposalOutcome::Lapsed { why }) if why.contains("no verdict")));
@@ -117,12 +117,12 @@
         fleet.control.propose(fleet.now, proposal(0, &[("b0", 2.0)]), &fleet.listed.clone()).expect("taken");
     fleet.log.push(taken.record);
     let (mut control, effects) = Control::restore(Config::default(), fleet.log.clone(), fleet.now);
-    assert!(matches!(&effects[..], [Effect::Judge { table, .. }] if *table == taken.table));
+    assert!(matches!(&effects[..], [Effect::Evaluate { table, .. }] if *table == taken.table));
     control.update_backends(&fleet.listed[..4]);
     let effects = control.tick(fleet.now + 1000);
     let [Effect::Persist(record)] = &effects[..] else { panic!("{effects:?}") };
     let effects = control.apply(fleet.now, *record.clone());
-    assert!(matches!(&effects[..], [Effect::Cancel { .. }, Effect::Judge { .. }]));
+    assert!(matches!(&effects[..], [Effect::CancelEvaluation { .. }, Effect::Evaluate { .. }]));
     control.update_backends(&fleet.listed[1..]);
     let effects = control.tick(fleet.now + 2000);
     let [Effect::Persist(record)] = &effects[..] else { panic!("{effects:?}") };
