--- a/src/client/route_table/watch.rs
+++ b/src/client/route_table/watch.rs
@@ -17,9 +17,9 @@
 
 /// Longest time that a registry holds a poll open. The requests of a fleet rise in inverse proportion to it.
 const POLL_WAIT: Duration = Duration::from_secs(5);
-/// Least interval between polls that bring no new table. Failure: a registry that answers at once without one
-/// would be asked in a busy loop.
-const MIN_POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Pause after a poll that was answered at once without a new table. Failure: a registry that answers at once
+/// without one would be asked in a busy loop.
+const PAUSE_AFTER_EMPTY_ANSWER: Duration = Duration::from_millis(500);
 /// Longest answer that is read, in bytes. The largest table that a registry accepts takes 4.5 MB (computed:
 /// all the weights that a table may have, under the longest names).
 const MAX_TABLE_BYTES: usize = 8 << 20;
@@ -54,8 +54,8 @@
                         );
                     }
                     self.current.borrow_mut().error = None;
-                    if !is_new && polled_at.elapsed() < MIN_POLL_INTERVAL {
-                        sleep(MIN_POLL_INTERVAL).await;
+                    if !is_new && polled_at.elapsed() < PAUSE_AFTER_EMPTY_ANSWER {
+                        sleep(PAUSE_AFTER_EMPTY_ANSWER).await;
                     }
                 }
                 Err(fault) => {
--- a/src/route_table/control.rs
+++ b/src/route_table/control.rs
@@ -129,7 +129,7 @@
     ///
     /// # Errors
     ///
-    /// [`ReportError`] if the report is invalid, comes too often or finds no room.
+    /// [`ReportError`] if the report is invalid, comes too often or exceeds the capacity.
     pub fn receive_report(&mut self, now_ms: u64, report: Report) -> Result<(), ReportError> {
         let counts = OutcomeCounts::of_report(&report);
         let revision = report.revision;
--- a/src/route_table/drift/receipt.rs
+++ b/src/route_table/drift/receipt.rs
@@ -13,7 +13,7 @@
     ///
     /// # Errors
     ///
-    /// [`ReportError`] if the report is invalid, comes too often, or there is no room for its proxy or
+    /// [`ReportError`] if the report is invalid, comes too often, or exceeds the capacity for proxies or
     /// backends.
     pub fn receive(
         &mut self,
@@ -24,7 +24,7 @@
         config: &Config,
     ) -> Result<ReportOutcome, ReportError> {
         check_report(&report, now_ms, config)?;
-        self.make_room(now_ms, &report, config)?;
+        self.ensure_capacity(now_ms, &report, config)?;
         let silence_threshold_ms = self.report_loss.silence_threshold_ms(config);
         let Some(proxy) = self.proxies.get_mut(&report.name) else { return Ok(ReportOutcome::Ignored) };
         if proxy.exceeds_report_rate(now_ms, config) {
@@ -49,14 +49,14 @@
         Ok(place.outcome)
     }
 
-    /// Takes what a report says of other proxies. Unknown ones that are alive are added while there is room:
-    /// a proxy that never reports is found that way.
+    /// Takes what a report says of other proxies. Unknown ones that are alive are added while there is
+    /// capacity: a proxy that never reports is found that way.
     fn receive_peer_views(&mut self, now_ms: u64, report: &Report, config: &Config) {
         for peer in report.members.iter().filter(|peer| peer.name != report.name) {
-            let has_room = self.proxies.len() < config.max_proxies;
+            let has_capacity = self.proxies.len() < config.max_proxies;
             if let Some(proxy) = self.proxies.get_mut(&peer.name) {
                 proxy.receive_peer_view(now_ms, peer.alive, 2 * config.report_ms);
-            } else if has_room && peer.alive {
+            } else if has_capacity && peer.alive {
                 let mut proxy = ProxyState::new(now_ms);
                 proxy.receive_peer_view(now_ms, true, 0);
                 self.proxies.insert(peer.name.clone(), proxy);
@@ -66,7 +66,7 @@
 
     /// Adds the proxy of a report if it is unknown. Past `names` proxies, one that only peers reported is
     /// dropped for it.
-    fn make_room(&mut self, now_ms: u64, report: &Report, config: &Config) -> Result<(), ReportError> {
+    fn ensure_capacity(&mut self, now_ms: u64, report: &Report, config: &Config) -> Result<(), ReportError> {
         if self.proxies.contains_key(&report.name) {
             return Ok(());
         }
--- a/src/route_table/drift/report_loss.rs
+++ b/src/route_table/drift/report_loss.rs
@@ -58,7 +58,7 @@
     /// row with a probability below [`FALSE_SILENCE_PROBABILITY`], at least `raise` of them, and half a
     /// window for reports that are late.
     ///
-    /// The loss taken is one standard deviation (of a Poisson count) above the estimate, since the estimate
+    /// The loss used is one standard deviation (of a Poisson count) above the estimate, since the estimate
     /// may rest on few reports.
     pub fn silence_threshold_ms(&self, config: &Config) -> u64 {
         let lost = (self.sent - self.received).max(0.0);
--- a/src/route_table/record.rs
+++ b/src/route_table/record.rs
@@ -1,5 +1,5 @@
 //! What is durable of the route table. One record holds the complete state, so that the newest record of the
-//! log is enough to resume from, and a log that ends between two writes holds no half of a decision.
+//! log is enough to resume from, and a log that ends between two writes never holds half of a decision.
 //!
 //! The registry writes records as JSON: the serialized names of fields and variants are a contract with
 //! stored data and with readers of the state page; where a field has another name here, `serde(rename)` keeps
@@ -86,7 +86,7 @@
 
     /// Moves the active proposal, if there is one, to the ended ones.
     ///
-    /// The predictions of its verdict are dropped: they take far more room than the rest of the record.
+    /// The predictions of its verdict are dropped: they take far more space than the rest of the record.
     pub(super) fn end_active(&mut self, now_ms: u64, end: ProposalOutcome) {
         let Some(active) = self.active.take() else { return };
         let Table { revision, from, by, accepted_ms, .. } = active.table;
--- a/src/route_table/report_check.rs
+++ b/src/route_table/report_check.rs
@@ -50,7 +50,7 @@
         /// Its value.
         value: u64,
     },
-    /// No room for another proxy.
+    /// No capacity for another proxy.
     #[error(
         "reports of {most} proxies are kept and no more: raise routes.names, or have fewer proxies report here"
     )]
@@ -58,7 +58,7 @@
         /// The most that are kept.
         most: usize,
     },
-    /// No room for counts of more backends.
+    /// No capacity for counts of more backends.
     #[error("counts of {most} backends are kept and no more: raise routes.counts, or use smaller subsets")]
     FullCounts {
         /// The most that are kept.
--- a/src/route_table/rollout/review.rs
+++ b/src/route_table/rollout/review.rs
@@ -135,7 +135,8 @@
     /// compare with: then more than a tenth of the members is too much.
     fn stop_if_drifting(&self) -> Option<RolloutStep> {
         let drifting = |side: &[&LiveProxy]| side.iter().filter(|proxy| proxy.drifting).count();
-        let (members, others) = (self.members.len(), self.others.len());
+        let members = self.members.len();
+        let others = self.others.len();
         let drifting_members = drifting(&self.members);
         let drifting_others = drifting(&self.others);
         let too_many = if others < members.div_ceil(10) {
@@ -163,7 +164,8 @@
 
     /// Waits until the stage has lasted `stand_ms`. This is the one wait that cannot time out.
     fn wait_for_min_time(&self) -> Option<RolloutStep> {
-        let (elapsed_ms, least_ms) = (self.elapsed_ms, self.config.min_stage_ms);
+        let elapsed_ms = self.elapsed_ms;
+        let least_ms = self.config.min_stage_ms;
         let too_short = elapsed_ms < least_ms;
         too_short.then(|| RolloutStep::Wait { reason: format!("stands for {elapsed_ms} of {least_ms} ms") })
     }
--- a/src/route_table/rollout/state.rs
+++ b/src/route_table/rollout/state.rs
@@ -1,4 +1,4 @@
-//! What a review of a rollout reads beside the record, and what it decides.
+//! What a review of a rollout reads besides the record, and what it decides.
 
 use super::super::{OutcomeCounts, Stage};
 use std::collections::BTreeSet;
