--- a/src/bin/registry/route_table/service.rs
+++ b/src/bin/registry/route_table/service.rs
@@ -151,10 +151,10 @@
         for effect in effects {
             match effect {
                 Effect::Persist(decided) => record = Some(*decided),
-                Effect::Judge { table, in_force } => {
+                Effect::Evaluate { table, in_force } => {
                     self.evaluator.begin(table.revision, self.job(decisions, table, in_force))
                 }
-                Effect::Cancel { revision } => self.evaluator.cancel(revision),
+                Effect::CancelEvaluation { revision } => self.evaluator.cancel(revision),
                 Effect::Publish { version } => {
                     self.tables.send_replace(version);
                 }
