--- a/src/bin/proxy/observer.rs
+++ b/src/bin/proxy/observer.rs
@@ -57,7 +57,7 @@
         recording.list_applied(
             now_ms,
             self.list_version.get(),
-            backends.iter().map(|(id, p)| (*id, p.listed.clone())),
+            backends.iter().map(|(id, backend)| (*id, backend.listed.clone())),
         );
         // Set once: there is one recording.
         let _ = self.recording.set(recording);
@@ -115,7 +115,8 @@
 
     /// Each backend's weight by the table.
     pub fn weights(&self) -> Vec<(BackendId, f64)> {
-        let (mut backends, table) = (self.backends.borrow_mut(), self.table.borrow());
+        let mut backends = self.backends.borrow_mut();
+        let table = self.table.borrow();
         self.has_unapplied.set(false);
         let weigh = |(id, backend): (&BackendId, &mut ObservedBackend)| {
             let weight = backend.weight(&table);
@@ -132,9 +133,11 @@
 
     /// Digest of the weights in force: the table's own where they all agree with it.
     pub fn digest(&self, in_force: &[(BackendId, f64)]) -> String {
-        let (backends, table) = (self.backends.borrow(), self.table.borrow());
+        let backends = self.backends.borrow();
+        let table = self.table.borrow();
         let of = |id: &BackendId| backends.get(id);
-        let same = |(id, weight): &(BackendId, f64)| of(id).is_none_or(|p| p.weight(&table) == *weight);
+        let same =
+            |(id, weight): &(BackendId, f64)| of(id).is_none_or(|backend| backend.weight(&table) == *weight);
         if in_force.iter().all(same) {
             return table.digest();
         }
--- a/src/bin/proxy/startup/core_parts.rs
+++ b/src/bin/proxy/startup/core_parts.rs
@@ -46,8 +46,8 @@
         let limits = Limits {
             connections: usable_descriptors / 2,
             processes: processes.subscribe(),
-            connect: millis(site.connect_timeout_ms),
-            idle: millis(site.connection_idle_ms),
+            connect_timeout: millis(site.connect_timeout_ms),
+            idle_timeout: millis(site.connection_idle_ms),
             drain_grace: millis(site.drain_grace_ms),
             may_duplicate: site.may_hedge,
         };
--- a/src/bin/proxy/upstream/pool.rs
+++ b/src/bin/proxy/upstream/pool.rs
@@ -30,9 +30,9 @@
     /// How many processes there are.
     pub processes: watch::Receiver<u32>,
     /// A connect that takes longer has failed.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Backends close connections idle for so long.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Nothing is sent later than this after the notice of a drain.
     pub drain_grace: Duration,
     /// Whether a superseded attempt may stay open while the next one is.
@@ -109,7 +109,7 @@
     /// Closes connections that have been idle for long. Guards against a request that crosses the backend's own close of an
     /// idle connection: it would end as a reset, which may have run. Ours close clearly earlier.
     pub fn close_expired(&self) {
-        let max_age = self.limits.idle.mul_f64(MAX_IDLE_PART);
+        let max_age = self.limits.idle_timeout.mul_f64(MAX_IDLE_PART);
         // Over the limit once another process has started here: idle connections are closed first.
         for _ in self.limits.own_connections()..self.open.get() {
             self.close_oldest_idle();
@@ -122,7 +122,7 @@
 
     /// The most recently used idle connection that is still open: the others may then expire and be closed.
     pub(super) fn reuse(&self, address: SocketAddr) -> Option<Link> {
-        let max_age = self.limits.idle.mul_f64(MAX_IDLE_PART);
+        let max_age = self.limits.idle_timeout.mul_f64(MAX_IDLE_PART);
         let mut idle = self.idle.borrow_mut();
         let links = idle.get_mut(&address)?;
         while let Some(IdleConnection { link, idle_since }) = links.pop() {
@@ -162,7 +162,7 @@
         if self.open.get() >= most {
             self.close_oldest_idle();
         }
-        let stream = match timeout(self.limits.connect, TcpStream::connect(address)).await {
+        let stream = match timeout(self.limits.connect_timeout, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(e)) if out_of_descriptors(&e) => return Err(Outcome::NotSent),
             Ok(Err(_)) | Err(_) => return Err(Outcome::ConnectFailed),
--- a/tests/unit/proxy/downstream.rs
+++ b/tests/unit/proxy/downstream.rs
@@ -22,8 +22,8 @@
     let limits = Limits {
         connections: 8,
         processes: processes.subscribe(),
-        connect: Duration::from_secs(2),
-        idle: Duration::from_secs(60),
+        connect_timeout: Duration::from_secs(2),
+        idle_timeout: Duration::from_secs(60),
         drain_grace: Duration::from_millis(500),
         may_duplicate: true,
     };
--- a/tests/unit/proxy/upstream/pool.rs
+++ b/tests/unit/proxy/upstream/pool.rs
@@ -10,8 +10,8 @@
     let limits = Limits {
         connections: 8,
         processes: watch::Sender::new(1).subscribe(),
-        connect: Duration::from_secs(20),
-        idle: Duration::from_secs(60),
+        connect_timeout: Duration::from_secs(20),
+        idle_timeout: Duration::from_secs(60),
         drain_grace: Duration::from_millis(500),
         may_duplicate: true,
     };
