--- a/src/replay/model.rs
+++ b/src/replay/model.rs
@@ -1,10 +1,11 @@
 //! What the backends are like, from the records of all proxies. A call's latency is taken apart into the way between
 //! the zones, its class's mean, its backend's speed, the growth with the fleet's calls in flight there, and luck.
 
+use super::common_random_numbers::CommonRandomNumbers;
 use super::conditions::{Condition, Conditions};
 use super::failure::FAILURES;
 use super::growth::Growth;
-use super::quantiles::{Luck, Quantiles};
+use super::quantiles::Quantiles;
 use super::records::{Call, Records};
 use super::{Reply, flight};
 use std::collections::BTreeMap;
@@ -38,13 +39,13 @@
 }
 
 /// A call as it is sent.
-pub(super) struct Ask {
+pub(super) struct SimulatedCall {
     pub proxy: usize,
     pub backend: usize,
     pub class: usize,
     /// Calls of the fleet in flight there, this one included.
-    pub flight: f64,
-    pub at: f64,
+    pub in_flight: f64,
+    pub at_ms: f64,
 }
 
 fn mean(of: impl Iterator<Item = f64>) -> (f64, f64) {
@@ -177,18 +178,18 @@
     }
 
     /// How a call ends, and after how long; `Timeout` for one that is never answered.
-    pub fn answer(&self, ask: &Ask, luck: &mut Luck) -> (Reply, f64) {
-        let way = self.ways[ask.proxy * self.seen.len() + ask.backend];
-        let (fails, takes) = (luck.draw(), luck.draw());
-        if ask.flight > self.full_at[ask.backend] {
+    pub fn answer(&self, call: &SimulatedCall, random: &mut CommonRandomNumbers) -> (Reply, f64) {
+        let way = self.ways[call.proxy * self.seen.len() + call.backend];
+        let (fails, takes) = (random.next_uniform(), random.next_uniform());
+        if call.in_flight > self.full_at[call.backend] {
             return (Reply::Full, self.failed_after[1].at(takes).max(way));
         }
-        let condition: &Condition = self.conditions.at(ask.backend, ask.at);
+        let condition: &Condition = self.conditions.at(call.backend, call.at_ms);
         if let Some(kind) = condition.failing.iter().position(|&below| fails < below) {
             return (FAILURES[kind], self.failed_after[kind].at(takes).max(way));
         }
-        let kind = &self.kinds[ask.backend * self.classes + ask.class];
-        let growth = self.growth[ask.backend].at(ask.flight);
+        let kind = &self.kinds[call.backend * self.classes + call.class];
+        let growth = self.growth[call.backend].at(call.in_flight);
         (Reply::Ok, way + kind.mean * condition.slow * growth * self.shapes[kind.shape].at(takes))
     }
 }
--- a/src/replay/runs.rs
+++ b/src/replay/runs.rs
@@ -2,8 +2,8 @@
 
 use super::Job;
 use super::model::Model;
-use super::play::Play;
 use super::records::Records;
+use super::simulation::Simulation;
 use super::tally::Tally;
 use crate::route_table::Weights;
 use std::sync::Mutex;
@@ -32,7 +32,8 @@
             if i >= seeds || stopped.load(Relaxed) {
                 return;
             }
-            let played = Play::new(records, model, &weights, first.wrapping_add(i as u64), warm).run(stop);
+            let played =
+                Simulation::new(records, model, &weights, first.wrapping_add(i as u64), warm).run(stop);
             if let Ok(mut place) = done[i].lock() {
                 *place = played;
             }
--- /dev/null
+++ b/src/replay/simulation/calls.rs
@@ -0,0 +1,122 @@
+//! The attempts of a simulation: sent to a backend, answered by the model, reported to the decision module.
+
+use super::Simulation;
+use super::events::EventKind;
+use crate::interface::{Event, Outcome, RequestId, Resolved};
+use crate::replay::common_random_numbers::CommonRandomNumbers;
+use crate::replay::model::SimulatedCall;
+use crate::replay::{Ending, Reply};
+
+/// The `id` of a place in which no attempt is in flight.
+const NO_ATTEMPT: u64 = u64::MAX;
+
+/// An attempt in flight, or the place of one that has ended.
+pub(super) struct InFlightAttempt {
+    /// Tells it from earlier attempts in the same place; [`NO_ATTEMPT`] when it has ended.
+    pub(super) id: u64,
+    request: u32,
+    proxy: u32,
+    backend: u32,
+    /// Number of the attempt among those of its request.
+    attempt: u8,
+    sent_ms: f64,
+    /// How it will end.
+    pub(super) outcome: Outcome,
+}
+
+impl InFlightAttempt {
+    /// Whether it is in flight and the attempt of that number of that request.
+    pub(super) fn is(&self, request: RequestId, attempt: u8) -> bool {
+        self.id != NO_ATTEMPT && RequestId::from(self.request) == request && self.attempt == attempt
+    }
+}
+
+impl Simulation<'_> {
+    pub(super) fn send(&mut self, now_ms: f64, proxy: u32, request: u32, backend: u32, deadline_ms: f64) {
+        let recorded = self.recorded(request);
+        let attempt = self.requests[request as usize].attempts;
+        self.requests[request as usize].attempts = attempt.wrapping_add(1);
+        self.in_flight[backend as usize] += 1;
+        let call = SimulatedCall {
+            proxy: recorded.proxy as usize,
+            backend: backend as usize,
+            class: usize::from(recorded.class),
+            in_flight: f64::from(self.in_flight[backend as usize]),
+            at_ms: now_ms,
+        };
+        let (outcome, end_ms) = self.answer(&call, request, attempt, deadline_ms);
+        let crosses = self.records.proxies[call.proxy].zone != self.records.backends[call.backend].zone;
+        self.tally.call(now_ms, backend, call.in_flight, crosses, 1.0);
+        let id = self.scheduled;
+        let sent = InFlightAttempt { id, request, proxy, backend, attempt, sent_ms: now_ms, outcome };
+        let index = self.free_attempts.pop().unwrap_or(self.attempts.len() as u32);
+        match self.attempts.get_mut(index as usize) {
+            Some(place) => *place = sent,
+            None => self.attempts.push(sent),
+        }
+        self.unsettled += 1;
+        self.requests[request as usize].in_flight += 1;
+        self.update_queued(request);
+        self.schedule(end_ms, EventKind::AttemptEnds { attempt: index, id });
+    }
+
+    /// How and when (ms) an attempt ends. One that would end after its deadline times out then.
+    fn answer(&self, call: &SimulatedCall, request: u32, attempt: u8, deadline_ms: f64) -> (Outcome, f64) {
+        let recorded = self.recorded(request);
+        let replica = self.arrivals[request as usize].replica;
+        let mut random =
+            CommonRandomNumbers::new(self.seed ^ u64::from(replica), recorded.id, u64::from(attempt));
+        let (reply, wait_ms) = self.model.answer(call, &mut random);
+        let end_ms = call.at_ms + wait_ms;
+        let outcome = outcome(reply);
+        if outcome == Outcome::Timeout || end_ms > deadline_ms {
+            return (Outcome::Timeout, deadline_ms.max(call.at_ms));
+        }
+        if recorded.malformed && outcome == Outcome::Ok {
+            return (Outcome::Malformed, end_ms);
+        }
+        (outcome, end_ms)
+    }
+
+    pub(super) fn attempt_ends(&mut self, now_ms: f64, index: u32) {
+        let ended = &mut self.attempts[index as usize];
+        ended.id = NO_ATTEMPT;
+        let InFlightAttempt { request, proxy, backend, attempt, sent_ms, outcome, .. } = *ended;
+        self.free_attempts.push(index);
+        self.in_flight[backend as usize] -= 1;
+        self.unsettled -= 1;
+        self.proxies[proxy as usize].answers_since_timer += 1;
+        self.requests[request as usize].in_flight -= 1;
+        match outcome {
+            Outcome::Ok => self.request_ends(now_ms, request, Ending::Served),
+            Outcome::Malformed => self.request_ends(now_ms, request, self.recorded(request).ending),
+            _ => {}
+        }
+        let resolved = Resolved {
+            request: RequestId::from(request),
+            attempt,
+            backend: self.backend_ids[backend as usize],
+            outcome,
+            latency_ms: now_ms - sent_ms,
+            request_ended: self.requests[request as usize].ended,
+            body_consumed: false,
+        };
+        self.deliver(now_ms, proxy, Event::Resolved(resolved));
+        self.update_queued(request);
+    }
+}
+
+/// What the decision module is told of a reply.
+fn outcome(reply: Reply) -> Outcome {
+    match reply {
+        Reply::Ok => Outcome::Ok,
+        Reply::Error => Outcome::Error,
+        Reply::Malformed => Outcome::Malformed,
+        Reply::Full => Outcome::Rejected,
+        Reply::Timeout => Outcome::Timeout,
+        Reply::ConnectFailed => Outcome::ConnectFailed,
+        Reply::Reset => Outcome::Reset,
+        Reply::Cancelled => Outcome::Cancelled,
+        Reply::Moot => Outcome::NotSent,
+    }
+}
