--- a/src/replay/evaluate.rs
+++ b/src/replay/evaluate.rs
@@ -135,9 +135,9 @@
         let model = self.runs.model;
         let predicted = proposed.backends.get(&backend.host)?.peak.mean;
         let in_force = self.in_force.backends.get(&backend.host)?.peak.mean;
-        let bound = (model.bears(index) * self.runs.job.bounds.peak)
+        let bound = (model.capacity(index) * self.runs.job.bounds.peak)
             .max(TOLERATED_PEAK_GROWTH * in_force)
-            .max(model.seen[index]);
+            .max(model.peak_in_flight[index]);
         Some(Breach {
             kind: "backend".into(),
             name: backend.host.clone(),
@@ -179,7 +179,7 @@
     /// Most calls in flight at a backend, recorded or replayed under the table in force.
     fn observed_peak(&self, index: usize) -> f64 {
         let replayed = self.in_force.backends.get(&self.runs.records.backends[index].host);
-        self.runs.model.seen[index].max(replayed.map_or(0.0, |figures| figures.peak.mean))
+        self.runs.model.peak_in_flight[index].max(replayed.map_or(0.0, |figures| figures.peak.mean))
     }
 
     /// The largest share of the way to the proposal, 0 to 1, that would be admitted; `None` when it was cancelled.
--- a/src/replay/mod.rs
+++ b/src/replay/mod.rs
@@ -2,15 +2,15 @@
 //! No I/O, no clock, no socket. The registry hosts it; `docs/replay.md` is for on-call staff.
 
 mod backtest;
-mod clocks;
+mod clock_offsets;
 mod columns;
 mod common_random_numbers;
 mod conditions;
 mod evaluate;
 mod failure;
 mod flight;
-mod growth;
 mod job;
+mod load_curve;
 mod model;
 mod predict;
 mod quantiles;
--- /dev/null
+++ b/src/replay/model/mod.rs
@@ -0,0 +1,87 @@
+//! The model of the backends, fitted to the records of all proxies.
+//!
+//! A call's latency is the latency between two zones, plus the product of its class's mean, its backend's speed, the load
+//! curve at the fleet's calls in flight there, the condition of the backend at that time, and a random residual.
+
+mod fit;
+mod load;
+mod zone_latency;
+
+use super::Reply;
+use super::common_random_numbers::CommonRandomNumbers;
+use super::conditions::{Condition, Conditions};
+use super::failure::FAILURES;
+use super::load_curve::LoadCurve;
+use super::quantiles::Quantiles;
+
+/// Index of [`Reply::Full`] in [`FAILURES`].
+const FULL: usize = 1;
+
+/// Latency of one class at one backend, without load.
+struct ClassLatency {
+    mean_ms: f64,
+    /// Index of the distribution of its residuals.
+    residuals: usize,
+}
+
+/// How the backends answer.
+pub(super) struct Model {
+    classes: usize,
+    /// By backend.
+    load_curves: Vec<LoadCurve>,
+    /// By backend, then by class.
+    latencies: Vec<ClassLatency>,
+    /// Distributions of the residuals.
+    residuals: Vec<Quantiles>,
+    conditions: Conditions,
+    /// Latency (ms) between the zones, by proxy, then by backend.
+    zone_latency_ms: Vec<f64>,
+    /// Calls in flight from which a backend rejects calls; infinite where it does not. By backend.
+    rejects_from: Vec<f64>,
+    /// Time (ms) after which calls fail, by kind of failure.
+    failed_after_ms: Vec<Quantiles>,
+    /// Most calls in flight that were recorded, by backend.
+    pub(super) peak_in_flight: Vec<f64>,
+    /// Median time (ms) that a request takes at the proxy, besides the wait for its answer. By class.
+    pub(super) proxy_time_ms: Vec<f64>,
+}
+
+/// A call as it is sent.
+pub(super) struct SimulatedCall {
+    /// Index of the proxy.
+    pub(super) proxy: usize,
+    /// Index of the backend.
+    pub(super) backend: usize,
+    /// Index of the class.
+    pub(super) class: usize,
+    /// Calls of the fleet in flight at the backend, this one included.
+    pub(super) in_flight: f64,
+    /// Time (ms) from the start of the window.
+    pub(super) at_ms: f64,
+}
+
+impl Model {
+    /// Calls in flight that a backend can take, as far as the records show it; else infinite.
+    pub(super) fn capacity(&self, backend: usize) -> f64 {
+        self.load_curves[backend].capacity().min(self.rejects_from[backend])
+    }
+
+    /// How a call ends, and after how long (ms); `Timeout` for one that is never answered.
+    pub(super) fn answer(&self, call: &SimulatedCall, random: &mut CommonRandomNumbers) -> (Reply, f64) {
+        let zone_latency_ms = self.zone_latency_ms[call.proxy * self.peak_in_flight.len() + call.backend];
+        let failure_draw = random.next_uniform();
+        let latency_draw = random.next_uniform();
+        if call.in_flight > self.rejects_from[call.backend] {
+            return (Reply::Full, self.failed_after_ms[FULL].at(latency_draw).max(zone_latency_ms));
+        }
+        let condition: &Condition = self.conditions.at(call.backend, call.at_ms);
+        if let Some(failure) = condition.failing.iter().position(|&below| failure_draw < below) {
+            let after_ms = self.failed_after_ms[failure].at(latency_draw).max(zone_latency_ms);
+            return (FAILURES[failure], after_ms);
+        }
+        let latency = &self.latencies[call.backend * self.classes + call.class];
+        let load = self.load_curves[call.backend].relative_latency(call.in_flight);
+        let residual = self.residuals[latency.residuals].at(latency_draw);
+        (Reply::Ok, zone_latency_ms + latency.mean_ms * condition.slow * load * residual)
+    }
+}
--- /dev/null
+++ b/src/replay/model/zone_latency.rs
@@ -0,0 +1,49 @@
+//! The latency between zones: what a call to another zone takes more than one within the backend's own zone.
+//!
+//! For each backend and class, the fastest tenth of the answers to one zone is compared with that of the answers to the
+//! backend's own zone; the median of the differences over backends and classes is taken.
+
+use super::fit::is_answered;
+use crate::replay::quantiles::Quantiles;
+use crate::replay::records::Records;
+use std::collections::BTreeMap;
+
+/// Answers to one zone, of one backend and class, from which their fastest tenth is used.
+const MIN_ANSWERS: usize = 30;
+
+/// The latency (ms) between the zones of each proxy and each backend, by proxy, then by backend; 0 where it is unknown.
+pub(super) fn zone_latency_ms(records: &Records) -> Vec<f64> {
+    let fastest = fastest_tenths_ms(records);
+    let mut differences: BTreeMap<(&str, &str), Vec<f64>> = BTreeMap::new();
+    for (&(zone, backend, class), &remote_ms) in &fastest {
+        let home = records.backends[backend as usize].zone.as_str();
+        if home != zone
+            && let Some(local_ms) = fastest.get(&(home, backend, class))
+        {
+            differences.entry((zone, home)).or_default().push(remote_ms - local_ms);
+        }
+    }
+    let added_ms: BTreeMap<(&str, &str), f64> = differences
+        .into_iter()
+        .map(|(zones, differences)| (zones, Quantiles::of(differences).at(0.5).max(0.0)))
+        .collect();
+    let mut latencies = Vec::with_capacity(records.proxies.len() * records.backends.len());
+    for proxy in &records.proxies {
+        for backend in &records.backends {
+            let zones = (proxy.zone.as_str(), backend.zone.as_str());
+            latencies.push(added_ms.get(&zones).copied().unwrap_or(0.0));
+        }
+    }
+    latencies
+}
+
+/// The 10th percentile (ms) of the waits for answers, by the proxy's zone, backend and class.
+fn fastest_tenths_ms(records: &Records) -> BTreeMap<(&str, u32, u16), f64> {
+    let mut waits: BTreeMap<(&str, u32, u16), Vec<f64>> = BTreeMap::new();
+    for call in records.calls.iter().filter(|call| is_answered(call)) {
+        let zone = records.proxies[call.proxy as usize].zone.as_str();
+        waits.entry((zone, call.backend, call.class)).or_default().push(call.wait);
+    }
+    let enough = waits.into_iter().filter(|(_, waits)| waits.len() >= MIN_ANSWERS);
+    enough.map(|(key, waits)| (key, Quantiles::of(waits).at(0.1))).collect()
+}
--- a/src/replay/records.rs
+++ b/src/replay/records.rs
@@ -1,7 +1,7 @@
 //! The segments of all proxies as one: same backends, same classes, one clock as far as that can be had.
 
 use super::quantiles::median;
-use super::{Ending, Job, Listed, Peers, Reply, SAMPLED_OF, Segment, clocks, job, segment};
+use super::{Ending, Job, Listed, Peers, Reply, SAMPLED_OF, Segment, clock_offsets, job, segment};
 use crate::interface::Settings;
 use crate::platform_settings;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -117,7 +117,7 @@
             differ: if other_list { strange.into_iter().collect() } else { Vec::new() },
             digest: segment::digest(job.list_version, &kept),
         };
-        let offsets = clocks::offsets(segments, &tiers);
+        let offsets = clock_offsets::offsets(segments, &tiers);
         let offset = |s: &Segment| offsets.get(s.name.as_str()).copied().unwrap_or(0.0);
         let mut spans: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
         for s in &kept {
--- a/src/replay/simulation/events.rs
+++ b/src/replay/simulation/events.rs
@@ -101,7 +101,7 @@
         self.update_queued(request);
         let arrived_ms = self.arrivals[request as usize].at_ms;
         let class = self.recorded(request).class;
-        let took_ms = now_ms - arrived_ms + self.model.beside[usize::from(class)];
+        let took_ms = now_ms - arrived_ms + self.model.proxy_time_ms[usize::from(class)];
         self.tally.request(arrived_ms, class, ending, took_ms.max(0.0));
     }
 
