--- a/src/replay/conditions.rs
+++ b/src/replay/conditions.rs
@@ -1,121 +1,176 @@
-//! Backends' bad hours: windows in which one was surely slower or failed surely more than it does else. They are
-//! played as they were, whatever the table.
+//! Conditions of the backends: windows of time in which one was significantly slower, or failed significantly more
+//! often, than over the whole record. The simulation repeats them as they were, whatever the table.
 
 use super::Reply;
 use super::failure::FAILURES;
 use super::records::Records;
 
-const WINDOW: f64 = 2000.0; // ms
-const SURE: f64 = 5.0; // standard deviations from which a window is not chance
-const FEW: f64 = 5.0; // calls under which a window says nothing by itself
+/// Length (ms) of a window.
+const WINDOW_MS: f64 = 2000.0;
+/// Standard deviations by which a window must differ.
+const CHANGE_Z_SCORE: f64 = 5.0;
+/// Calls without which a window is not judged by itself.
+const MIN_CALLS: f64 = 5.0;
+/// Calls at the backend's overall failure rates that are added to a window's own.
+const PRIOR_CALLS: f64 = 1.0;
+/// Least variance of the residuals that is assumed.
+const MIN_RESIDUAL_VARIANCE: f64 = 0.01;
+/// Least mean residual that a window's is divided by.
+const MIN_MEAN_RESIDUAL: f64 = 0.01;
+/// Least relative latency of a window.
+const MIN_RELATIVE_LATENCY: f64 = 0.05;
 
+/// The condition of one backend in one window.
 #[derive(Clone, Copy)]
 pub(super) struct Condition {
-    /// Latency over that of the whole time.
-    pub slow: f64,
-    /// Chance of each kind of failure and those before it.
-    pub failing: [f64; FAILURES.len()],
+    /// Latency relative to that over the whole record.
+    pub(super) relative_latency: f64,
+    /// By kind of failure, the probability of it or of one before it in [`FAILURES`].
+    pub(super) cumulative_failure_rates: [f64; FAILURES.len()],
 }
 
+/// The conditions of all backends in all windows.
 pub(super) struct Conditions {
     windows: usize,
-    of: Vec<Condition>, // by backend, then by window
+    /// By backend, then by window.
+    conditions: Vec<Condition>,
 }
 
+/// What was recorded at a backend in one window, or in all of them.
 #[derive(Clone, Copy, Default)]
-struct Seen {
+struct Observations {
     calls: f64,
     answers: f64,
-    luck: f64,
-    square: f64,
-    failed: [f64; FAILURES.len()],
+    sum_of_residuals: f64,
+    sum_of_squares: f64,
+    /// By kind of failure.
+    failures: [f64; FAILURES.len()],
 }
 
-impl Seen {
-    fn add(&mut self, o: &Seen) {
-        self.calls += o.calls;
-        self.answers += o.answers;
-        self.luck += o.luck;
-        self.square += o.square;
-        self.failed.iter_mut().zip(o.failed).for_each(|(a, b)| *a += b);
+impl Observations {
+    fn add(&mut self, other: &Observations) {
+        self.calls += other.calls;
+        self.answers += other.answers;
+        self.sum_of_residuals += other.sum_of_residuals;
+        self.sum_of_squares += other.sum_of_squares;
+        for (failures, others) in self.failures.iter_mut().zip(other.failures) {
+            *failures += others;
+        }
+    }
+
+    fn failed(&self) -> f64 {
+        self.failures.iter().sum()
     }
 }
 
 impl Conditions {
-    /// `luck` is a call's latency over what its backend, class and load explain.
-    pub fn of(r: &Records, luck: impl Fn(usize) -> f64) -> Conditions {
-        let windows = (r.length / WINDOW) as usize + 1;
-        let mut seen = vec![Seen::default(); r.backends.len() * windows];
-        let mut longest = vec![0.0_f64; r.classes.len()];
-        for c in r.calls.iter().filter(|c| c.reply == Reply::Ok) {
-            longest[usize::from(c.class)] = longest[usize::from(c.class)].max(c.wait);
-        }
-        for (i, c) in r.calls.iter().enumerate() {
-            let window = ((c.at / WINDOW).max(0.0) as usize).min(windows - 1);
-            let s = &mut seen[c.backend as usize * windows + window];
-            match FAILURES.iter().position(|kind| *kind == c.reply) {
-                // One that was given up before others were answered may just have been long.
-                Some(_) if c.reply == Reply::Timeout && c.wait < longest[usize::from(c.class)] => continue,
-                Some(kind) => s.failed[kind] += 1.0,
-                None if c.reply == Reply::Ok => {
-                    let luck = luck(i);
-                    (s.answers, s.luck, s.square) = (s.answers + 1.0, s.luck + luck, s.square + luck * luck);
-                }
-                None => continue,
-            }
-            s.calls += 1.0;
+    /// The conditions in the records. `residual` is the part of a call's latency that class, backend and load do not
+    /// explain, as a factor.
+    pub(super) fn of(records: &Records, residual: impl Fn(usize) -> f64) -> Conditions {
+        let windows = (records.length / WINDOW_MS) as usize + 1;
+        let observations = observations(records, windows, residual);
+        let conditions = observations.chunks(windows).flat_map(conditions_of_backend).collect();
+        Conditions { windows, conditions }
+    }
+
+    /// The condition of a backend at a time (ms) from the start of the records.
+    pub(super) fn at(&self, backend: usize, at_ms: f64) -> &Condition {
+        &self.conditions[backend * self.windows + window(at_ms, self.windows)]
+    }
+}
+
+/// The window that a time (ms) falls into.
+fn window(at_ms: f64, windows: usize) -> usize {
+    ((at_ms / WINDOW_MS).max(0.0) as usize).min(windows - 1)
+}
+
+/// What was recorded, by backend, then by window.
+fn observations(records: &Records, windows: usize, residual: impl Fn(usize) -> f64) -> Vec<Observations> {
+    let longest_answers_ms = longest_answers_ms(records);
+    let mut observations = vec![Observations::default(); records.backends.len() * windows];
+    for (index, call) in records.calls.iter().enumerate() {
+        // A call that timed out sooner than others of its class were answered may just have taken long.
+        if call.reply == Reply::Timeout && call.wait < longest_answers_ms[usize::from(call.class)] {
+            continue;
         }
-        let mut of = Vec::with_capacity(seen.len());
-        for backend in seen.chunks(windows) {
-            let mut all = Seen::default();
-            backend.iter().for_each(|s| all.add(s));
-            let usual = condition(&all, &all, 1.0);
-            let mut last = usual;
-            for s in backend {
-                let failed: f64 = s.failed.iter().sum();
-                // While nothing went there, it stays as it was last known.
-                if s.calls >= FEW {
-                    last = judge(s, &all, &usual);
-                } else if s.calls > 0.0 && failed == 0.0 {
-                    last = usual;
-                }
-                of.push(last);
-            }
+        let place = call.backend as usize * windows + window(call.at, windows);
+        let observed = &mut observations[place];
+        if let Some(failure) = FAILURES.iter().position(|failure| *failure == call.reply) {
+            observed.failures[failure] += 1.0;
+            observed.calls += 1.0;
+        } else if call.reply == Reply::Ok {
+            let residual = residual(index);
+            observed.answers += 1.0;
+            observed.sum_of_residuals += residual;
+            observed.sum_of_squares += residual * residual;
+            observed.calls += 1.0;
         }
-        Conditions { windows, of }
     }
+    observations
+}
+
+/// By class, the longest wait (ms) for an answer.
+fn longest_answers_ms(records: &Records) -> Vec<f64> {
+    let mut longest = vec![0.0_f64; records.classes.len()];
+    for call in records.calls.iter().filter(|call| call.reply == Reply::Ok) {
+        let of_class = &mut longest[usize::from(call.class)];
+        *of_class = of_class.max(call.wait);
+    }
+    longest
+}
 
-    pub fn at(&self, backend: usize, at: f64) -> &Condition {
-        &self.of[backend * self.windows + ((at / WINDOW).max(0.0) as usize).min(self.windows - 1)]
+/// One backend's condition in each window. It stays the same while no calls go there.
+fn conditions_of_backend(windows: &[Observations]) -> Vec<Condition> {
+    let mut overall = Observations::default();
+    windows.iter().for_each(|window| overall.add(window));
+    let normal = Condition {
+        relative_latency: 1.0,
+        cumulative_failure_rates: cumulative_failure_rates(&overall, &overall),
+    };
+    let mut current = normal;
+    let mut conditions = Vec::with_capacity(windows.len());
+    for window in windows {
+        if window.calls >= MIN_CALLS {
+            current = condition_in_window(window, &overall, &normal);
+        } else if window.calls > 0.0 && window.failed() == 0.0 {
+            current = normal;
+        }
+        conditions.push(current);
     }
+    conditions
 }
 
-/// The shares that failed, `all`'s weighing as so many calls.
-fn condition(s: &Seen, all: &Seen, weight: f64) -> Condition {
-    let (mut failing, mut sum) = ([0.0; FAILURES.len()], 0.0);
-    for (kind, below) in failing.iter_mut().enumerate() {
-        let usual = all.failed[kind] / all.calls.max(1.0);
-        sum += (s.failed[kind] + weight * usual) / (s.calls + weight);
-        *below = sum;
+/// The failure rates in a window, each with those before it, with [`PRIOR_CALLS`] at the overall rates added.
+fn cumulative_failure_rates(window: &Observations, overall: &Observations) -> [f64; FAILURES.len()] {
+    let mut rates = [0.0; FAILURES.len()];
+    let mut sum = 0.0;
+    for (failure, rate) in rates.iter_mut().enumerate() {
+        let overall_rate = overall.failures[failure] / overall.calls.max(1.0);
+        sum += (window.failures[failure] + PRIOR_CALLS * overall_rate) / (window.calls + PRIOR_CALLS);
+        *rate = sum;
     }
-    Condition { slow: 1.0, failing }
+    rates
 }
 
-fn judge(s: &Seen, all: &Seen, usual: &Condition) -> Condition {
-    let share = usual.failing[FAILURES.len() - 1];
-    let failed: f64 = s.failed.iter().sum();
-    let chance = (s.calls * share * (1.0 - share) + 1.0).sqrt();
-    let mut found = *usual;
-    if (failed - s.calls * share).abs() > SURE * chance {
-        found = condition(s, all, 1.0);
+/// The normal condition, changed where the window differs significantly.
+fn condition_in_window(window: &Observations, overall: &Observations, normal: &Condition) -> Condition {
+    let mut condition = *normal;
+    let normal_rate = normal.cumulative_failure_rates[FAILURES.len() - 1];
+    let expected_failures = window.calls * normal_rate;
+    let standard_deviation = (window.calls * normal_rate * (1.0 - normal_rate) + 1.0).sqrt();
+    if (window.failed() - expected_failures).abs() > CHANGE_Z_SCORE * standard_deviation {
+        condition.cumulative_failure_rates = cumulative_failure_rates(window, overall);
     }
-    let mean = all.luck / all.answers.max(1.0);
-    let spread = (all.square / all.answers.max(1.0) - mean * mean).max(0.01).sqrt();
-    if s.answers > 0.0 {
-        let off = s.luck / s.answers - mean;
-        if off.abs() * s.answers.sqrt() > SURE * spread {
-            found.slow = (s.luck / s.answers / mean.max(0.01)).max(0.05);
+    if window.answers > 0.0 {
+        let overall_mean = overall.sum_of_residuals / overall.answers.max(1.0);
+        let overall_mean_square = overall.sum_of_squares / overall.answers.max(1.0);
+        let variance = (overall_mean_square - overall_mean * overall_mean).max(MIN_RESIDUAL_VARIANCE);
+        let window_mean = window.sum_of_residuals / window.answers;
+        let difference = window_mean - overall_mean;
+        if difference.abs() * window.answers.sqrt() > CHANGE_Z_SCORE * variance.sqrt() {
+            let relative_latency = window_mean / overall_mean.max(MIN_MEAN_RESIDUAL);
+            condition.relative_latency = relative_latency.max(MIN_RELATIVE_LATENCY);
         }
     }
-    found
+    condition
 }
--- a/src/replay/mod.rs
+++ b/src/replay/mod.rs
@@ -2,13 +2,13 @@
 //! No I/O, no clock, no socket. The registry hosts it; `docs/replay.md` is for on-call staff.
 
 mod backtest;
+mod calls_in_flight;
 mod clock_offsets;
 mod columns;
 mod common_random_numbers;
 mod conditions;
 mod evaluate;
 mod failure;
-mod flight;
 mod job;
 mod load_curve;
 mod model;
--- a/src/replay/model/fit.rs
+++ b/src/replay/model/fit.rs
@@ -3,12 +3,13 @@
 
 use super::zone_latency::zone_latency_ms;
 use super::{ClassLatency, Model};
+use crate::replay::Reply;
+use crate::replay::calls_in_flight::calls_in_flight;
 use crate::replay::conditions::Conditions;
 use crate::replay::failure::FAILURES;
 use crate::replay::load_curve::LoadCurve;
 use crate::replay::quantiles::Quantiles;
 use crate::replay::records::{Call, Records};
-use crate::replay::{Reply, flight};
 
 /// Calls at the mean of all that are added to a backend's own, so that few of these weigh little (shrinkage).
 const PRIOR_CALLS: f64 = 8.0;
@@ -74,7 +75,7 @@
     pub(in crate::replay) fn fit(records: &Records) -> Model {
         let mut fit = Fit {
             records,
-            in_flight: flight::of(records),
+            in_flight: calls_in_flight(records),
             zone_latency_ms: zone_latency_ms(records),
             class_means_ms: Vec::new(),
             answered: vec![Vec::new(); records.backends.len()],
--- a/src/replay/model/mod.rs
+++ b/src/replay/model/mod.rs
@@ -75,13 +75,15 @@
             return (Reply::Full, self.failed_after_ms[FULL].at(latency_draw).max(zone_latency_ms));
         }
         let condition: &Condition = self.conditions.at(call.backend, call.at_ms);
-        if let Some(failure) = condition.failing.iter().position(|&below| failure_draw < below) {
+        if let Some(failure) =
+            condition.cumulative_failure_rates.iter().position(|&below| failure_draw < below)
+        {
             let after_ms = self.failed_after_ms[failure].at(latency_draw).max(zone_latency_ms);
             return (FAILURES[failure], after_ms);
         }
         let latency = &self.latencies[call.backend * self.classes + call.class];
         let load = self.load_curves[call.backend].relative_latency(call.in_flight);
         let residual = self.residuals[latency.residuals].at(latency_draw);
-        (Reply::Ok, zone_latency_ms + latency.mean_ms * condition.slow * load * residual)
+        (Reply::Ok, zone_latency_ms + latency.mean_ms * condition.relative_latency * load * residual)
     }
 }
