--- a/src/replay/mod.rs
+++ b/src/replay/mod.rs
@@ -2,29 +2,29 @@
 //! No I/O, no clock, no socket. The registry hosts it; `docs/replay.md` is for on-call staff.
 
 mod backtest;
-mod clocks;
+mod calls_in_flight;
+mod clock_offsets;
 mod columns;
+mod common_random_numbers;
 mod conditions;
+mod evaluate;
 mod failure;
-mod flight;
-mod growth;
 mod job;
-mod judge;
+mod load_curve;
 mod model;
-mod play;
 mod predict;
 mod quantiles;
 mod recorder;
 mod records;
 mod runs;
 mod segment;
-mod step;
+mod simulation;
 mod tally;
 mod trace;
 mod verdict;
 
+pub use evaluate::judge;
 pub use job::{Bounds, Job, Listed};
-pub use judge::judge;
 pub use recorder::{About, Recorder};
 pub use segment::{BadSegment, MAX_BACKENDS, MAX_ENCODED, MAX_TRACES, SAMPLED_OF};
 pub use trace::{Ending, Peers, Reply, Segment, Trace, Try};
