--- a/src/replay/backtest.rs
+++ b/src/replay/backtest.rs
@@ -1,6 +1,6 @@
 //! The back-test: the table in force, replayed, must give back what was recorded.
 
-use super::records::Records;
+use super::recorded_traffic::RecordedTraffic;
 use super::tally::Tally;
 use super::{Bounds, Unsure};
 
@@ -40,7 +40,12 @@
 }
 
 /// The figure that is furthest outside of its bound, if one is.
-pub(super) fn fails(bounds: &Bounds, r: &Records, recorded: &Tally, runs: &[Tally]) -> Option<Unsure> {
+pub(super) fn fails(
+    bounds: &Bounds,
+    r: &RecordedTraffic,
+    recorded: &Tally,
+    runs: &[Tally],
+) -> Option<Unsure> {
     let mut figures = Vec::new();
     for (b, listed) in r.backends.iter().enumerate() {
         let (was, now) = (recorded.share(b), mean(runs, |t| t.share(b)));
--- a/src/replay/conditions.rs
+++ b/src/replay/conditions.rs
@@ -3,7 +3,7 @@
 
 use super::Reply;
 use super::failure::FAILURES;
-use super::records::Records;
+use super::recorded_traffic::RecordedTraffic;
 
 /// Length (ms) of a window.
 const WINDOW_MS: f64 = 2000.0;
@@ -66,8 +66,8 @@
 impl Conditions {
     /// The conditions in the records. `residual` is the part of a call's latency that class, backend and load do not
     /// explain, as a factor.
-    pub(super) fn of(records: &Records, residual: impl Fn(usize) -> f64) -> Conditions {
-        let windows = (records.length / WINDOW_MS) as usize + 1;
+    pub(super) fn of(records: &RecordedTraffic, residual: impl Fn(usize) -> f64) -> Conditions {
+        let windows = (records.length_ms / WINDOW_MS) as usize + 1;
         let observations = observations(records, windows, residual);
         let conditions = observations.chunks(windows).flat_map(conditions_of_backend).collect();
         Conditions { windows, conditions }
@@ -85,15 +85,19 @@
 }
 
 /// What was recorded, by backend, then by window.
-fn observations(records: &Records, windows: usize, residual: impl Fn(usize) -> f64) -> Vec<Observations> {
+fn observations(
+    records: &RecordedTraffic,
+    windows: usize,
+    residual: impl Fn(usize) -> f64,
+) -> Vec<Observations> {
     let longest_answers_ms = longest_answers_ms(records);
     let mut observations = vec![Observations::default(); records.backends.len() * windows];
     for (index, call) in records.calls.iter().enumerate() {
         // A call that timed out sooner than others of its class were answered may just have taken long.
-        if call.reply == Reply::Timeout && call.wait < longest_answers_ms[usize::from(call.class)] {
+        if call.reply == Reply::Timeout && call.wait_ms < longest_answers_ms[usize::from(call.class)] {
             continue;
         }
-        let place = call.backend as usize * windows + window(call.at, windows);
+        let place = call.backend as usize * windows + window(call.at_ms, windows);
         let observed = &mut observations[place];
         if let Some(failure) = FAILURES.iter().position(|failure| *failure == call.reply) {
             observed.failures[failure] += 1.0;
@@ -110,11 +114,11 @@
 }
 
 /// By class, the longest wait (ms) for an answer.
-fn longest_answers_ms(records: &Records) -> Vec<f64> {
+fn longest_answers_ms(records: &RecordedTraffic) -> Vec<f64> {
     let mut longest = vec![0.0_f64; records.classes.len()];
     for call in records.calls.iter().filter(|call| call.reply == Reply::Ok) {
         let of_class = &mut longest[usize::from(call.class)];
-        *of_class = of_class.max(call.wait);
+        *of_class = of_class.max(call.wait_ms);
     }
     longest
 }
--- a/src/replay/evaluate.rs
+++ b/src/replay/evaluate.rs
@@ -10,7 +10,7 @@
 use super::backtest::{self, Errors};
 use super::model::Model;
 use super::predict::predict;
-use super::records::Records;
+use super::recorded_traffic::RecordedTraffic;
 use super::runs::Runs;
 use super::tally::Tally;
 use super::{Breach, ClassFigures, Decision, Job, Listed, Prediction, Segment, Unsure, Verdict};
@@ -39,7 +39,7 @@
     progress: &dyn Fn(f64),
     cancelled: &dyn Fn() -> bool,
 ) -> Option<Verdict> {
-    let records = Records::of(job, segments);
+    let records = RecordedTraffic::of(job, segments);
     if let Some(reason) = insufficient_records(job, &records) {
         return Some(verdict(job, &records, Decision::CannotTell(reason), None, None));
     }
@@ -47,7 +47,7 @@
         return None;
     }
     let model = Model::fit(&records);
-    let warm = (WARM_UP_SHARE * records.length).min(MAX_WARM_UP_MS);
+    let warm = (WARM_UP_SHARE * records.length_ms).min(MAX_WARM_UP_MS);
     let runs = Runs { job, records: &records, model: &model, warm, progress, cancelled };
     let in_force_runs = runs.all(&job.in_force, 0.0, PROGRESS_AFTER_IN_FORCE)?;
     let recorded = Tally::recorded(&records, warm);
@@ -66,7 +66,7 @@
 
 fn verdict(
     job: &Job,
-    records: &Records,
+    records: &RecordedTraffic,
     decision: Decision,
     in_force: Option<Prediction>,
     proposed: Option<Prediction>,
@@ -83,17 +83,17 @@
 }
 
 /// Why the records do not suffice for a verdict, if they do not.
-fn insufficient_records(job: &Job, records: &Records) -> Option<Unsure> {
-    if !records.differ.is_empty() {
-        return Some(Unsure::OtherList { differ: records.differ.clone() });
+fn insufficient_records(job: &Job, records: &RecordedTraffic) -> Option<Unsure> {
+    if !records.differing_backends.is_empty() {
+        return Some(Unsure::OtherList { differ: records.differing_backends.clone() });
     }
     let needed = job.bounds.coverage;
     let covered = if records.requests.len() < MIN_REQUESTS { 0.0 } else { records.covered };
     if covered < needed || records.requests.is_empty() {
         return Some(Unsure::Coverage { covered, needed });
     }
-    if records.age > job.bounds.age_ms {
-        return Some(Unsure::Old { age_ms: records.age, most_ms: job.bounds.age_ms });
+    if records.age_ms > job.bounds.age_ms {
+        return Some(Unsure::Old { age_ms: records.age_ms, most_ms: job.bounds.age_ms });
     }
     None
 }
--- a/src/replay/model/fit.rs
+++ b/src/replay/model/fit.rs
@@ -9,7 +9,7 @@
 use crate::replay::failure::FAILURES;
 use crate::replay::load_curve::LoadCurve;
 use crate::replay::quantiles::Quantiles;
-use crate::replay::records::{Call, Records};
+use crate::replay::recorded_traffic::{RecordedCall, RecordedTraffic};
 
 /// Calls at the mean of all that are added to a backend's own, so that few of these weigh little (shrinkage).
 const PRIOR_CALLS: f64 = 8.0;
@@ -19,7 +19,7 @@
 const MIN_WORK_MS: f64 = 0.01;
 
 /// Whether a call's latency was recorded to its end.
-pub(super) fn is_answered(call: &Call) -> bool {
+pub(super) fn is_answered(call: &RecordedCall) -> bool {
     matches!(call.reply, Reply::Ok | Reply::Malformed)
 }
 
@@ -55,7 +55,7 @@
 
 /// The records and what was estimated from them so far. Calls are meant by their index in the records.
 pub(super) struct Fit<'a> {
-    pub(super) records: &'a Records,
+    pub(super) records: &'a RecordedTraffic,
     /// By call, the fleet's calls in flight at its backend.
     pub(super) in_flight: Vec<f64>,
     /// By proxy, then by backend.
@@ -72,7 +72,7 @@
 
 impl Model {
     /// Fits a model to the records.
-    pub(in crate::replay) fn fit(records: &Records) -> Model {
+    pub(in crate::replay) fn fit(records: &RecordedTraffic) -> Model {
         let mut fit = Fit {
             records,
             in_flight: calls_in_flight(records),
@@ -107,9 +107,9 @@
 
 impl Fit<'_> {
     /// Time (ms) of a call at its backend.
-    fn work_ms(&self, call: &Call) -> f64 {
+    fn work_ms(&self, call: &RecordedCall) -> f64 {
         let zones = call.proxy as usize * self.records.backends.len() + call.backend as usize;
-        (call.wait - self.zone_latency_ms[zones]).max(MIN_WORK_MS)
+        (call.wait_ms - self.zone_latency_ms[zones]).max(MIN_WORK_MS)
     }
 
     /// Index of a call's backend and class in `speeds`.
@@ -204,17 +204,18 @@
     }
 }
 
-fn failed_after_ms(records: &Records) -> Vec<Quantiles> {
-    let waits =
-        |failure: Reply| records.calls.iter().filter(move |call| call.reply == failure).map(|call| call.wait);
+fn failed_after_ms(records: &RecordedTraffic) -> Vec<Quantiles> {
+    let waits = |failure: Reply| {
+        records.calls.iter().filter(move |call| call.reply == failure).map(|call| call.wait_ms)
+    };
     FAILURES.iter().map(|&failure| Quantiles::of(waits(failure).collect())).collect()
 }
 
 /// By class, the median time (ms) at the proxy; 0 where no request of the class was served.
-fn proxy_time_ms(records: &Records) -> Vec<f64> {
+fn proxy_time_ms(records: &RecordedTraffic) -> Vec<f64> {
     let mut times: Vec<Vec<f64>> = vec![Vec::new(); records.classes.len()];
     for request in &records.requests {
-        times[usize::from(request.class)].extend(request.beside);
+        times[usize::from(request.class)].extend(request.proxy_time_ms);
     }
     let median = |times: Vec<f64>| if times.is_empty() { 0.0 } else { Quantiles::of(times).at(0.5) };
     times.into_iter().map(median).collect()
--- a/src/replay/model/zone_latency.rs
+++ b/src/replay/model/zone_latency.rs
@@ -5,14 +5,14 @@
 
 use super::fit::is_answered;
 use crate::replay::quantiles::Quantiles;
-use crate::replay::records::Records;
+use crate::replay::recorded_traffic::RecordedTraffic;
 use std::collections::BTreeMap;
 
 /// Answers to one zone, of one backend and class, from which their fastest tenth is used.
 const MIN_ANSWERS: usize = 30;
 
 /// The latency (ms) between the zones of each proxy and each backend, by proxy, then by backend; 0 where it is unknown.
-pub(super) fn zone_latency_ms(records: &Records) -> Vec<f64> {
+pub(super) fn zone_latency_ms(records: &RecordedTraffic) -> Vec<f64> {
     let fastest = fastest_tenths_ms(records);
     let mut differences: BTreeMap<(&str, &str), Vec<f64>> = BTreeMap::new();
     for (&(zone, backend, class), &remote_ms) in &fastest {
@@ -38,11 +38,11 @@
 }
 
 /// The 10th percentile (ms) of the waits for answers, by the proxy's zone, backend and class.
-fn fastest_tenths_ms(records: &Records) -> BTreeMap<(&str, u32, u16), f64> {
+fn fastest_tenths_ms(records: &RecordedTraffic) -> BTreeMap<(&str, u32, u16), f64> {
     let mut waits: BTreeMap<(&str, u32, u16), Vec<f64>> = BTreeMap::new();
     for call in records.calls.iter().filter(|call| is_answered(call)) {
         let zone = records.proxies[call.proxy as usize].zone.as_str();
-        waits.entry((zone, call.backend, call.class)).or_default().push(call.wait);
+        waits.entry((zone, call.backend, call.class)).or_default().push(call.wait_ms);
     }
     let enough = waits.into_iter().filter(|(_, waits)| waits.len() >= MIN_ANSWERS);
     enough.map(|(key, waits)| (key, Quantiles::of(waits).at(0.1))).collect()
--- a/src/replay/predict.rs
+++ b/src/replay/predict.rs
@@ -2,7 +2,7 @@
 //! the figure, and what the back-test missed it by.
 
 use super::backtest::Errors;
-use super::records::Records;
+use super::recorded_traffic::RecordedTraffic;
 use super::tally::Tally;
 use super::{BackendFigures, ClassFigures, Prediction, Range};
 
@@ -13,7 +13,7 @@
 const P99: f64 = 0.2;
 const RATES: f64 = 0.005; // refused, failed and crossings: off by so much of all
 
-pub(super) fn predict(r: &Records, runs: &[Tally], errors: &Errors) -> Prediction {
+pub(super) fn predict(r: &RecordedTraffic, runs: &[Tally], errors: &Errors) -> Prediction {
     let range = |of: &dyn Fn(&Tally) -> f64, part: f64, flat: f64| {
         let n = runs.len() as f64;
         let mean = runs.iter().map(of).sum::<f64>() / n;
--- /dev/null
+++ b/src/replay/recorded_traffic/mod.rs
@@ -0,0 +1,138 @@
+//! The recorded traffic of the fleet: the segments of all proxies with one list of backends, one list of classes and,
+//! as far as possible, one clock. Times (ms) count from the start of the window that the records cover.
+
+mod merge;
+mod selection;
+
+use super::{Ending, Job, Listed, Peers, Reply, Segment, clock_offsets, segment};
+use crate::interface::Settings;
+use merge::Window;
+use selection::Selection;
+
+/// Most requests of a replay, including those that recorded ones stand for.
+const MAX_REPLAYED_REQUESTS: f64 = 3e6;
+
+/// One proxy process of the fleet.
+pub(super) struct RecordedProxy {
+    pub(super) zone: String,
+    /// The zones in the order of its settings.
+    pub(super) zones: Vec<String>,
+    pub(super) settings: Settings,
+    /// Requests that one recorded request stands for.
+    pub(super) scale: f64,
+    /// Seed of its decision module's random numbers.
+    pub(super) seed: u64,
+    /// What membership told it, and from when (ms) on.
+    pub(super) peers: Vec<(f64, Peers)>,
+}
+
+/// A recorded request.
+pub(super) struct RecordedRequest {
+    /// Index of its proxy.
+    pub(super) proxy: u32,
+    pub(super) id: u64,
+    pub(super) at_ms: f64,
+    /// Index of its class among those of the fleet.
+    pub(super) class: u16,
+    /// Index of its class in its proxy's settings.
+    pub(super) proxy_class: u16,
+    pub(super) tenant: u16,
+    /// Hash of its key; 0 for none.
+    pub(super) key: u64,
+    /// Time (ms) that its client waits for an answer.
+    pub(super) client_timeout_ms: f64,
+    pub(super) ending: Ending,
+    /// Time (ms) until its end.
+    pub(super) took_ms: f64,
+    /// Whether an answer to it was malformed.
+    pub(super) malformed: bool,
+    /// Time (ms) at the proxy, besides the wait until the end of its answer; `None` if it had no answer.
+    pub(super) proxy_time_ms: Option<f64>,
+}
+
+/// A recorded attempt.
+pub(super) struct RecordedCall {
+    /// Index of its proxy.
+    pub(super) proxy: u32,
+    /// Index of its backend.
+    pub(super) backend: u32,
+    /// Index of its class among those of the fleet.
+    pub(super) class: u16,
+    pub(super) at_ms: f64,
+    /// Time (ms) until its end.
+    pub(super) wait_ms: f64,
+    pub(super) reply: Reply,
+    /// Other calls of its proxy in flight at the backend when it was sent.
+    pub(super) proxy_in_flight: u32,
+}
+
+/// The traffic under the table in force to the backends of the list.
+pub(super) struct RecordedTraffic {
+    pub(super) backends: Vec<Listed>,
+    /// Names of the classes of requests.
+    pub(super) classes: Vec<String>,
+    pub(super) proxies: Vec<RecordedProxy>,
+    /// In the order of time.
+    pub(super) requests: Vec<RecordedRequest>,
+    pub(super) calls: Vec<RecordedCall>,
+    /// Length (ms) of the window.
+    pub(super) length_ms: f64,
+    /// Share of the fleet's time in the window that was recorded.
+    pub(super) covered: f64,
+    /// Age (ms) of the newest record.
+    pub(super) age_ms: f64,
+    /// Names of backends by which the recorded lists differ from that in force, if most of them do.
+    pub(super) differing_backends: Vec<String>,
+    /// Digest of the segments and the version of the list.
+    pub(super) digest: String,
+}
+
+impl RecordedTraffic {
+    /// The traffic in the segments that the job is about.
+    pub(super) fn of(job: &Job, segments: &[Segment]) -> RecordedTraffic {
+        let selection = Selection::of(job, segments);
+        let offsets = clock_offsets::offsets(segments, &selection.tiers);
+        let window = Window::of(&selection.segments, offsets);
+        let mut traffic = RecordedTraffic {
+            backends: job.listed.clone(),
+            classes: Vec::new(),
+            proxies: Vec::new(),
+            requests: Vec::new(),
+            calls: Vec::new(),
+            length_ms: window.length_ms,
+            covered: 0.0,
+            age_ms: job.now_ms - selection.newest_ms,
+            differing_backends: selection.differing_backends,
+            digest: segment::digest(job.list_version, &selection.segments),
+        };
+        traffic.merge(job, &selection.segments, &window);
+        traffic
+            .requests
+            .sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms).then(a.proxy.cmp(&b.proxy)).then(a.id.cmp(&b.id)));
+        traffic.drop_earliest_requests();
+        traffic
+    }
+
+    /// Leaves out the earliest requests where there are more than a replay may have.
+    fn drop_earliest_requests(&mut self) {
+        let mut remaining = MAX_REPLAYED_REQUESTS;
+        let fits = |request: &&RecordedRequest| {
+            remaining -= self.proxies[request.proxy as usize].scale;
+            remaining >= 0.0
+        };
+        let kept = self.requests.iter().rev().take_while(fits).count();
+        let dropped = self.requests.len() - kept;
+        if dropped == 0 {
+            return;
+        }
+        let start_ms = self.requests.get(dropped).map_or(self.length_ms, |request| request.at_ms);
+        self.requests.drain(..dropped);
+        self.calls.retain(|call| call.at_ms >= start_ms);
+        self.requests.iter_mut().for_each(|request| request.at_ms -= start_ms);
+        self.calls.iter_mut().for_each(|call| call.at_ms -= start_ms);
+        for (at_ms, _) in self.proxies.iter_mut().flat_map(|proxy| &mut proxy.peers) {
+            *at_ms = (*at_ms - start_ms).max(0.0);
+        }
+        self.length_ms -= start_ms;
+    }
+}
--- a/src/replay/runs.rs
+++ b/src/replay/runs.rs
@@ -2,7 +2,7 @@
 
 use super::Job;
 use super::model::Model;
-use super::records::Records;
+use super::recorded_traffic::RecordedTraffic;
 use super::simulation::Simulation;
 use super::tally::Tally;
 use crate::route_table::Weights;
@@ -11,7 +11,7 @@
 
 pub(super) struct Runs<'a> {
     pub job: &'a Job,
-    pub records: &'a Records,
+    pub records: &'a RecordedTraffic,
     pub model: &'a Model,
     pub warm: f64,
     pub progress: &'a dyn Fn(f64),
--- a/src/replay/simulation/arrivals.rs
+++ b/src/replay/simulation/arrivals.rs
@@ -1,7 +1,7 @@
 //! The arrivals of a simulation: the recorded requests, and for each as many more as the sampling left out.
 
 use crate::replay::common_random_numbers::CommonRandomNumbers;
-use crate::replay::records::Records;
+use crate::replay::recorded_traffic::RecordedTraffic;
 
 /// Mean gaps between a proxy's recorded requests over which the requests that one of them stands for are spread to
 /// each side: spread over less, they would make bursts that did not happen.
@@ -23,7 +23,7 @@
 }
 
 /// All arrivals in the order of time.
-pub(super) fn arrivals(records: &Records, seed: u64) -> Vec<SimulatedArrival> {
+pub(super) fn arrivals(records: &RecordedTraffic, seed: u64) -> Vec<SimulatedArrival> {
     let spread_ms = spread_by_proxy(records);
     let mut arrivals = Vec::with_capacity(records.requests.len());
     for (recorded, request) in (0..).zip(&records.requests) {
@@ -31,10 +31,10 @@
         let mut random = CommonRandomNumbers::new(seed, request.id, u64::MAX);
         // Rounded up or down at random, so that the mean is the scale.
         let count = (records.proxies[proxy].scale + random.next_uniform()) as u32;
-        arrivals.push(SimulatedArrival { at_ms: request.at, recorded, replica: 0 });
+        arrivals.push(SimulatedArrival { at_ms: request.at_ms, recorded, replica: 0 });
         for replica in 1..count {
-            let at_ms = request.at + spread_ms[proxy] * (2.0 * random.next_uniform() - 1.0);
-            let at_ms = at_ms.clamp(0.0, records.length);
+            let at_ms = request.at_ms + spread_ms[proxy] * (2.0 * random.next_uniform() - 1.0);
+            let at_ms = at_ms.clamp(0.0, records.length_ms);
             arrivals.push(SimulatedArrival { at_ms, recorded, replica });
         }
     }
@@ -46,11 +46,11 @@
 }
 
 /// By proxy, the time (ms) to each side over which the requests that one stands for are spread.
-fn spread_by_proxy(records: &Records) -> Vec<f64> {
+fn spread_by_proxy(records: &RecordedTraffic) -> Vec<f64> {
     let mut requests = vec![0.0; records.proxies.len()];
     for request in &records.requests {
         requests[request.proxy as usize] += 1.0;
     }
-    let spread = |count: f64| (SPREAD_GAPS * records.length / count).clamp(MIN_SPREAD_MS, MAX_SPREAD_MS);
+    let spread = |count: f64| (SPREAD_GAPS * records.length_ms / count).clamp(MIN_SPREAD_MS, MAX_SPREAD_MS);
     requests.into_iter().map(spread).collect()
 }
--- a/src/replay/simulation/events.rs
+++ b/src/replay/simulation/events.rs
@@ -37,16 +37,16 @@
         let recorded = self.recorded(request);
         self.unsettled += 1;
         if recorded.ending == Ending::Left {
-            self.schedule(at_ms + recorded.took, EventKind::ClientLeaves { request });
+            self.schedule(at_ms + recorded.took_ms, EventKind::ClientLeaves { request });
         }
         // The requests that a recorded one stands for have other keys.
         let key = if recorded.key == 0 { 0 } else { recorded.key ^ (u64::from(replica) << 32) };
         let arrival = Arrival {
             request: RequestId::from(request),
             key,
-            class: recorded.own_class,
+            class: recorded.proxy_class,
             tenant: recorded.tenant,
-            deadline_ms: at_ms + recorded.patience,
+            deadline_ms: at_ms + recorded.client_timeout_ms,
             body_pending: false,
         };
         self.deliver(at_ms, recorded.proxy, Event::Request(arrival));
--- a/src/replay/simulation/mod.rs
+++ b/src/replay/simulation/mod.rs
@@ -10,7 +10,7 @@
 mod proxy;
 
 use super::model::Model;
-use super::records::Records;
+use super::recorded_traffic::RecordedTraffic;
 use super::tally::Tally;
 use crate::interface::{Action, BackendId};
 use crate::{Balancer, backend_id};
@@ -39,7 +39,7 @@
 
 /// One simulation.
 pub(super) struct Simulation<'a> {
-    records: &'a Records,
+    records: &'a RecordedTraffic,
     model: &'a Model,
     seed: u64,
     proxies: Vec<SimulatedProxy>,
@@ -69,7 +69,7 @@
     /// A fleet of proxies that have just started and know the list and the weights, these by backend. Figures leave out
     /// the first `warm_up_ms`.
     pub(super) fn new(
-        records: &'a Records,
+        records: &'a RecordedTraffic,
         model: &'a Model,
         weights: &[f64],
         seed: u64,
@@ -142,13 +142,13 @@
         self.event_queue.push(Reverse(ScheduledEvent { at_ms_bits, sequence: self.scheduled, kind }));
     }
 
-    fn recorded(&self, request: u32) -> &'a super::records::Request {
+    fn recorded(&self, request: u32) -> &'a super::recorded_traffic::RecordedRequest {
         &self.records.requests[self.arrivals[request as usize].recorded as usize]
     }
 }
 
 /// The ids of the recorded backends, in the records' order. One whose id is taken gets the next free one.
-fn unique_backend_ids(records: &Records) -> Vec<BackendId> {
+fn unique_backend_ids(records: &RecordedTraffic) -> Vec<BackendId> {
     let mut ids: Vec<BackendId> = Vec::with_capacity(records.backends.len());
     let mut taken = std::collections::HashSet::new();
     for backend in &records.backends {
--- a/src/replay/tally.rs
+++ b/src/replay/tally.rs
@@ -1,7 +1,7 @@
 //! What a replay, or the records themselves, come to.
 
 use super::Ending;
-use super::records::Records;
+use super::recorded_traffic::RecordedTraffic;
 
 /// The figures of one run, without its warm-up.
 #[derive(Clone, Debug, PartialEq)]
@@ -40,19 +40,19 @@
     }
 
     /// What was recorded. Peaks are the model's to say.
-    pub fn recorded(r: &Records, warm: f64) -> Tally {
+    pub fn recorded(r: &RecordedTraffic, warm: f64) -> Tally {
         let mut tally = Tally::new(r.backends.len(), r.classes.len(), warm);
         for c in &r.calls {
             let zone = &r.proxies[c.proxy as usize].zone;
             tally.call(
-                c.at,
+                c.at_ms,
                 c.backend,
                 0.0,
                 *zone != r.backends[c.backend as usize].zone,
                 r.proxies[c.proxy as usize].scale,
             );
         }
-        r.requests.iter().for_each(|q| tally.request(q.at, q.class, q.ending, q.took));
+        r.requests.iter().for_each(|q| tally.request(q.at_ms, q.class, q.ending, q.took_ms));
         tally.sort();
         tally
     }
