--- a/src/bin/proxy/main.rs
+++ b/src/bin/proxy/main.rs
@@ -3,6 +3,7 @@
 //! `startup.rs` has the order of the start and the stop; the way of a request begins in `downstream/`.
 
 #![forbid(unsafe_code)]
+#![warn(clippy::cognitive_complexity)]
 
 mod body;
 mod config;
--- a/src/bin/registry/main.rs
+++ b/src/bin/registry/main.rs
@@ -6,6 +6,7 @@
 //! as stored is on disk at any time, so a stop needs no further step and a kill loses nothing.
 
 #![forbid(unsafe_code)]
+#![warn(clippy::cognitive_complexity)]
 
 mod config;
 mod descriptors;
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -4,6 +4,7 @@
 //! the program with one line on standard error and a non-zero exit code, and the frame that it is in gets no reply.
 
 #![forbid(unsafe_code)]
+#![warn(clippy::cognitive_complexity)]
 
 mod wire;
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -79,6 +79,7 @@
 //! balancer; no decision depends on it.
 
 #![forbid(unsafe_code)]
+#![warn(clippy::cognitive_complexity)]
 
 mod balancer;
 pub mod catalog;
--- a/tests/common/rules.rs
+++ b/tests/common/rules.rs
@@ -72,31 +72,31 @@
 
     fn on_send(&mut self, request: RequestId, backend: BackendId, deadline: f64) {
         self.check_order(request);
-        let e = self.listed.get(&backend).expect("sent to a backend that no list named");
-        assert_eq!(e.phase, Phase::Ready, "sent to a draining or gone backend");
-        let (zone, cell) = (e.zone, e.cell);
-        let a = self.requests.get_mut(&request).expect("sent a request that never arrived");
-        assert!(a.ended.is_none(), "sent after its end");
-        assert!(deadline <= a.deadline);
-        assert!(a.sends.len() < self.settings.caps.max_attempts as usize, "too many attempts");
-        let out = a.sends.iter().filter(|s| s.outcome.is_none()).count();
+        let entry = self.listed.get(&backend).expect("sent to a backend that no list named");
+        assert_eq!(entry.phase, Phase::Ready, "sent to a draining or gone backend");
+        let (zone, cell) = (entry.zone, entry.cell);
+        let arrived = self.requests.get_mut(&request).expect("sent a request that never arrived");
+        assert!(arrived.ended.is_none(), "sent after its end");
+        assert!(deadline <= arrived.deadline);
+        assert!(arrived.sends.len() < self.settings.caps.max_attempts as usize, "too many attempts");
+        let out = arrived.sends.iter().filter(|s| s.outcome.is_none()).count();
         assert_eq!(out, 0, "two attempts in flight at once");
-        if let Some(ran) = a.sends.iter().find(|s| s.outcome.is_none_or(|o| !o.never_ran())) {
+        if let Some(ran) = arrived.sends.iter().find(|s| s.outcome.is_none_or(|o| !o.never_ran())) {
             let group = self.listed.get(&ran.backend).map(|e| (e.zone, e.cell));
-            match self.settings.classes[a.class].idempotency {
+            match self.settings.classes[arrived.class].idempotency {
                 Idempotency::Idempotent => {}
                 Idempotency::NonIdempotent => {
                     panic!("a request that is not idempotent and may have run was sent again")
                 }
-                Idempotency::Keyed { scope: g, dedup_window_ms: window } => {
-                    assert!(self.now < ran.at + window, "repeated after the window");
-                    let (z, c) = group.expect("listed");
-                    assert!(g != DedupScope::Zone || z == zone, "repeated in another zone");
-                    assert!(g != DedupScope::Cell || c == cell, "repeated in another cell");
+                Idempotency::Keyed { scope, dedup_window_ms } => {
+                    assert!(self.now < ran.at + dedup_window_ms, "repeated after the window");
+                    let (first_zone, first_cell) = group.expect("listed");
+                    assert!(scope != DedupScope::Zone || first_zone == zone, "repeated in another zone");
+                    assert!(scope != DedupScope::Cell || first_cell == cell, "repeated in another cell");
                 }
             }
         }
-        a.sends.push(Sent { backend, at: self.now, deadline, outcome: None, over: 0.0 });
+        arrived.sends.push(Sent { backend, at: self.now, deadline, outcome: None, over: 0.0 });
     }
 
     fn on_reject(&mut self, request: RequestId) {
--- a/tests/routes_judged.rs
+++ b/tests/routes_judged.rs
@@ -160,9 +160,9 @@
     segments_are_bounded_and_counted(&data, registry, keys).await;
 }
 
-async fn segments_are_bounded_and_counted(data: &Path, registry: Registry, keys: &str) {
-    let (at, path) = (registry.address, "/registry/traces");
-    let segments = recorded(20.0);
+/// One that is torn, one that comes twice, one that is too old and one of a time to come.
+async fn unusable_segments_are_rejected(registry: &Registry, path: &str, segments: &[Vec<u8>]) {
+    let at = registry.address;
     let first = segments[0].clone();
     let mut torn = first.clone();
     let last = torn.len() - 1;
@@ -173,6 +173,12 @@
     let late = shifted(&segments[1], -7_200_000.0, 0);
     assert_eq!(put(at, path, late).await.1, r#"{"left_out":"late","taken":false}"#);
     assert_eq!(put(at, path, shifted(&segments[1], 7_200_000.0, 0)).await.0, 400, "of a time to come");
+}
+
+async fn segments_are_bounded_and_counted(data: &Path, registry: Registry, keys: &str) {
+    let (at, path) = (registry.address, "/registry/traces");
+    let segments = recorded(20.0);
+    unusable_segments_are_rejected(&registry, path, &segments).await;
     let mut sent = 0;
     for round in 1.. {
         for segment in &segments {
