--- a/src/bin/registry/config.rs
+++ b/src/bin/registry/config.rs
@@ -15,7 +15,8 @@
 /// so this is enough for 12,500 proxies. At 15.7 KiB each (measured, `cargo bench --bench registry`) they take 767 MiB.
 const DEFAULT_MAX_CONNECTIONS: usize = 50_000;
 /// Default of the longest body of a write, in bytes: 10,000 entries of 400 bytes, or a route table of 16,384 weights with
-/// names of 200. All bodies that are being read together take at most 64 MiB (`http/context.rs`).
+/// names of 200. All bodies of writes that are being read together take at most 64 MiB, or as much as the longest one
+/// where that is more; reports and recorded segments have budgets of their own (`http/context.rs`).
 const DEFAULT_MAX_BODY_BYTES: usize = 4 << 20;
 
 /// The command line. A flag has precedence over the same key of the configuration file. The comments of the fields are
--- a/src/bin/registry/lease/mod.rs
+++ b/src/bin/registry/lease/mod.rs
@@ -12,7 +12,7 @@
 //!
 //! Either end is written to the log as a release record. A restart ends no lease: each one on disk runs for its full
 //! TTL again. A registry whose disk was replaced knows no leases, and grants tokens above the earlier ones, because
-//! every start continues at the present time in microseconds (see `store::log`).
+//! every start continues at the present time in microseconds (see `store::recovery`).
 
 mod request;
 
@@ -46,7 +46,7 @@
 /// the caller.
 #[derive(Error, Clone, Debug, PartialEq, Eq)]
 pub(crate) enum LeaseError {
-    /// Another request holds the duty.
+    /// Another lease holds the duty.
     #[error("held by {}, for {remaining_ms} ms without renewal", lease.holder)]
     Held {
         /// The present lease.
--- a/src/bin/registry/store/error.rs
+++ b/src/bin/registry/store/error.rs
@@ -3,7 +3,8 @@
 use std::io;
 use thiserror::Error;
 
-/// Why a data directory can't be opened. Nothing in it has been changed then.
+/// Why a data directory can't be opened. With all but `Io` nothing that was in it has been changed then; after `Io` a
+/// torn write may have been cut off its log already.
 #[derive(Error, Debug)]
 pub(crate) enum OpenError {
     /// The operating system refuses access, or the disk fails.
--- a/src/bin/registry/store/log.rs
+++ b/src/bin/registry/store/log.rs
@@ -105,8 +105,10 @@
     /// Compaction: writes the state as the snapshot, then empties the log. Returns the snapshot's length in bytes.
     ///
     /// Failure: a crash in the middle. Before the rename the earlier snapshot and the log are as they were. Between the
-    /// rename and the cut the log still holds records that are in the snapshot too; a start passes over them, since
-    /// their versions are not newer than the snapshot's.
+    /// rename and the cut the log still holds records that are in the snapshot too. A start skips those with a version,
+    /// since it is not newer than the snapshot's. Leases, their releases and renewals of entries have no version and are
+    /// applied again, in their order. Leases so end in the same state; an entry's TTL does, unless a change with a
+    /// version set it after the last renewal in the log: then that renewal's TTL holds until the next write.
     pub(crate) fn compact(&mut self, state: &State) -> io::Result<u64> {
         let record = frame(&serde_json::to_vec(&Snapshot::of(state)).map_err(io::Error::other)?);
         let temporary = self.directory.join("snapshot.tmp");
--- a/src/bin/registry/store/recovery.rs
+++ b/src/bin/registry/store/recovery.rs
@@ -43,8 +43,8 @@
 impl Log {
     /// Opens a data directory, or creates it, and reads the state from it.
     ///
-    /// At most `max_tombstones` deletions are kept for deltas. Only after snapshot and log were read without an error is
-    /// anything in the directory changed.
+    /// At most `max_tombstones` deletions are kept for deltas. The directory and an empty log are created where they are
+    /// missing. Until snapshot and log were read without an error, nothing that was in the directory is changed.
     pub(crate) fn open(
         directory: &Path,
         sync: SyncMode,
--- a/src/bin/registry/store/state.rs
+++ b/src/bin/registry/store/state.rs
@@ -24,7 +24,8 @@
         State { catalog: Catalog::new(max_tombstones), token: 0, leases: BTreeMap::new(), routes: None }
     }
 
-    /// Applies a record. One that a snapshot holds already changes nothing.
+    /// Applies a record. One with a version that a snapshot holds already changes nothing; leases, their releases and
+    /// renewals of entries have no version and are applied again (see [`Log::compact`](super::Log::compact)).
     pub(crate) fn apply(&mut self, record: Record) {
         match record {
             Record::Update { service, update } => self.catalog.apply(&service, update),
--- a/src/bin/registry/writer/decide.rs
+++ b/src/bin/registry/writer/decide.rs
@@ -54,8 +54,11 @@
 impl Writer {
     /// Decides on every request, then on entries and leases whose TTL is over.
     ///
-    /// Renewals go first. Failure: a renewal that arrived in time but shares its batch with the end of the TTL would
-    /// find its entry or lease ended.
+    /// Renewals of entries go first. Failure: a renewal that arrived in time but shares its batch with the end of the
+    /// TTL would find its entry ended. A lease has no such grace: [`LeaseTable::request`] rejects its renewal once the
+    /// TTL is over, in whatever order.
+    ///
+    /// [`LeaseTable::request`]: crate::lease::LeaseTable::request
     pub(super) fn decide(&mut self, requests: Vec<WriteRequest>, now: Instant) -> Batch {
         let mut batch = Batch { route_decision: self.decide_route_tick(), ..Batch::default() };
         for request in requests {
--- a/src/bin/registry/writer/mod.rs
+++ b/src/bin/registry/writer/mod.rs
@@ -5,7 +5,7 @@
 //! 1. collect: the requests that have arrived become one batch, so that they share one `fsync` (group commit). With no
 //!    request the step ends after [`EXPIRY_INTERVAL`], so that TTLs and leases end in time.
 //! 2. decide (`decide.rs`): each request is checked against the state and becomes records, or an error. Entries and
-//!    leases whose TTL is over become records of their end. Renewals count before these ends.
+//!    leases whose TTL is over become records of their end. Renewals of entries count before these ends.
 //! 3. commit (`commit.rs`): the records are appended to the log and synced. Only then they are applied to the state,
 //!    where watches and lists see them. If the disk fails, all decisions of the batch are undone.
 //! 4. answer (`answer.rs`): each caller gets its reply, a success only if its records are on disk.
--- a/src/bin/registry/writer/request.rs
+++ b/src/bin/registry/writer/request.rs
@@ -9,7 +9,7 @@
 use thiserror::Error;
 use tokio::sync::oneshot;
 
-/// A write that is on disk.
+/// A write that was done. What it had to write is on disk; a renewal of a lease with the same TTL writes nothing.
 #[derive(Clone, Debug)]
 pub(crate) enum WriteOutcome {
     /// The entries are visible from this version of their service on.
--- a/src/route_table/config.rs
+++ b/src/route_table/config.rs
@@ -24,7 +24,8 @@
     /// Least time of a stage.
     #[serde(rename = "stand_ms")]
     pub min_stage_ms: u64,
-    /// Longest time for which a stage waits for reports or requests; then the rollout stops.
+    /// Longest time for which a stage waits for reports or requests; then the rollout stops. It counts from
+    /// the stage's last change of members, and again from the end of a pause or a start of the registry.
     #[serde(rename = "longest_ms")]
     pub stage_timeout_ms: u64,
     /// Least requests of either side in a comparison of shares.
--- a/src/route_table/rollout/mod.rs
+++ b/src/route_table/rollout/mod.rs
@@ -18,7 +18,7 @@
 //! | `done` | the stage `all` has passed every check | `StageReview::advance` |
 //! | `stopped` | proxies with the table do significantly worse than those without | `StageReview::stop_if_worse` |
 //! | `stopped` | a greater share of them drifts | `StageReview::stop_if_drifting` |
-//! | `stopped` | a check still waits after `longest_ms` in the stage | `StageReview::wait_or_time_out` |
+//! | `stopped` | a check still waits `stage_timeout_ms` after the counts of the stage began ([`StageProgress::since_ms`]) | `StageReview::wait_or_time_out` |
 //! | `stopped` | the fleet has revisions that this registry never issued, before any proxy got the table | `Control::decide_rollout` |
 
 mod review;
--- a/src/route_table/rollout/review.rs
+++ b/src/route_table/rollout/review.rs
@@ -57,7 +57,10 @@
         StageReview { config, rollout, progress, elapsed_ms, live: fleet.proxies.len(), members, others }
     }
 
-    /// Waits, or stops the rollout once the stage has taken longer than `longest_ms`.
+    /// Waits, or stops the rollout once [`Config::stage_timeout_ms`] have passed since
+    /// [`StageProgress::since_ms`].
+    ///
+    /// That time starts again when the members change, after a pause and after a restart of the registry.
     ///
     /// Failure: a condition that never comes true would block every later proposal. It shows as `waits` on
     /// the state page.
--- a/src/route_table/rollout/state.rs
+++ b/src/route_table/rollout/state.rs
@@ -6,8 +6,8 @@
 /// What was counted in the current stage. In memory only.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StageProgress {
-    /// When counting began: the start of the stage or of the registry, or the end of a pause of the registry
-    /// itself.
+    /// When counting began: the last change of the stage or its members, the start of the registry, or the
+    /// end of a pause of the registry itself.
     pub since_ms: u64,
     /// Counts reported by proxies that have the new table.
     pub with_table: OutcomeCounts,
@@ -60,7 +60,8 @@
     },
     /// The last stage has passed: the table is in force.
     Complete,
-    /// The rollout ends and the last good weights go out again.
+    /// The rollout ends. The last good weights go out again, unless no proxy was given the table yet or
+    /// proxies have revisions that this registry never issued.
     Stop {
         /// Why, as operators read it.
         reason: String,
