--- a/src/bin/registry/config.rs
+++ b/src/bin/registry/config.rs
@@ -118,7 +118,7 @@
                     .or(file.max_connections)
                     .unwrap_or(DEFAULT_MAX_CONNECTIONS)
                     .max(1),
-                header_timeout: Duration::from_millis(header_timeout_ms),
+                io_timeout: Duration::from_millis(header_timeout_ms),
                 max_body_bytes: file.max_body_bytes.unwrap_or(DEFAULT_MAX_BODY_BYTES),
             },
             routes: file.routes.filter(|routes| routes.service.enabled),
--- a/src/bin/registry/http/context.rs
+++ b/src/bin/registry/http/context.rs
@@ -20,7 +20,7 @@
     /// Most connections open at once; further ones are closed as soon as they are accepted.
     pub(crate) max_connections: usize,
     /// Time in which the head of a request, and then its body, must arrive, and in which an answer must be taken.
-    pub(crate) header_timeout: Duration,
+    pub(crate) io_timeout: Duration,
     /// Longest body of a write, in bytes.
     pub(crate) max_body_bytes: usize,
 }
@@ -43,7 +43,7 @@
     /// The context of a server with these limits. The budget of writes always fits one write of the longest kind.
     pub(super) fn new(shared: Arc<Shared>, writes: WriteQueue, limits: Limits) -> Context {
         let write_budget_kib = WRITE_BUDGET_KIB.max(limits.max_body_bytes / 1024 + 1);
-        let reader = |budget_kib, max_bytes| BodyReader::new(budget_kib, max_bytes, limits.header_timeout);
+        let reader = |budget_kib, max_bytes| BodyReader::new(budget_kib, max_bytes, limits.io_timeout);
         Context {
             shared,
             writes,
--- a/src/bin/registry/http/route_table.rs
+++ b/src/bin/registry/http/route_table.rs
@@ -10,9 +10,9 @@
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
 use load_balancer::replay::BadSegment;
-use load_balancer::route_table::{DriftPage, Proposal, Report, Revision, StatePage, Weights};
-use serde::{Deserialize, Serialize};
-use serde_json::{Value, json};
+use load_balancer::route_table::{Proposal, Report, Revision, Weights};
+use serde::Deserialize;
+use serde_json::json;
 use tokio::time::{Instant, timeout, timeout_at};
 
 /// The duty whose holder makes proposals.
@@ -57,23 +57,6 @@
     fence: Fence,
 }
 
-/// The page of the table's state. The order of fields is that of the JSON keys.
-#[derive(Serialize)]
-struct RoutesPage {
-    #[serde(flatten)]
-    state: StatePage,
-    #[serde(rename = "judging")]
-    evaluation: Option<Value>,
-}
-
-/// The page of the findings. The order of fields is that of the JSON keys.
-#[derive(Serialize)]
-struct FindingsPage {
-    version: u64,
-    #[serde(flatten)]
-    drift: DriftPage,
-}
-
 /// Passes a call to its handler.
 pub(super) async fn handle(
     path: RouteTablePath,
@@ -121,8 +104,7 @@
         if !query.is_empty() {
             return Err(Rejection::bad_request("name: is missing; without a query the state is answered"));
         }
-        let (state, evaluation) = service.state_page();
-        return json_page(&RoutesPage { state, evaluation });
+        return json_page(&service.state_page());
     };
     let deadline = Instant::now() + wait;
     let mut tables = service.tables.subscribe();
@@ -162,8 +144,7 @@
         // Any other version than the present one ends the wait: it is an older one, or one of an earlier start.
         let _ = timeout(wait, findings.wait_for(|version| *version != after)).await;
     }
-    let (version, drift) = service.drift_page();
-    json_page(&FindingsPage { version, drift })
+    json_page(&service.drift_page())
 }
 
 /// PUT `/registry/traces`: a recorded segment, as the proxy packed it.
--- a/src/bin/registry/http/server.rs
+++ b/src/bin/registry/http/server.rs
@@ -42,7 +42,7 @@
         };
         let context = context.clone();
         tokio::spawn(async move {
-            serve_connection(stream, peer, context, limits.header_timeout).await;
+            serve_connection(stream, peer, context, limits.io_timeout).await;
             drop(permit);
         });
     }
@@ -52,19 +52,14 @@
 ///
 /// Failure: a client that sends nothing, or takes nothing of its answer, would keep its connection for ever, and a few
 /// thousand of them would take every permit. The time bounds the head of each request, and each wait for a write.
-async fn serve_connection(
-    stream: TcpStream,
-    peer: SocketAddr,
-    context: Arc<Context>,
-    header_timeout: Duration,
-) {
+async fn serve_connection(stream: TcpStream, peer: SocketAddr, context: Arc<Context>, io_timeout: Duration) {
     let _ = stream.set_nodelay(true);
     let mut stream = TimeoutStream::new(stream);
-    stream.set_write_timeout(Some(header_timeout));
+    stream.set_write_timeout(Some(io_timeout));
     let service = service_fn(move |request| handle(request, context.clone()));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(header_timeout)
+        .header_read_timeout(io_timeout)
         .serve_connection(TokioIo::new(Box::pin(stream)), service);
     if let Err(e) = connection.await {
         debug!(%peer, error = %e, "connection ended");
--- a/src/bin/registry/lease/mod.rs
+++ b/src/bin/registry/lease/mod.rs
@@ -162,7 +162,7 @@
         duties.into_iter().map(LeaseChange::Release).collect()
     }
 
-    /// Moves the end of every lease back by the time in which the registry stood still. During that time nobody could
+    /// Moves the end of every lease back by the time in which the registry was stalled. During that time nobody could
     /// renew; no holder relies on the end of its lease, so a later end is safe.
     pub(crate) fn extend(&mut self, by: Duration) {
         for active in self.by_duty.values_mut() {
--- a/src/bin/registry/main.rs
+++ b/src/bin/registry/main.rs
@@ -4,6 +4,9 @@
 //! A start reads the configuration (`config`), opens the data directory (`store`), starts the route table
 //! (`route_table`) and the writer thread (`writer`), then serves HTTP (`http`) until SIGTERM. Every write that was answered
 //! as stored is on disk at any time, so a stop needs no further step and a kill loses nothing.
+//!
+//! Comments state a guard in one form: "Failure" is what would go wrong without it, "How it shows" what operators or
+//! clients would see then, and "Why the guard holds" why the code excludes it.
 
 #![forbid(unsafe_code)]
 
@@ -23,7 +26,7 @@
 use std::process::ExitCode;
 use std::sync::{Arc, mpsc};
 use std::time::Instant;
-use store::{Log, State};
+use store::{Log, OpenedStore, State};
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
 use tracing::{error, info, warn};
@@ -80,8 +83,9 @@
 /// Reads the state from the data directory, and writes a snapshot if one is due.
 fn open_data(config: &Config) -> Result<(Log, State), StartError> {
     let started = Instant::now();
-    let (mut log, state, recovery) = Log::open(&config.data, config.sync, config.max_tombstones)
-        .map_err(|error| StartError::Data { path: config.data.clone(), error })?;
+    let OpenedStore { mut log, state, recovery } =
+        Log::open(&config.data, config.sync, config.max_tombstones)
+            .map_err(|error| StartError::Data { path: config.data.clone(), error })?;
     if recovery.cut_bytes > 0 {
         // The text is kept: operators look for it (docs/registry.md).
         warn!(
--- a/src/bin/registry/route_table/mod.rs
+++ b/src/bin/registry/route_table/mod.rs
@@ -13,6 +13,7 @@
 mod decisions;
 mod evaluation;
 mod page_cache;
+mod pages;
 mod segment_error;
 mod service;
 mod trace_index;
--- a/src/bin/registry/route_table/service.rs
+++ b/src/bin/registry/route_table/service.rs
@@ -5,16 +5,17 @@
 use super::decisions::Decisions;
 use super::evaluation::Evaluator;
 use super::page_cache::PageCache;
+use super::pages::{FindingsPage, RoutesPage};
 use super::traces::Traces;
 use crate::error::StartError;
 use crate::store::{MAX_RECORD_BYTES, Record, State};
 use bytes::Bytes;
 use load_balancer::replay::{Job, Listed};
 use load_balancer::route_table::{
-    AcceptedProposal, Backend, Control, DriftPage, Effect, Finding, Proposal, ProposalError, Report,
-    ReportError, Revision, RouteRecord, StatePage, Table,
+    AcceptedProposal, Backend, Control, Effect, Finding, Proposal, ProposalError, Report, ReportError,
+    Revision, RouteRecord, Table,
 };
-use serde_json::{Value, json};
+use serde_json::json;
 use std::path::Path;
 use std::sync::{Arc, Mutex, MutexGuard};
 use thiserror::Error;
@@ -208,14 +209,15 @@
     }
 
     /// The state of the table and of the present evaluation, for operators.
-    pub(crate) fn state_page(&self) -> (StatePage, Option<Value>) {
-        (self.decisions().control.state_page(), self.evaluator.page())
+    pub(crate) fn state_page(&self) -> RoutesPage {
+        RoutesPage { state: self.decisions().control.state_page(), evaluation: self.evaluator.page() }
     }
 
     /// The version of the findings, and the drift of the fleet, for operators.
-    pub(crate) fn drift_page(&self) -> (u64, DriftPage) {
+    pub(crate) fn drift_page(&self) -> FindingsPage {
         let decisions = self.decisions();
-        (*self.findings.borrow(), decisions.control.drift_page(self.now_ms()))
+        let version = *self.findings.borrow();
+        FindingsPage { version, drift: decisions.control.drift_page(self.now_ms()) }
     }
 }
 
--- a/src/bin/registry/store/mod.rs
+++ b/src/bin/registry/store/mod.rs
@@ -22,4 +22,5 @@
 pub(crate) use error::OpenError;
 pub(crate) use log::{Log, MAX_RECORD_BYTES, SyncMode};
 pub(crate) use record::Record;
+pub(crate) use recovery::OpenedStore;
 pub(crate) use state::State;
--- a/src/bin/registry/store/recovery.rs
+++ b/src/bin/registry/store/recovery.rs
@@ -40,6 +40,16 @@
     pub(crate) cut_bytes: u64,
 }
 
+/// A data directory that was opened.
+pub(crate) struct OpenedStore {
+    /// Its log, to be appended to.
+    pub(crate) log: Log,
+    /// The state that was read from it.
+    pub(crate) state: State,
+    /// What was found in it.
+    pub(crate) recovery: RecoveryReport,
+}
+
 impl Log {
     /// Opens a data directory, or creates it, and reads the state from it.
     ///
@@ -49,7 +59,7 @@
         directory: &Path,
         sync: SyncMode,
         max_tombstones: usize,
-    ) -> Result<(Log, State, RecoveryReport), OpenError> {
+    ) -> Result<OpenedStore, OpenError> {
         fs::create_dir_all(directory)?;
         let snapshot = read_snapshot(directory)?;
         let mut report = RecoveryReport {
@@ -68,7 +78,7 @@
         let start = first_version(&state, report.cut_bytes);
         log.append(&[Record::Start(start)])?;
         state.start(start);
-        Ok((log, state, report))
+        Ok(OpenedStore { log, state, recovery: report })
     }
 }
 
--- a/src/bin/registry/store/snapshot.rs
+++ b/src/bin/registry/store/snapshot.rs
@@ -5,7 +5,7 @@
 
 use super::State;
 use crate::lease::Lease;
-use load_balancer::catalog::{Catalog, CatalogSnapshot, Change, SavedService, ServiceName};
+use load_balancer::catalog::{Catalog, CatalogSnapshot, Change, ServiceName, ServiceSnapshot};
 use load_balancer::route_table::RouteRecord;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
@@ -43,7 +43,7 @@
     /// The newest version of any service that was dropped.
     dropped: u64,
     /// Every named service.
-    list: Vec<SavedService>,
+    list: Vec<ServiceSnapshot>,
 }
 
 impl Snapshot {
@@ -71,7 +71,7 @@
     /// The state that the snapshot was made of, without the version of the last start.
     pub(super) fn restore(self, max_tombstones: usize) -> State {
         let unnamed =
-            SavedService { name: ServiceName::default(), horizon: self.horizon, changes: self.changes };
+            ServiceSnapshot { name: ServiceName::default(), horizon: self.horizon, changes: self.changes };
         // A snapshot from before there were named services has one horizon, which holds for every name.
         let Services { horizon, dropped, mut list } =
             self.services.unwrap_or(Services { horizon: self.horizon, dropped: 0, list: Vec::new() });
--- a/src/bin/registry/writer/deadlines.rs
+++ b/src/bin/registry/writer/deadlines.rs
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Moves every deadline back by the time in which the registry stood still, since nobody could renew.
+    /// Moves every deadline back by the time in which the registry was stalled, since nobody could renew.
     pub(super) fn extend(&mut self, by: Duration) {
         for deadline in self.by_id.values_mut().chain(&mut self.earliest) {
             *deadline += by;
--- a/src/bin/registry/writer/mod.rs
+++ b/src/bin/registry/writer/mod.rs
@@ -38,7 +38,7 @@
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(50);
 /// Most requests that share one `fsync`.
 const MAX_BATCH_REQUESTS: usize = 4096;
-/// Time between two batches from which on the registry counts as having stood still.
+/// Time between two batches from which on the registry counts as stalled.
 const MIN_STALL: Duration = Duration::from_secs(1);
 
 /// The serving side's end of the channel to the writer thread.
--- a/src/catalog/history.rs
+++ b/src/catalog/history.rs
@@ -9,20 +9,29 @@
 /// Starts whose gaps are remembered; a watch from before the oldest of them gets the full list.
 pub const MAX_GAPS: usize = 64;
 
+/// Versions that were never given out in this history: those between the two.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct Gap {
+    /// The last version before a start.
+    pub(super) after: u64,
+    /// The start's version.
+    pub(super) until: u64,
+}
+
 /// The versions that were given out in this history.
 #[derive(Default)]
 pub(super) struct History {
     newest: u64,
     last_start: u64,
-    /// Pairs of the last version before a start and the start's: versions between them were never given out.
-    gaps: VecDeque<(u64, u64)>,
+    /// The gaps that are remembered, oldest first.
+    gaps: VecDeque<Gap>,
     /// The end of the newest gap that is no longer remembered.
     horizon: u64,
 }
 
 impl History {
     /// The history of a snapshot, without the version of the last start.
-    pub(super) fn restored(newest: u64, gaps: VecDeque<(u64, u64)>, horizon: u64) -> History {
+    pub(super) fn restored(newest: u64, gaps: VecDeque<Gap>, horizon: u64) -> History {
         History { newest, last_start: 0, gaps, horizon }
     }
 
@@ -42,13 +51,13 @@
     }
 
     /// The gaps that are remembered, oldest first.
-    pub(super) fn gaps(&self) -> &VecDeque<(u64, u64)> {
+    pub(super) fn gaps(&self) -> &VecDeque<Gap> {
         &self.gaps
     }
 
     /// Whether a version lies in a remembered gap, so that it is of a history that was lost.
     pub(super) fn is_in_gap(&self, version: u64) -> bool {
-        self.gaps.iter().any(|&(last, next)| last < version && version < next)
+        self.gaps.iter().any(|gap| gap.after < version && version < gap.until)
     }
 
     /// Advances to a change's version. False, and without effect, if it is not newer than all before it.
@@ -66,9 +75,9 @@
         if version <= self.newest {
             return;
         }
-        self.gaps.push_back((self.newest, version));
+        self.gaps.push_back(Gap { after: self.newest, until: version });
         if self.gaps.len() > MAX_GAPS {
-            let oldest_end = self.gaps.pop_front().map_or(0, |(_, end)| end);
+            let oldest_end = self.gaps.pop_front().map_or(0, |gap| gap.until);
             self.horizon = self.horizon.max(oldest_end);
         }
         self.newest = version;
--- a/src/catalog/mod.rs
+++ b/src/catalog/mod.rs
@@ -24,7 +24,7 @@
 pub use name::{ServiceName, ServiceNameError};
 pub use page::Page;
 pub use page_cache::PageCache;
-pub use snapshot::{CatalogSnapshot, SavedService};
+pub use snapshot::{CatalogSnapshot, ServiceSnapshot};
 
 use history::History;
 use service::Service;
--- a/src/client/discovery/poll.rs
+++ b/src/client/discovery/poll.rs
@@ -26,7 +26,7 @@
 const PATH: &str = "/registry/instances";
 /// The longest accepted list, in bytes: 59,000 backends with names of 20 bytes, 9,300 with the longest names, zones and
 /// classes (computed). A longer one would hold a large part of a proxy's memory while it is parsed.
-const MAX_LIST: usize = 8 << 20;
+const MAX_LIST_BYTES: usize = 8 << 20;
 
 /// What one poll asks for, and where.
 #[derive(Clone, Copy)]
@@ -76,7 +76,7 @@
             path: &path,
             body: Bytes::new(),
             wait,
-            max_answer: MAX_LIST,
+            max_answer: MAX_LIST_BYTES,
         };
         let body = call(&mut connection, self.address, list_call, &self.settings.traffic).await?;
         Ok(PollAnswer { page: serde_json::from_slice(&body)?, connection })
--- a/src/client/discovery/watch.rs
+++ b/src/client/discovery/watch.rs
@@ -107,7 +107,7 @@
         let version = page.version;
         let ParsedEntries { entries, unreadable } = page.into_entries();
         if unreadable > 0 && kind == ListKind::Delta {
-            // An update that was passed over is sent again only as a part of the full list.
+            // An update that was skipped is sent again only as a part of the full list.
             self.state.resync();
         }
         if has_content {
--- a/src/client/membership/registration.rs
+++ b/src/client/membership/registration.rs
@@ -25,7 +25,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// The longest accepted list, in bytes: 33,500 proxies with the longest names and zones, 64,500 with short ones
 /// (computed). It is held while one answer is parsed.
-const MAX_LIST: usize = 8 << 20;
+const MAX_LIST_BYTES: usize = 8 << 20;
 /// The registry's path for endpoint lists.
 const PATH: &str = "/registry/instances";
 
@@ -110,7 +110,7 @@
         path: PATH,
         body,
         wait: CALL_TIMEOUT,
-        max_answer: MAX_LIST,
+        max_answer: MAX_LIST_BYTES,
     };
     registry::call(&mut None, registry, registration, &membership.control_traffic).await
 }
--- a/src/client/membership/settings.rs
+++ b/src/client/membership/settings.rs
@@ -1,6 +1,6 @@
 //! The membership's settings. Their names are the keys of the configuration.
 
-use super::swim::{MAX_NAME, Timing};
+use super::swim::{MAX_NAME_BYTES, Timing};
 use crate::client::registry::MAX_REGISTRIES;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -39,8 +39,8 @@
     /// The setting that is out of bounds and its bounds, if one is.
     pub fn invalid(&self) -> Option<String> {
         let name_length = self.name.as_ref().map_or(1, String::len);
-        if !(1..=MAX_NAME).contains(&name_length) {
-            return Some(format!("name: from 1 to {MAX_NAME} bytes"));
+        if !(1..=MAX_NAME_BYTES).contains(&name_length) {
+            return Some(format!("name: from 1 to {MAX_NAME_BYTES} bytes"));
         }
         if self.registries.len() > MAX_REGISTRIES {
             return Some(format!("registries: at most {MAX_REGISTRIES}"));
--- a/src/client/membership/swim/mod.rs
+++ b/src/client/membership/swim/mod.rs
@@ -29,7 +29,7 @@
 pub const MAX_DATAGRAM: usize = 1400;
 
 /// Longest name, as for a DNS label.
-pub const MAX_NAME: usize = 63;
+pub const MAX_NAME_BYTES: usize = 63;
 /// The most members, dead ones included, with which a new one that announces itself is still accepted.
 ///
 /// Failure: a stranger announces made-up members and fills the memory. So many members with short names take 11 MB
@@ -76,7 +76,8 @@
         let body = unframe(datagram, self.cluster_hash)?;
         let header = PostcardCodec.decode_header(body).map_err(|_| DropReason::Malformed)?;
         let sender: MemberId = header.src;
-        if sender.name.is_empty() || sender.name.len() > MAX_NAME || sender.zone.len() > MAX_NAME {
+        if sender.name.is_empty() || sender.name.len() > MAX_NAME_BYTES || sender.zone.len() > MAX_NAME_BYTES
+        {
             return Err(DropReason::Malformed);
         }
         if self.foca.iter_membership_state().len() >= MAX_MEMBERS && !self.knows(sender.addr) {
--- a/src/client/route_table/report.rs
+++ b/src/client/route_table/report.rs
@@ -51,7 +51,7 @@
     }
 
     /// Begins a window.
-    fn restart_window(&mut self, totals: RequestTotals) {
+    fn begin_window(&mut self, totals: RequestTotals) {
         self.left_out.clear();
         self.window_began = Instant::now();
         self.totals_before = totals;
@@ -121,7 +121,7 @@
     /// Begins a window without a report for the one so far: its calls followed another table.
     pub(super) fn restart_window(&self) {
         self.proxy.drain_calls();
-        self.reports.borrow_mut().restart_window(self.proxy.totals());
+        self.reports.borrow_mut().begin_window(self.proxy.totals());
     }
 
     /// The report of the window so far; the next window begins.
@@ -142,7 +142,7 @@
         reports.next_member = reports.next_member.wrapping_add(MAX_WITNESSED);
         let window_ms = reports.window_began.elapsed().as_millis() as u64;
         let before = reports.totals_before;
-        reports.restart_window(totals);
+        reports.begin_window(totals);
         Report {
             name: self.identity.name().to_string(),
             generation: self.identity.generation(),
--- a/src/client/route_table/settings.rs
+++ b/src/client/route_table/settings.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 /// Longest name, in bytes: that of a member.
-const MAX_NAME: usize = 63;
+const MAX_NAME_BYTES: usize = 63;
 /// Shortest interval between reports, ms.
 const MIN_REPORT_MS: u64 = 100;
 /// Longest interval between reports, ms.
@@ -60,7 +60,7 @@
     };
     // The name is part of the path of requests to the registry.
     let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"._:-".contains(&b);
-    match (1..=MAX_NAME).contains(&name.len()) && name.bytes().all(is_allowed) {
+    match (1..=MAX_NAME_BYTES).contains(&name.len()) && name.bytes().all(is_allowed) {
         true => Ok(name),
         false => Err(
             "name: from 1 to 63 letters, digits and . _ : - only; set it here if membership.name has others",
--- a/src/client/route_table/table.rs
+++ b/src/client/route_table/table.rs
@@ -45,31 +45,66 @@
         "table {revision} is spoilt: its digest is {stated}, its weights give {computed}; revision {current} stays in \
          force. Read it at the registry, and propose it again"
     )]
-    Digest { revision: Revision, stated: String, computed: String, current: Revision },
+    Digest {
+        /// The revision of the refused table.
+        revision: Revision,
+        /// The digest that the table states.
+        stated: String,
+        /// The digest that its weights give.
+        computed: String,
+        /// The revision that stays in force.
+        current: Revision,
+    },
     /// A weight is negative or not finite.
     #[error(
         "table {revision} is spoilt: {kind} {name} has weight {weight}, which must be 0 or more and finite; revision \
          {current} stays in force. Propose a sound table"
     )]
-    Weight { revision: Revision, kind: &'static str, name: String, weight: f64, current: Revision },
+    Weight {
+        /// The revision of the refused table.
+        revision: Revision,
+        /// What the weight is of, such as a backend or a class.
+        kind: &'static str,
+        /// The name that the weight is of.
+        name: String,
+        /// The weight.
+        weight: f64,
+        /// The revision that stays in force.
+        current: Revision,
+    },
     /// It has more than [`MAX_WEIGHTS`] weights.
     #[error(
         "table {revision} is spoilt: {count} weights are more than {MAX_WEIGHTS}; revision {current} stays in force. \
          Propose a smaller table"
     )]
-    Size { revision: Revision, count: usize, current: Revision },
+    Size {
+        /// The revision of the refused table.
+        revision: Revision,
+        /// The number of its weights.
+        count: usize,
+        /// The revision that stays in force.
+        current: Revision,
+    },
     /// Its revision is older than the one in force.
     #[error(
         "the registry is behind: it gives revision {revision}, revision {current} is in force here and stays. It has \
          lost its state, or is another registry: see GET /registry/drift, and propose the wanted weights there anew"
     )]
-    Behind { revision: Revision, current: Revision },
+    Behind {
+        /// The revision of the refused table.
+        revision: Revision,
+        /// The revision that stays in force.
+        current: Revision,
+    },
     /// It has the revision in force with other weights.
     #[error(
         "the registry has another table under revision {current} than the one in force here, which stays. It has lost \
          its state, or is another registry: propose the wanted weights there anew"
     )]
-    Conflict { current: Revision },
+    Conflict {
+        /// The revision of both tables.
+        current: Revision,
+    },
 }
 
 impl TableResponse {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -79,6 +79,7 @@
 //! balancer; no decision depends on it.
 
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
 mod balancer;
 pub mod catalog;
--- a/src/route_table/drift/checks.rs
+++ b/src/route_table/drift/checks.rs
@@ -12,7 +12,8 @@
 use super::report_order::ReportOutcome;
 use super::weight_test::WeightTest;
 
-/// Windows of silence, besides `raise`, before `silent` and `gone` may turn into each other.
+/// Windows of silence, besides [`Config::raise_after_windows`], before `silent` and `gone` may turn into each
+/// other.
 const EXTRA_SWITCH_WINDOWS: u32 = 2;
 
 /// What a report shows of the proxy's table.
@@ -83,7 +84,7 @@
 
 impl ProxyState {
     /// Checks a report that counts against the target table.
-    pub fn check_report(
+    pub fn check_against_target(
         &mut self,
         now_ms: u64,
         report: &Report,
@@ -137,8 +138,8 @@
         self.deviation(FindingKind::Effect).count_window(now_ms, observation, config);
     }
 
-    /// Marks a proxy that has been silent for longer than lost reports explain: `silent` if its peers hold it
-    /// for alive, else `gone`. Its other deviations are dropped, since nobody knows them any more.
+    /// Marks a proxy that has been silent for longer than lost reports explain: `silent` if its peers consider
+    /// it alive, else `gone`. Its other deviations are dropped, since nobody knows them any more.
     pub fn mark_lost(&mut self, now_ms: u64, silent_ms: u64, config: &Config) {
         let (kind, other, peers) = if self.counts_as_alive(now_ms, config) {
             (FindingKind::Silent, FindingKind::Gone, "peers hold it for alive")
@@ -157,7 +158,7 @@
     }
 
     /// Whether a silent proxy counts as alive, with hysteresis: once `silent` or `gone` is raised, the peers
-    /// must hold the other view for some windows. Failure: membership that wavers would raise and clear the
+    /// must report the other view for some windows. Failure: membership that wavers would raise and clear the
     /// two in turn.
     fn counts_as_alive(&self, now_ms: u64, config: &Config) -> bool {
         let switch_ms = u64::from(config.raise_after_windows + EXTRA_SWITCH_WINDOWS) * config.report_ms;
@@ -172,8 +173,8 @@
         }
     }
 
-    /// Raises `flapping` after `flaps` starts and returns within `flap_ms`; ends it when at most half as many
-    /// remain.
+    /// Raises `flapping` after [`Config::flap_threshold`] starts and returns within
+    /// [`Config::flap_window_ms`]; ends it when at most half as many remain.
     pub fn check_flapping(&mut self, now_ms: u64, config: &Config) {
         let recent =
             self.restarts.iter().filter(|at_ms| now_ms.saturating_sub(**at_ms) <= config.flap_window_ms);
--- a/src/route_table/drift/deviation.rs
+++ b/src/route_table/drift/deviation.rs
@@ -14,7 +14,7 @@
 /// Bad and good windows of one kind, in a row.
 #[derive(Clone, Debug, Default)]
 pub(super) struct DeviationStreak {
-    /// Whether the deviation stands: a finding is, or is to be, raised of it.
+    /// Whether the deviation holds: a finding is, or is to be, raised of it.
     pub active: bool,
     /// Bad windows in a row.
     pub bad: u32,
@@ -29,8 +29,9 @@
 }
 
 impl DeviationStreak {
-    /// Counts a window, bad if there is an observation. `raise` bad windows activate the deviation and
-    /// `clear` good ones end it, so that single windows neither raise nor clear.
+    /// Counts a window, bad if there is an observation. [`Config::raise_after_windows`] bad windows
+    /// activate the deviation and [`Config::clear_after_windows`] good ones end it, so that single windows
+    /// neither raise nor clear.
     pub fn count_window(&mut self, now_ms: u64, observation: Option<Observation>, config: &Config) {
         match observation {
             Some(Observation { cause, evidence }) => {
--- a/src/route_table/drift/evaluation.rs
+++ b/src/route_table/drift/evaluation.rs
@@ -14,7 +14,7 @@
 /// Least number of proxies of a finding of the fleet, which must also be a tenth of those that report.
 const MIN_FLEET_FINDING: usize = 3;
 /// The key of the detector's own finding.
-const BLIND_KEY: FindingKey = ((FindingKind::Blind, 0), None);
+const BLIND_KEY: FindingKey = FindingKey::of_fleet(Cause { kind: FindingKind::Blind, revision: 0 });
 
 impl Drift {
     /// Looks for silent and flapping proxies, and raises and clears findings by all deviations. Does nothing
@@ -47,7 +47,7 @@
         reporting.filter(|proxy| proxy.has_or_nearly_has(FindingKind::Ahead)).count()
     }
 
-    /// The deviations that stand, by name of the proxy, and by cause the number of proxies about to deviate.
+    /// The deviations that hold now, by name of the proxy, and by cause the number of proxies about to deviate.
     fn collect_deviations(
         &mut self,
         now_ms: u64,
@@ -65,7 +65,7 @@
             } else if silent_ms + config.report_ms > silence_threshold_ms {
                 let alive = proxy.is_alive_per_peers(now_ms, config);
                 let kind = if alive { FindingKind::Silent } else { FindingKind::Gone };
-                *impending.entry((kind, 0)).or_default() += usize::from(!proxy.has(kind));
+                *impending.entry(Cause { kind, revision: 0 }).or_default() += usize::from(!proxy.has(kind));
             }
             proxy.check_flapping(now_ms, config);
             proxy.collect_deviations(name, &mut deviations, &mut impending);
@@ -136,7 +136,7 @@
 }
 
 impl ProxyState {
-    /// Adds the deviations of this proxy that stand, and counts those that are about to. Nothing else is said
+    /// Adds the deviations of this proxy that hold now, and counts those that are about to. Nothing else is said
     /// of a proxy that flaps: each of its starts would raise and clear other findings.
     fn collect_deviations(
         &self,
@@ -146,7 +146,7 @@
     ) {
         for kind in FindingKind::OF_PROXIES {
             let streak = &self.deviations[kind as usize];
-            let cause = (kind, streak.cause);
+            let cause = Cause { kind, revision: streak.cause };
             if streak.active {
                 let proxy = name.to_string();
                 let evidence = streak.evidence.clone();
--- a/src/route_table/drift/grouping.rs
+++ b/src/route_table/drift/grouping.rs
@@ -8,15 +8,34 @@
 /// Proxies that a finding names.
 const MAX_EXAMPLES: usize = 8;
 
-/// A kind of deviation and the revision that it comes from.
-pub(super) type Cause = (FindingKind, Revision);
+/// What deviations are grouped by.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct Cause {
+    /// The kind of deviation.
+    pub kind: FindingKind,
+    /// The revision that it comes from; 0 where the kind has none.
+    pub revision: Revision,
+}
+
+/// What a raised finding is known by.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct FindingKey {
+    /// Its cause.
+    pub cause: Cause,
+    /// Its proxy; none for a finding of the fleet.
+    pub proxy: Option<String>,
+}
 
-/// A cause and the proxy; none for a finding of the fleet.
-pub(super) type FindingKey = (Cause, Option<String>);
+impl FindingKey {
+    /// The key of the fleet's finding with this cause.
+    pub const fn of_fleet(cause: Cause) -> Self {
+        FindingKey { cause, proxy: None }
+    }
+}
 
-/// A deviation of a proxy that stands.
+/// A deviation of a proxy that holds now.
 pub(super) struct Deviation {
-    /// Kind and revision.
+    /// What it is grouped by.
     pub cause: Cause,
     /// The proxy's name.
     pub proxy: String,
@@ -34,7 +53,7 @@
 }
 
 impl RaisedFindings {
-    /// Raises and clears findings by the deviations that stand now.
+    /// Raises and clears findings by the deviations that hold now.
     ///
     /// `impending` are further proxies about to deviate by a cause: counted with the others,
     /// `fleet_threshold` of them make one finding of the fleet. Failure: a fault that reaches proxies window
@@ -57,8 +76,7 @@
                 self.findings.insert(key, Finding { raised_ms, since_ms, ..newer });
                 continue;
             }
-            let (cause, proxy) = key;
-            if proxy.is_some() && current.contains_key(&(cause, None)) {
+            if key.proxy.is_some() && current.contains_key(&FindingKey::of_fleet(key.cause)) {
                 raised.evidence = format!("part of one finding of the fleet: {}", raised.evidence);
             }
             effects.push(Effect::Cleared(raised));
@@ -85,14 +103,15 @@
         let mut current = BTreeMap::new();
         for (cause, group) in by_cause {
             let count = group.len() + impending.get(&cause).copied().unwrap_or(0);
-            if self.findings.contains_key(&(cause, None)) || count >= fleet_threshold {
-                current.insert((cause, None), finding(now_ms, cause.0, None, &group));
+            let fleet_key = FindingKey::of_fleet(cause);
+            if self.findings.contains_key(&fleet_key) || count >= fleet_threshold {
+                current.insert(fleet_key, finding(now_ms, cause.kind, None, &group));
                 continue;
             }
             for deviation in group {
                 let proxy = Some(deviation.proxy.clone());
-                let found = finding(now_ms, cause.0, proxy.clone(), &[deviation]);
-                current.insert((cause, proxy), found);
+                let found = finding(now_ms, cause.kind, proxy.clone(), &[deviation]);
+                current.insert(FindingKey { cause, proxy }, found);
             }
         }
         current
--- a/src/route_table/drift/mod.rs
+++ b/src/route_table/drift/mod.rs
@@ -7,7 +7,7 @@
 //! or clears findings.
 //!
 //! When a proxy is reported as lost: after `silence_threshold_ms` without a report (`missed_ms` of the page:
-//! a number of windows that lost reports do not explain), as `silent` if its peers hold it for alive and
+//! a number of windows that lost reports do not explain), as `silent` if its peers consider it alive and
 //! `gone` if not. Not in the grace time (after a start of the registry, a pause of its own, or blindness),
 //! and not while it is blind.
 
--- a/src/route_table/drift/proxy_state.rs
+++ b/src/route_table/drift/proxy_state.rs
@@ -45,7 +45,7 @@
     pub received_ms: u64,
 }
 
-/// What the peers say of a proxy that they hold for alive.
+/// What the peers say of a proxy that they consider alive.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AlivePerPeers {
     /// When a peer last said so.
@@ -63,7 +63,7 @@
     pub known_since_ms: u64,
     /// Since when it could have its present target table: the grace of `lagging` counts from here.
     pub target_since_ms: u64,
-    /// What its peers say of it, if they hold it for alive.
+    /// What its peers say of it, if they consider it alive.
     pub alive_per_peers: Option<AlivePerPeers>,
     /// An older process that reports under the same name.
     pub older_process: Option<OlderProcess>,
@@ -75,8 +75,16 @@
     pub recent: RecentCounts,
     /// One streak for each kind, indexed by it.
     pub deviations: [DeviationStreak; FindingKind::COUNT],
-    /// Window in which it last reported, and its reports in that window.
-    reports_in_window: (u64, u32),
+    report_rate: ReportRate,
+}
+
+/// How often a proxy reports.
+#[derive(Clone, Copy, Debug, Default)]
+struct ReportRate {
+    /// Number of the window in which it last reported: the time over the length of a window.
+    window: u64,
+    /// Its reports in that window.
+    count: u32,
 }
 
 impl ProxyState {
@@ -92,7 +100,7 @@
             weight_test: WeightTest::default(),
             recent: RecentCounts::default(),
             deviations: Default::default(),
-            reports_in_window: (0, 0),
+            report_rate: ReportRate::default(),
         }
     }
 
@@ -102,9 +110,9 @@
     /// The report is refused with status 429.
     pub fn exceeds_report_rate(&mut self, now_ms: u64, config: &Config) -> bool {
         let window = now_ms / config.report_ms;
-        let (last_window, count) = self.reports_in_window;
-        let count = if last_window == window { count + 1 } else { 1 };
-        self.reports_in_window = (window, count);
+        let last = self.report_rate;
+        let count = if last.window == window { last.count + 1 } else { 1 };
+        self.report_rate = ReportRate { window, count };
         count > MAX_REPORTS_PER_WINDOW
     }
 
@@ -113,12 +121,12 @@
         &mut self.deviations[kind as usize]
     }
 
-    /// Whether a deviation of that kind stands.
+    /// Whether a deviation of that kind holds.
     pub fn has(&self, kind: FindingKind) -> bool {
         self.deviations[kind as usize].active
     }
 
-    /// Whether a deviation of that kind stands or was seen in two windows in a row.
+    /// Whether a deviation of that kind holds or was seen in two windows in a row.
     pub fn has_or_nearly_has(&self, kind: FindingKind) -> bool {
         self.has(kind) || self.deviations[kind as usize].bad > 1
     }
@@ -133,7 +141,7 @@
         self.received_ms().is_some_and(|received_ms| now_ms.saturating_sub(received_ms) <= limit_ms)
     }
 
-    /// Takes what a peer says of it. A pause of more than `break_ms` between two peers' words starts
+    /// Takes what a peer says of it. A pause of more than `break_ms` between two peers' reports starts
     /// `since_ms` again.
     pub fn receive_peer_view(&mut self, now_ms: u64, alive: bool, break_ms: u64) {
         let since_ms = match self.alive_per_peers {
@@ -143,7 +151,7 @@
         self.alive_per_peers = alive.then_some(AlivePerPeers { last_ms: now_ms, since_ms });
     }
 
-    /// Whether its peers hold it for alive, by their reports of the last two windows.
+    /// Whether its peers consider it alive, by their reports of the last two windows.
     pub fn is_alive_per_peers(&self, now_ms: u64, config: &Config) -> bool {
         self.alive_per_peers.is_some_and(|view| now_ms.saturating_sub(view.last_ms) <= 2 * config.report_ms)
     }
--- a/src/route_table/drift/receipt.rs
+++ b/src/route_table/drift/receipt.rs
@@ -2,7 +2,7 @@
 //! peers.
 
 use super::super::backend_list::BackendList;
-use super::super::report_check::check_report;
+use super::super::report_check::check_limits;
 use super::super::{Config, OutcomeCounts, Report, ReportError, RouteRecord};
 use super::proxy_state::ProxyState;
 use super::{Drift, ReportOutcome};
@@ -23,7 +23,7 @@
         backends: &BackendList,
         config: &Config,
     ) -> Result<ReportOutcome, ReportError> {
-        check_report(&report, now_ms, config)?;
+        check_limits(&report, now_ms, config)?;
         self.ensure_capacity(now_ms, &report, config)?;
         let silence_threshold_ms = self.report_loss.silence_threshold_ms(config);
         let Some(proxy) = self.proxies.get_mut(&report.name) else { return Ok(ReportOutcome::Ignored) };
@@ -43,7 +43,7 @@
         }
         self.highest_revision = self.highest_revision.max(report.revision);
         proxy.recent.add(now_ms / config.report_ms, &OutcomeCounts::of_report(&report));
-        proxy.check_report(now_ms, &report, place.outcome, record, backends, config);
+        proxy.check_against_target(now_ms, &report, place.outcome, record, backends, config);
         self.backend_counts = other_counts + proxy.weight_test.len();
         self.receive_peer_views(now_ms, &report, config);
         Ok(place.outcome)
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Adds the proxy of a report if it is unknown. Past `names` proxies, one that only peers reported is
-    /// dropped for it.
+    /// Adds the proxy of a report if it is unknown. Past [`Config::max_proxies`], one that only
+    /// peers reported is dropped for it.
     fn ensure_capacity(&mut self, now_ms: u64, report: &Report, config: &Config) -> Result<(), ReportError> {
         if self.proxies.contains_key(&report.name) {
             return Ok(());
--- a/src/route_table/drift/weight_test.rs
+++ b/src/route_table/drift/weight_test.rs
@@ -23,8 +23,15 @@
     list_version: u64,
     windows: u32,
     calls: u64,
-    /// By backend: calls, and the windows in which it could get its full part.
-    backends: BTreeMap<String, (u64, u32)>,
+    backends: BTreeMap<String, BackendWindows>,
+}
+
+/// What one backend got in the windows of a test.
+#[derive(Clone, Copy, Debug, Default)]
+struct BackendWindows {
+    calls: u64,
+    /// Windows in which it could get its full part.
+    windows: u32,
 }
 
 /// The result of a test.
@@ -86,15 +93,15 @@
             if report.left_out.contains_key(name) || joined_late {
                 continue;
             }
-            let (sum, windows) = self.backends.entry(name.clone()).or_default();
-            *sum = sum.saturating_add(*calls);
-            *windows += 1;
+            let backend = self.backends.entry(name.clone()).or_default();
+            backend.calls = backend.calls.saturating_add(*calls);
+            backend.windows += 1;
         }
-        self.backends.retain(|_, (_, windows)| *windows == self.windows);
-        self.calls = self.backends.values().fold(0, |sum, (calls, _)| sum.saturating_add(*calls));
+        self.backends.retain(|_, backend| backend.windows == self.windows);
+        self.calls = self.backends.values().fold(0, |sum, backend| sum.saturating_add(backend.calls));
     }
 
-    /// The result of the test once it has `least_calls`; a new test begins then.
+    /// The result of the test once it has [`Config::min_calls`]; a new test begins then.
     pub fn take_result(
         &mut self,
         weights: &Weights,
@@ -106,7 +113,7 @@
         }
         let test = std::mem::take(self);
         let mut zones: BTreeMap<&str, Vec<BackendCalls>> = BTreeMap::new();
-        for (name, (calls, _)) in &test.backends {
+        for (name, BackendWindows { calls, .. }) in &test.backends {
             let Some(backend) = backends.get(name) else { continue };
             let weight = weights.of(name, &backend.class, &backend.zone) * backend.share;
             let calls = *calls as f64;
@@ -118,10 +125,10 @@
 
 /// Tests the calls of all zones; the text names the backend that deviates most.
 ///
-/// A mismatch needs two things: G, divided by `dispersion`, is improbable at the significance level `chance`
-/// (a healthy proxy avoids slow backends and takes turns, so its variance is not that of independent choice);
-/// and one backend is off by `effect_margin` of its expected calls, so that very many calls do not make a
-/// negligible difference count.
+/// A mismatch needs two things: G, divided by [`Config::dispersion`], is improbable at the
+/// [`Config::significance_level`] (a healthy proxy avoids slow backends and takes turns, so its variance is not
+/// that of independent choice); and one backend is off by [`Config::min_effect_size`] of its expected calls, so
+/// that very many calls do not make a negligible difference count.
 fn find_mismatch<'a>(zones: impl Iterator<Item = Vec<BackendCalls<'a>>>, config: &Config) -> Option<String> {
     let mut statistic = GStatistic::default();
     for backends in zones {
--- a/src/route_table/mod.rs
+++ b/src/route_table/mod.rs
@@ -30,7 +30,7 @@
 pub use outcome_counts::OutcomeCounts;
 pub use pages::{DriftPage, StatePage};
 pub use proposal::{
-    Backend, MAX_NAME, MAX_OVERRIDE_REASON, MAX_WEIGHT, ProposalError, check_proposal, list_digest,
+    Backend, MAX_NAME_BYTES, MAX_OVERRIDE_REASON, MAX_WEIGHT, ProposalError, check_proposal, list_digest,
 };
 pub use record::{
     ActiveProposal, Admission, EndedProposal, IssuedRevision, ProposalOutcome, Rollout, RouteRecord, Stage,
--- a/src/route_table/proposal/check.rs
+++ b/src/route_table/proposal/check.rs
@@ -11,7 +11,7 @@
 use std::collections::HashSet;
 
 /// Longest name of a backend, class, zone, proxy or proposer, in bytes.
-pub const MAX_NAME: usize = 253;
+pub const MAX_NAME_BYTES: usize = 253;
 /// Longest reason of an override, in bytes.
 pub const MAX_OVERRIDE_REASON: usize = 1024;
 /// Largest weight.
@@ -93,15 +93,15 @@
     if count > MAX_WEIGHTS {
         return Err(ProposalError::TooMany { count });
     }
-    if !is_printable(&proposal.by, MAX_NAME) {
-        return Err(ProposalError::Text { what: "by", most: MAX_NAME });
+    if !is_printable(&proposal.by, MAX_NAME_BYTES) {
+        return Err(ProposalError::Text { what: "by", most: MAX_NAME_BYTES });
     }
     if proposal.override_why.as_ref().is_some_and(|why| !is_printable(why, MAX_OVERRIDE_REASON)) {
         return Err(ProposalError::Text { what: "override", most: MAX_OVERRIDE_REASON });
     }
     for (kind, name, weight) in weights.iter() {
-        if !is_printable(name, MAX_NAME) {
-            return Err(ProposalError::Text { what: kind, most: MAX_NAME });
+        if !is_printable(name, MAX_NAME_BYTES) {
+            return Err(ProposalError::Text { what: kind, most: MAX_NAME_BYTES });
         }
         if !(0.0..=MAX_WEIGHT).contains(&weight) {
             return Err(ProposalError::Weight { kind, name: name.into(), weight });
--- a/src/route_table/proposal/lifecycle.rs
+++ b/src/route_table/proposal/lifecycle.rs
@@ -93,7 +93,7 @@
     /// list.
     ///
     /// Failure: a verdict over backends that are gone would admit weights for a fleet that nobody replayed.
-    /// An empty list is passed over: it stands for a list that is not known yet.
+    /// An empty list is skipped: it means that the list is not known yet.
     fn evaluate_for_changed_list(&self, now_ms: u64) -> Option<RouteRecord> {
         let active = self.record.active.as_ref()?;
         let backends = &self.backends.list;
@@ -133,8 +133,8 @@
         Some(record)
     }
 
-    /// Ends the proposal if no verdict has come in `judge_ms`, counted from the start of the registry at the
-    /// earliest.
+    /// Ends the proposal if no verdict has come in [`Config::verdict_timeout_ms`](super::super::Config), counted
+    /// from the start of the registry at the earliest.
     fn lapse_without_verdict(&self, now_ms: u64) -> Option<RouteRecord> {
         let active = self.record.active.as_ref()?;
         let timeout_ms = self.config.verdict_timeout_ms;
--- a/src/route_table/proposal/mod.rs
+++ b/src/route_table/proposal/mod.rs
@@ -13,5 +13,5 @@
 mod lifecycle;
 
 pub(super) use check::is_printable;
-pub use check::{Backend, MAX_NAME, MAX_OVERRIDE_REASON, MAX_WEIGHT, check_proposal, list_digest};
+pub use check::{Backend, MAX_NAME_BYTES, MAX_OVERRIDE_REASON, MAX_WEIGHT, check_proposal, list_digest};
 pub use error::ProposalError;
--- a/src/route_table/report_check.rs
+++ b/src/route_table/report_check.rs
@@ -2,7 +2,7 @@
 //!
 //! Reports come from outside. Each bound here limits the memory or the arithmetic of the drift detector.
 
-use super::proposal::{MAX_NAME, is_printable};
+use super::proposal::{MAX_NAME_BYTES, is_printable};
 use super::{Config, MAX_REPORTED, MAX_WITNESSED, Report};
 
 /// Largest count of requests or calls in a report; a window of any proxy has far fewer.
@@ -22,7 +22,7 @@
 #[derive(thiserror::Error, Clone, Debug, PartialEq)]
 pub enum ReportError {
     /// A name that is empty, too long or has control characters.
-    #[error("{what}: must be 1 to {MAX_NAME} printable bytes: correct the proxy's configuration")]
+    #[error("{what}: must be 1 to {MAX_NAME_BYTES} printable bytes: correct the proxy's configuration")]
     Name {
         /// What it names.
         what: &'static str,
@@ -93,7 +93,7 @@
 /// # Errors
 ///
 /// The first fault found.
-pub(super) fn check_report(report: &Report, now_ms: u64, config: &Config) -> Result<(), ReportError> {
+pub(super) fn check_limits(report: &Report, now_ms: u64, config: &Config) -> Result<(), ReportError> {
     check_sizes(report)?;
     check_names(report)?;
     check_digest(&report.digest)?;
@@ -115,14 +115,14 @@
 
 fn check_names(report: &Report) -> Result<(), ReportError> {
     // Unlike a name, the zone may be empty.
-    if report.zone.len() > MAX_NAME || report.zone.chars().any(char::is_control) {
+    if report.zone.len() > MAX_NAME_BYTES || report.zone.chars().any(char::is_control) {
         return Err(ReportError::Name { what: "zone" });
     }
     let members = report.members.iter().map(|member| ("members", &member.name));
     let backends = report.calls.keys().chain(report.errors.keys()).chain(report.left_out.keys());
     let backends = backends.map(|name| ("backend", name));
     let mut names = [("name", &report.name)].into_iter().chain(members).chain(backends);
-    match names.find(|(_, name)| !is_printable(name, MAX_NAME)) {
+    match names.find(|(_, name)| !is_printable(name, MAX_NAME_BYTES)) {
         Some((what, _)) => Err(ReportError::Name { what }),
         None => Ok(()),
     }
--- a/src/route_table/rollout/review.rs
+++ b/src/route_table/rollout/review.rs
@@ -165,7 +165,7 @@
         Some(self.wait_or_time_out(reason))
     }
 
-    /// Waits until the stage has lasted `stand_ms`. This is the one wait that cannot time out.
+    /// Waits until the stage has lasted [`Config::min_stage_ms`]. This is the one wait that cannot time out.
     fn wait_for_min_time(&self) -> Option<RolloutStep> {
         let elapsed_ms = self.elapsed_ms;
         let least_ms = self.config.min_stage_ms;
--- a/tests/compatibility/route_records.rs
+++ b/tests/compatibility/route_records.rs
@@ -6,7 +6,7 @@
 //! too, as values.
 
 use crate::registry_golden::{compare, text};
-use load_balancer::catalog::{SavedService, Update};
+use load_balancer::catalog::{ServiceSnapshot, Update};
 use load_balancer::replay::{Bounds, Verdict};
 use load_balancer::route_table::{
     FindingKind, Proposal, Report, RouteRecord, Weights, list_digest, proxy_rank,
@@ -55,7 +55,7 @@
 
 #[test]
 fn services_of_a_snapshot_are_read_and_written_alike() {
-    written_alike::<SavedService>("saved_services.jsonl");
+    written_alike::<ServiceSnapshot>("saved_services.jsonl");
 }
 
 /// Scripts and alerts go by the kinds' names; their order is that of the findings on the page.
--- a/tests/drift.rs
+++ b/tests/drift.rs
@@ -139,7 +139,7 @@
     let many = || (0..=MAX_REPORTED).map(|n| (n.to_string(), 1)).collect();
     for (bad, status) in [
         (spoil(&|r| r.name = String::new()), 400),
-        (spoil(&|r| r.name = "x".repeat(MAX_NAME + 1)), 400),
+        (spoil(&|r| r.name = "x".repeat(MAX_NAME_BYTES + 1)), 400),
         (spoil(&|r| r.zone = "a\u{0}".into()), 400),
         (spoil(&|r| r.digest = "zz".into()), 400),
         (spoil(&|r| r.number = 0), 400),
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -45,7 +45,7 @@
 #[test]
 fn the_longest_table_is_shorter_than_what_registry_and_proxies_read() {
     const PROXY_READS: usize = 8 << 20;
-    let name = |n: usize| format!("{n:0>width$}", width = MAX_NAME);
+    let name = |n: usize| format!("{n:0>width$}", width = MAX_NAME_BYTES);
     let backends = (0..MAX_WEIGHTS).map(|n| (name(n), 0.123456789)).collect();
     let text = serde_json::to_string(&Weights { backends, ..Weights::default() }).expect("JSON");
     assert!(text.len() < PROXY_READS, "{} bytes", text.len());
--- a/tests/routes/proposals.rs
+++ b/tests/routes/proposals.rs
@@ -32,7 +32,7 @@
     let mut many = proposal(0, &[]);
     many.weights.classes = (0..=MAX_WEIGHTS).map(|n| (n.to_string(), 1.0)).collect();
     assert_eq!(checked(&many).map_err(|e| e.status()), Err(413));
-    let long = "x".repeat(MAX_NAME + 1);
+    let long = "x".repeat(MAX_NAME_BYTES + 1);
     for by in ["", "a\n", &long] {
         assert!(checked(&Proposal { by: by.into(), ..proposal(0, &[]) }).is_err());
     }
--- a/tests/routes_proxy.rs
+++ b/tests/routes_proxy.rs
@@ -7,7 +7,7 @@
 
 use fault_relay::Relay;
 use load_balancer::replay::{Ending, Reply, Segment};
-use load_balancer::route_table::{MAX_NAME, MAX_WEIGHTS, Weights};
+use load_balancer::route_table::{MAX_NAME_BYTES, MAX_WEIGHTS, Weights};
 use rig::*;
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -118,7 +118,7 @@
 
 /// A table of so many backends' weights under the longest names, that of `a` among them.
 fn full(revision: u64, count: usize) -> Value {
-    let name = |n: usize| format!("{n:0>width$}", width = MAX_NAME);
+    let name = |n: usize| format!("{n:0>width$}", width = MAX_NAME_BYTES);
     let names: Vec<String> = (1..count).map(name).collect();
     let mut weights: Vec<(&str, f64)> = names.iter().map(|name| (name.as_str(), 0.123456789)).collect();
     weights.push(("a", 0.75));
