--- a/src/lib.rs
+++ b/src/lib.rs
@@ -80,6 +80,7 @@
 
 #![forbid(unsafe_code)]
 #![warn(clippy::cognitive_complexity)]
+#![warn(missing_docs)]
 
 mod balancer;
 pub mod catalog;
--- a/src/route_table/rollout/review.rs
+++ b/src/route_table/rollout/review.rs
@@ -57,7 +57,10 @@
         StageReview { config, rollout, progress, elapsed_ms, live: fleet.proxies.len(), members, others }
     }
 
-    /// Waits, or stops the rollout once the stage has taken longer than `longest_ms`.
+    /// Waits, or stops the rollout once [`Config::stage_timeout_ms`] have passed since
+    /// [`StageProgress::since_ms`].
+    ///
+    /// That time starts again when the members change, after a pause and after a restart of the registry.
     ///
     /// Failure: a condition that never comes true would block every later proposal. It shows as `waits` on
     /// the state page.
@@ -162,7 +165,7 @@
         Some(self.wait_or_time_out(reason))
     }
 
-    /// Waits until the stage has lasted `stand_ms`. This is the one wait that cannot time out.
+    /// Waits until the stage has lasted [`Config::min_stage_ms`]. This is the one wait that cannot time out.
     fn wait_for_min_time(&self) -> Option<RolloutStep> {
         let elapsed_ms = self.elapsed_ms;
         let least_ms = self.config.min_stage_ms;
