--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -5,12 +5,13 @@
 //! slice's part of it. A request that is not admitted, or for which there is no endpoint, waits in its
 //! slice's queue.
 //!
-//! A request is shed
-//! - on arrival, if the queues hold as many requests as the limit allows calls;
-//! - on arrival, if its deadline is less than two ticks away and it cannot be sent at once;
-//! - on a tick, if its time in the queue is over: an eighth of the shortest latency objective at the tier
-//!   that clients reach, a half at the tiers behind it; if it waits for an endpoint or for its
-//!   key, the objective of its class less the mean latency.
+//! A request that is not sent at once is shed
+//! - on arrival, if the queues are as long as the limit (unless it waits for its key), or if its deadline is
+//!   at most two ticks of the balancer away (one of a class that the settings lack is failed);
+//! - on a tick, if its time in its queue is over: an eighth of the shortest latency objective at the tier
+//!   that clients reach, a half behind it; if it waits for an endpoint or for its key, the objective of its
+//!   class less the mean latency; at most until two ticks before its deadline;
+//! - outside, by the proxy: over `max_open_requests`, late in a stop, on a connection over the limit.
 //!
 //! A request that is shed, or whose attempts have failed, is answered by [`Balancer::reject_or_fail`]:
 //! rejected with a Retry-After between one and two eighths of its class's objective, if a further try is
@@ -229,7 +230,7 @@
     }
 
     /// Counts a call against the limit.
-    pub(super) fn count_in(&mut self, class: usize, slice: usize) {
+    pub(super) fn acquire_slot(&mut self, class: usize, slice: usize) {
         self.change_in_flight(class, slice, 1.0);
         self.admission.peak_in_flight = self.admission.peak_in_flight.max(self.admission.in_flight);
         let reached = self.admission.in_flight >= LIMIT_REACHED_SHARE * self.concurrency_limit.limit;
@@ -237,7 +238,7 @@
     }
 
     /// Counts a call against the limit no longer.
-    pub(super) fn count_out(&mut self, class: usize, slice: usize) {
+    pub(super) fn release_slot(&mut self, class: usize, slice: usize) {
         self.change_in_flight(class, slice, -1.0);
     }
 
--- a/src/balancer/endpoint_set.rs
+++ b/src/balancer/endpoint_set.rs
@@ -28,7 +28,7 @@
 /// Capacity of the members, counted in warm endpoints.
 pub(super) struct Capacity {
     pub(super) total: f64,
-    /// Of each partition, without those out of service.
+    /// Of each partition, without those whose ejection lasts; one that is due for a trial counts.
     pub(super) in_service: [f64; 2],
 }
 
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -1,15 +1,19 @@
 //! Outlier detection: when an endpoint is ejected from service, and how it returns.
 //!
 //! An endpoint is ejected
-//! - for errors, after a failed call: its error rate is over 0.35 and over three times that of all endpoints;
-//! - for slowness, after an answer: its mean relative latency is over 2.5;
+//! - for errors, after a failed call: its error rate is over max(0.35, min(3 e, (1 + e) / 2)), where e is the
+//!   error rate over all endpoints;
+//! - for slowness, after an answer: its mean relative latency is over 2.5, by more than eight samples;
 //! - for a hang, on a tick: it is silent while others answer, for so long that eight answers were due.
 //!
-//! At most half of the endpoints are ejected: beyond that the cause is shared, and none is at fault.
+//! At most half of the endpoints are ejected, but always one may be: beyond that the cause is shared, and
+//! none is at fault.
 //!
 //! It stays out for 2 s, doubled with each further ejection up to 16 s. Then it may get a trial: one request
 //! at a time, of a class that may run twice. A trial that succeeds, with an error rate below 0.15 and a
-//! relative latency below 1.25, returns it to service; one that fails ejects it again.
+//! relative latency below 1.25, returns it to service. One that ends in an error, a reset or a failed
+//! connect, or that shows it too slow, ejects it again; any other (a timeout, a rejection, a malformed
+//! request) leaves it ejected and due for the next trial.
 
 use super::Balancer;
 use super::endpoints::{Endpoint, Endpoints};
--- a/src/balancer/priority.rs
+++ b/src/balancer/priority.rs
@@ -17,9 +17,10 @@
 pub(super) fn priorities(settings: &Settings) -> Vec<Priority> {
     let classes = &settings.classes;
     let mean = classes.iter().map(|c| c.priority_weight).sum::<f64>() / classes.len() as f64;
-    let even = settings.goal.worst_class_weight;
+    let worst_class_weight = settings.goal.worst_class_weight;
     let of_class = |class: &Class| {
-        let within_quota = (1.0 - even) * class.priority_weight / mean.max(1e-9) + even;
+        let within_quota =
+            (1.0 - worst_class_weight) * class.priority_weight / mean.max(1e-9) + worst_class_weight;
         Priority { within_quota, over_quota: within_quota * settings.over_quota_weight }
     };
     classes.iter().map(of_class).collect()
--- a/src/balancer/request.rs
+++ b/src/balancer/request.rs
@@ -17,7 +17,7 @@
     /// Its outcome proved that it never ran.
     pub(super) never_ran: bool,
     /// It counts against the limit.
-    pub(super) counted: bool,
+    pub(super) holds_slot: bool,
 }
 
 /// A request that is not answered yet, or has attempts in flight.
@@ -65,7 +65,7 @@
     class: usize,
     slice: usize,
     sent_ms: f64,
-    counted: bool,
+    holds_slot: bool,
     queue_deadline_ms: f64,
     request_over: bool,
     never_ran: bool,
@@ -88,7 +88,7 @@
             sent_ms: now_ms,
             in_flight: true,
             never_ran: false,
-            counted: false,
+            holds_slot: false,
         });
         out.push(Action::Send { request: id, backend, deadline_ms: request.deadline_ms });
         if !request.body_pending {
@@ -108,10 +108,10 @@
         endpoint.calls.push_back(Call { request: id, sent_ms: now_ms });
         self.outliers.endpoints_with_calls.insert(attempt.backend);
         attempt.sent_ms = now_ms;
-        attempt.counted = !endpoint.ejected();
-        if attempt.counted {
+        attempt.holds_slot = !endpoint.ejected();
+        if attempt.holds_slot {
             let (class, slice) = (request.class, request.slice);
-            self.count_in(class, slice);
+            self.acquire_slot(class, slice);
         }
     }
 
@@ -144,8 +144,8 @@
     pub(super) fn on_resolved(&mut self, now_ms: f64, resolved: &Resolved, out: &mut Vec<Action>) {
         let id = resolved.request;
         let Some(ended) = self.close_attempt(now_ms, resolved) else { return };
-        if ended.counted {
-            self.count_out(ended.class, ended.slice);
+        if ended.holds_slot {
+            self.release_slot(ended.class, ended.slice);
         }
         self.record_outcome(now_ms, resolved, ended.class, ended.sent_ms);
         self.close_idle_if_draining(resolved.backend, out);
@@ -169,13 +169,13 @@
         let attempt = request.attempts.get_mut(usize::from(resolved.attempt)).filter(|a| a.in_flight)?;
         attempt.in_flight = false;
         attempt.never_ran = resolved.outcome.never_ran();
-        let (sent_ms, counted) = (attempt.sent_ms, attempt.counted);
+        let (sent_ms, holds_slot) = (attempt.sent_ms, attempt.holds_slot);
         let max_attempts = self.settings.caps.max_attempts as usize;
         let ended = EndedAttempt {
             class: request.class,
             slice: request.slice,
             sent_ms,
-            counted,
+            holds_slot,
             queue_deadline_ms: request.queue_deadline_ms,
             request_over: resolved.request_ended || request.ended,
             never_ran: request.never_ran(),
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -2,7 +2,7 @@
 //!
 //! After an attempt has failed, the request is sent again at once if all of this holds:
 //! - its failure is not the request's own fault (`Malformed`), and its body is still there;
-//! - it has attempts left, and more than a tick before its deadline;
+//! - it has attempts left, and more than a clock step (`tick_ms`) before its deadline;
 //! - it may run again: no attempt ran, or its class is idempotent, or its repeats are still dropped;
 //! - for a request that may have run, the retry budget has a token;
 //! - an endpoint can take it (`selection`).
@@ -38,7 +38,8 @@
 
 impl Balancer {
     /// Whether a request may run once more somewhere: no attempt ran, its class is idempotent, or the
-    /// backends still drop its repeats. Their window counts from the first attempt that may have run.
+    /// backends still drop its repeats. Their window counts from the first attempt that may have run, and is
+    /// taken a clock step (`tick_ms`) shorter.
     fn may_run_again(&self, now_ms: f64, request: &Request) -> bool {
         let Some(first) = request.first_that_may_have_run() else { return true };
         match self.settings.classes[request.class].idempotency {
@@ -60,8 +61,8 @@
         self.may_run_again(now_ms, request) && (anywhere || request.never_ran())
     }
 
-    /// Sends another attempt, if the class, the deadline and, for a request that may have run, the budget
-    /// allow.
+    /// Sends another attempt, if the class, the deadline (more than a clock step away) and, for a request
+    /// that may have run, the budget allow.
     pub(super) fn retry(
         &mut self,
         now_ms: f64,
--- a/src/balancer/stalled_calls.rs
+++ b/src/balancer/stalled_calls.rs
@@ -39,8 +39,8 @@
             }
             let is_call = |a: &&mut Attempt| a.backend == id && a.sent_ms == call.sent_ms && a.in_flight;
             let attempt = request.attempts.iter_mut().find(is_call);
-            if attempt.is_some_and(|attempt| std::mem::take(&mut attempt.counted)) {
-                self.count_out(class, slice);
+            if attempt.is_some_and(|attempt| std::mem::take(&mut attempt.holds_slot)) {
+                self.release_slot(class, slice);
             }
         }
     }
--- a/src/balancer/tick.rs
+++ b/src/balancer/tick.rs
@@ -1,16 +1,17 @@
 //! The tick: the order of the periodic work, nothing else. What each step does is in the module of its rule.
+//! A tick is due every ten clock steps; a clock step is `tick_ms` of the settings.
 
 use super::{Balancer, Timer};
 use crate::interface::Action;
 
-/// Ticks of the embedding proxy between two ticks of the balancer: often enough for queues, rare enough to be
+/// Clock steps (`tick_ms`) between two ticks of the balancer: often enough for queues, rare enough to be
 /// cheap.
-const PROXY_TICKS: f64 = 10.0;
+const CLOCK_STEPS_PER_TICK: f64 = 10.0;
 
 impl Balancer {
     /// Time (ms) between two ticks.
     pub(super) fn tick_interval_ms(&self) -> f64 {
-        (self.settings.tick_ms * PROXY_TICKS).max(1.0)
+        (self.settings.tick_ms * CLOCK_STEPS_PER_TICK).max(1.0)
     }
 
     /// Does the periodic work and sets the timer for the next tick.
--- a/src/bin/proxy/counters.rs
+++ b/src/bin/proxy/counters.rs
@@ -1,7 +1,8 @@
 //! The figures for operators: the phase `account` of a request.
 //!
-//! Each request and each attempt is counted once, where it ends: a request when its [`RequestRecord`] is dropped. Owns the
-//! counts of this process. Their JSON keys are read by operators' scripts and do not change.
+//! Each request is counted once, where it ends: when its [`RequestRecord`] is dropped. An attempt counts when it was written
+//! completely; others never count. Owns the counts of this process. Their JSON keys are read by operators' scripts and do not
+//! change.
 
 use load_balancer::client::route_table::RequestTotals;
 use load_balancer::interface::Census;
--- a/src/bin/proxy/downstream/handle.rs
+++ b/src/bin/proxy/downstream/handle.rs
@@ -38,8 +38,9 @@
 }
 
 impl Downstream {
-    /// The way of a request: `read_request` -> `admit` -> (`select_endpoint` -> `connect` -> `forward` -> `await_response` in
-    /// the engine, again for each retry) -> `respond` -> `account`.
+    /// The way of a request: `read_request` -> `admit` -> (`select_endpoint` -> `connect` -> `forward` -> `await_response`,
+    /// again for each retry) -> `respond` -> `account`. The balancer selects the endpoint, the engine starts the attempt, and
+    /// `connect` to `await_response` are in `upstream/`.
     pub(super) async fn handle_request(
         &self,
         request: Request<Incoming>,
@@ -72,7 +73,7 @@
 
     /// The status of `/health/ready`.
     fn readiness(&self) -> StatusCode {
-        let ready = self.engine.is_ready() && self.lifecycle.phase().accepts_clients();
+        let ready = self.engine.is_ready() && self.lifecycle.phase().keeps_connections();
         if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }
     }
 
@@ -80,7 +81,7 @@
     /// hold all connections: as those run short, none is kept.
     fn must_close(&self, client: &Client) -> bool {
         2 * self.open.get() > self.own_connections()
-            || !self.lifecycle.phase().accepts_clients()
+            || !self.lifecycle.phase().keeps_connections()
             || client.spilt()
     }
 
--- a/src/bin/proxy/engine/admit.rs
+++ b/src/bin/proxy/engine/admit.rs
@@ -100,8 +100,8 @@
         self.clock.at(from + allowed - deadline_margin(allowed))
     }
 
-    /// For how long backends recognise repeats of a class by their key. One tick less than the settings say: the module
-    /// looks at its deadlines once a tick.
+    /// For how long backends recognise repeats of a class by their key. One clock step (`tick_ms`) less than the settings say,
+    /// as in the module's own rule (`balancer/retry.rs`).
     fn dedup_window(&self, class: u16) -> Option<Duration> {
         match self.platform.settings.classes[usize::from(class)].idempotency {
             Idempotency::Keyed { dedup_window_ms, .. } => {
--- a/src/bin/proxy/engine/mod.rs
+++ b/src/bin/proxy/engine/mod.rs
@@ -109,7 +109,7 @@
         self.state.borrow().balancer.share()
     }
 
-    /// Answers all that is open at `last_answer_at`, and from now on admits nothing that would last longer.
+    /// Answers all that is open at `last_answer_at`, and from now on shortens the deadlines of new requests to it.
     pub fn answer_all_by(self: &Rc<Self>, last_answer_at: Instant) {
         self.last_answer_at.set(Some(last_answer_at));
         let engine = self.clone();
--- a/src/bin/proxy/engine/request.rs
+++ b/src/bin/proxy/engine/request.rs
@@ -26,7 +26,7 @@
 pub enum RequestEnd {
     /// With a backend's response.
     Served(UpstreamResponse),
-    /// Rejected before any backend ran it; the client may send it again without harm.
+    /// Rejected; another try by the client is harmless.
     Rejected {
         /// How long the client should wait before that, where the module says so.
         retry_after: Option<Duration>,
--- a/src/bin/proxy/lifecycle.rs
+++ b/src/bin/proxy/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Whether this process accepts clients: one state, changed by the ops address and by SIGTERM.
+//! Whether this process keeps clients or drains: one state, changed by the ops address and by SIGTERM.
 //!
 //! Watched by the listener and by each client's connection. Owns the phase of the process and the time of its stop; the times
 //! that the platform sets for a stop are the constants below.
@@ -42,8 +42,9 @@
 }
 
 impl Phase {
-    /// Whether clients are accepted and their connections kept.
-    pub fn accepts_clients(self) -> bool {
+    /// Whether clients' connections are kept after a response, and readiness may say yes. New connections are accepted while
+    /// draining too, and for [`DRAIN_DELAY`] more when stopping.
+    pub fn keeps_connections(self) -> bool {
         self == Phase::Serving
     }
 
@@ -90,12 +91,12 @@
         self.change_to(Phase::Draining)
     }
 
-    /// Accepts clients again; whether it does so now.
+    /// Ends a drain; whether it serves now.
     pub fn resume(&self) -> bool {
         self.change_to(Phase::Serving)
     }
 
-    /// Stops accepting clients, for good.
+    /// Begins the stop, for good: new connections are accepted for [`DRAIN_DELAY`] more.
     pub fn stop(&self) {
         self.stopped_at.set(Some(Instant::now()));
         self.phase.send_replace(Phase::Stopping);
--- a/tests/proxy/attempts.rs
+++ b/tests/proxy/attempts.rs
@@ -4,7 +4,6 @@
 use http_body_util::Full;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use tokio::net::TcpListener;
 use tokio::sync::Notify;
 
 #[tokio::test]
@@ -80,7 +79,7 @@
 
 #[tokio::test]
 async fn a_refused_connection_proves_that_nothing_ran() {
-    let addr = TcpListener::bind("127.0.0.1:0").await.expect("a port").local_addr().expect("bound");
+    let (_reserved, addr) = refusing();
     goes_round(addr).await;
 }
 
