--- a/src/bin/proxy/counters.rs
+++ b/src/bin/proxy/counters.rs
@@ -1,8 +1,8 @@
 //! The figures for operators: the phase `account` of a request.
 //!
 //! Each request is counted once, where it ends: when its [`RequestRecord`] is dropped. An attempt counts when it was written
-//! completely; others never count. Owns the counts of this process. Their JSON keys are read by operators' scripts and do not
-//! change.
+//! completely; others never count. Owns the counts of this process. Their JSON keys are read by operators' scripts and do
+//! not change.
 
 use load_balancer::client::route_table::RequestTotals;
 use load_balancer::interface::Census;
@@ -10,7 +10,7 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// What a request counts as. The order is that of the counts of a class.
+/// What a request counts as.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CountedAs {
     /// Its client has a backend's response.
@@ -21,11 +21,30 @@
     Failed,
 }
 
+/// How many requests of a class ended, by what they count as.
+#[derive(Clone, Copy, Default)]
+struct EndedCounts {
+    served: u64,
+    rejected: u64,
+    failed: u64,
+}
+
+impl EndedCounts {
+    fn add(&mut self, counted_as: CountedAs) {
+        let count = match counted_as {
+            CountedAs::Served => &mut self.served,
+            CountedAs::Rejected => &mut self.rejected,
+            CountedAs::Failed => &mut self.failed,
+        };
+        *count += 1;
+    }
+}
+
 /// The figures of this process, from its start on.
 pub struct Counters {
     classes: Vec<String>,
-    /// Served, rejected and failed, for each class.
-    ended: RefCell<Vec<[u64; 3]>>,
+    /// For each class.
+    ended: RefCell<Vec<EndedCounts>>,
     in_flight: Cell<u64>,
     attempts: Rc<Cell<u64>>,
 }
@@ -33,7 +52,7 @@
 impl Counters {
     /// All at 0.
     pub fn new(classes: Vec<String>) -> Rc<Self> {
-        let ended = RefCell::new(vec![[0; 3]; classes.len()]);
+        let ended = RefCell::new(vec![EndedCounts::default(); classes.len()]);
         Rc::new(Counters { classes, ended, in_flight: Cell::default(), attempts: Rc::default() })
     }
 
@@ -50,21 +69,23 @@
     /// Of all classes together.
     pub fn totals(&self) -> RequestTotals {
         let ended = self.ended.borrow();
-        let of = |counted_as: CountedAs| ended.iter().map(|n| n[counted_as as usize]).sum();
-        let rejected = of(CountedAs::Rejected);
-        let failed = of(CountedAs::Failed);
-        RequestTotals { requests: of(CountedAs::Served) + rejected + failed, refused: rejected, failed }
+        let served: u64 = ended.iter().map(|counts| counts.served).sum();
+        let rejected = ended.iter().map(|counts| counts.rejected).sum();
+        let failed = ended.iter().map(|counts| counts.failed).sum();
+        RequestTotals { requests: served + rejected + failed, refused: rejected, failed }
     }
 
     /// The figures as operators read them.
     pub fn page(&self, census: Census) -> Value {
         let ended = self.ended.borrow();
-        let of = |counted_as: CountedAs| -> Map<String, Value> {
-            let counts = ended.iter().map(|n| n[counted_as as usize].into());
+        let by_class = |count: fn(&EndedCounts) -> u64| -> Map<String, Value> {
+            let counts = ended.iter().map(|counts| count(counts).into());
             self.classes.iter().cloned().zip(counts).collect()
         };
         json!({
-            "served": of(CountedAs::Served), "refused": of(CountedAs::Rejected), "failed": of(CountedAs::Failed),
+            "served": by_class(|counts| counts.served),
+            "refused": by_class(|counts| counts.rejected),
+            "failed": by_class(|counts| counts.failed),
             "attempts": self.attempts.get(), "in_flight": self.in_flight.get(),
             "backends_known": census.listed, "backends_excluded": census.excluded,
         })
@@ -100,7 +121,7 @@
             self.counters.in_flight.update(|n| n - 1);
         }
         if let Some(counted_as) = self.counted_as.or(self.is_complete.then_some(CountedAs::Failed)) {
-            self.counters.ended.borrow_mut()[self.class][counted_as as usize] += 1;
+            self.counters.ended.borrow_mut()[self.class].add(counted_as);
         }
     }
 }
--- a/src/bin/proxy/downstream/connection.rs
+++ b/src/bin/proxy/downstream/connection.rs
@@ -1,7 +1,7 @@
 //! One client's connection: its requests one after the other, and its close.
 //!
-//! Acts from the accept to the close of the connection, also on timers and when idle connections are asked to close. Owns the
-//! stream and when the connection fell idle.
+//! Acts from the accept to the close of the connection, also on timers and when idle connections are asked to close. Owns
+//! the stream and when the connection fell idle.
 
 use super::Downstream;
 use super::handle::RequestSource;
@@ -31,7 +31,8 @@
 pub(super) const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Idle for so long, a connection is closed: before the HTTP library does it at [`HEAD_TIMEOUT`], without a lingering close.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(55);
-/// At the limit of connections, one that is idle for so long is closed. Not the newest ones: their requests are on their way.
+/// At the limit of connections, one that is idle for so long is closed. Not the newest ones: their requests are on their
+/// way.
 const IDLE_TIMEOUT_AT_LIMIT: Duration = Duration::from_secs(1);
 /// A connection that has ended our side and only awaits the client's is dropped after so long: a round trip or two.
 pub(super) const CLOSED_GRACE: Duration = Duration::from_millis(100);
@@ -79,7 +80,8 @@
         (decision, expires_at.max(now + FIRST_REQUEST_TIMEOUT))
     }
 
-    /// The process drains. A first request that is still on its way must not be closed on; its response closes the connection.
+    /// The process drains. A first request that is still on its way must not be closed on; its response closes the
+    /// connection.
     fn drained(&self) -> Decision {
         if self.had_request.get() { Decision::CloseGracefully } else { Decision::Continue }
     }
@@ -137,7 +139,8 @@
         self.drive(pin!(connection), &activity, idle_close).await;
     }
 
-    /// Drives a connection until it is closed: by the client, by the HTTP library, or because it is idle or the process drains.
+    /// Drives a connection until it is closed: by the client, by the HTTP library, or because it is idle or the process
+    /// drains.
     async fn drive<S>(
         &self,
         mut connection: Pin<&mut ClientConnection<S>>,
@@ -147,7 +150,7 @@
         S: Service<Request<Incoming>, Response = Reply, Error = Infallible>,
     {
         let mut idle_check = pin!(sleep(FIRST_REQUEST_TIMEOUT));
-        let mut released = pin!(self.lifecycle.released());
+        let mut drain_delay_over = pin!(self.lifecycle.drain_delay_over());
         loop {
             let decision = tokio::select! {
                 // What has arrived is read before anything is closed on it.
@@ -159,8 +162,8 @@
                     idle_check.as_mut().reset(next_check);
                     decision
                 }
-                () = &mut released => {
-                    released.set(self.lifecycle.released());
+                () = &mut drain_delay_over => {
+                    drain_delay_over.set(self.lifecycle.drain_delay_over());
                     activity.drained()
                 }
                 _ = idle_close.changed() => activity.asked_to_close(*idle_close.borrow()),
--- a/src/bin/proxy/downstream/handle.rs
+++ b/src/bin/proxy/downstream/handle.rs
@@ -1,7 +1,7 @@
 //! Handles one request from its head to its response, phase by phase.
 //!
-//! Acts for each request on a client's connection, also for `/health/ready`. Owns nothing beyond the request; in what order
-//! the phases run is written in [`Downstream::handle_request`] and nowhere else.
+//! Acts for each request on a client's connection, also for `/health/ready`. In what order the phases run is written in
+//! [`Downstream::handle_request`] and nowhere else.
 
 use super::Downstream;
 use super::respond::{Reply, closing, plain, respond};
@@ -39,8 +39,8 @@
 
 impl Downstream {
     /// The way of a request: `read_request` -> `admit` -> (`select_endpoint` -> `connect` -> `forward` -> `await_response`,
-    /// again for each retry) -> `respond` -> `account`. The balancer selects the endpoint, the engine starts the attempt, and
-    /// `connect` to `await_response` are in `upstream/`.
+    /// again for each retry) -> `respond` -> `account`. The balancer selects the endpoint, the engine starts the attempt,
+    /// and `connect` to `await_response` are in `upstream/`.
     pub(super) async fn handle_request(
         &self,
         request: Request<Incoming>,
@@ -77,8 +77,8 @@
         if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }
     }
 
-    /// Whether a client's connection is closed after its response. Clients that send one request and stay connected would soon
-    /// hold all connections: as those run short, none is kept.
+    /// Whether a client's connection is closed after its response. Clients that send one request and stay connected would
+    /// soon hold all connections: as those run short, none is kept.
     fn must_close(&self, client: &Client) -> bool {
         2 * self.open.get() > self.own_connections()
             || !self.lifecycle.phase().keeps_connections()
@@ -116,8 +116,8 @@
         respond_with_unread_body(end, record, &body, announced)
     }
 
-    /// Guards against a response that is begun and then lost at the kill: one that flows has no end in sight, so that for a
-    /// request that came late after the stop it counts as too late.
+    /// Guards against a response that is begun and then lost at the SIGKILL by the platform: one that flows has no end in
+    /// sight, so that for a request that came late after the stop it counts as too late.
     fn in_time(&self, end: RequestEnd, complete_at: Instant) -> RequestEnd {
         match end {
             RequestEnd::Served(UpstreamResponse { remaining: Some(_), .. })
--- a/src/bin/proxy/downstream/read_request.rs
+++ b/src/bin/proxy/downstream/read_request.rs
@@ -1,6 +1,6 @@
 //! The phase `read_request`: checks a request's head and reads its body as far as it is buffered.
 //!
-//! Acts once for each request. What cannot be accepted is answered here with its status: no record counts it. Owns nothing.
+//! Acts once for each request. What cannot be accepted is answered here with its status: no record counts it.
 
 use super::Downstream;
 use super::handle::RequestSource;
--- a/src/bin/proxy/engine/act.rs
+++ b/src/bin/proxy/engine/act.rs
@@ -1,7 +1,7 @@
 //! Hands events to the decision module and carries out the actions that it returns.
 //!
-//! Runs whenever something happens on a socket, a timer fires or the list of endpoints changes. Owns no state; the queue of
-//! events that wait for the module is in [`State`].
+//! Runs whenever something happens on a socket, a timer fires or the list of endpoints changes. The queue of events
+//! that wait for the module is in [`State`].
 
 use super::Engine;
 use super::clock::millis;
--- a/src/bin/proxy/engine/admit.rs
+++ b/src/bin/proxy/engine/admit.rs
@@ -35,8 +35,8 @@
     /// Hands a request to the module, unless it must not be admitted.
     pub fn admit(self: &Rc<Self>, request: ParsedRequest) -> Result<AdmittedRequest, NotAdmitted> {
         let ParsedRequest { call, class, tenant, key, received_at, client_timeout } = request;
-        // Guards against requests that are sent and then lost at the kill: with no time left for an attempt it is rejected,
-        // and the client may send it to another proxy without harm.
+        // Guards against requests that are sent and then lost at the SIGKILL by the platform: with no time left for an
+        // attempt it is rejected, and the client may send it to another proxy without harm.
         let too_late = |last: Instant| last.saturating_duration_since(received_at) <= DEADLINE_MARGIN;
         if self.last_answer_at.get().is_some_and(too_late) {
             return Err(NotAdmitted);
@@ -100,8 +100,8 @@
         self.clock.at(from + allowed - deadline_margin(allowed))
     }
 
-    /// For how long backends recognise repeats of a class by their key. One clock step (`tick_ms`) less than the settings say,
-    /// as in the module's own rule (`balancer/retry.rs`).
+    /// For how long backends recognise repeats of a class by their key. One clock step (`tick_ms`) less than the settings
+    /// say, as in the module's own rule (`balancer/retry.rs`).
     fn dedup_window(&self, class: u16) -> Option<Duration> {
         match self.platform.settings.classes[usize::from(class)].idempotency {
             Idempotency::Keyed { dedup_window_ms, .. } => {
--- a/src/bin/proxy/engine/attempts.rs
+++ b/src/bin/proxy/engine/attempts.rs
@@ -1,8 +1,8 @@
-//! Attempts: the phase `select_endpoint`, and the end of each attempt, after which the module retries or the client is
-//! answered.
+//! Attempts: the start of each at the endpoint that the module selected, and its end, after which the module retries or the
+//! client is answered. The selection itself (the phase `select_endpoint`) is `select` in `balancer/selection.rs`.
 //!
-//! Acts when the module selects an endpoint and when an attempt ends. Owns no state: attempts in flight are kept in their
-//! [`PendingRequest`], each under its number.
+//! Acts when the module selects an endpoint and when an attempt ends. Attempts in flight are kept in their [`PendingRequest`],
+//! each under its number.
 
 use super::Engine;
 use super::request::{AnswerState, InFlightAttempt, PendingRequest, RequestEnd};
@@ -24,7 +24,8 @@
         deadline_ms: f64,
     ) {
         let Some(number) = state.requests.get(&request).map(|pending| pending.attempts.len()) else { return };
-        let target = self.select_endpoint(state, request, backend);
+        end_if_client_left(state, request);
+        let target = self.resolve_target(state, request, backend);
         let sent_at = Instant::now();
         let Some(pending) = state.requests.get_mut(&request) else { return };
         let Some(target) = target else {
@@ -45,21 +46,10 @@
         tokio::task::spawn_local(attempt.run(self.pool.clone(), report));
     }
 
-    /// The phase `select_endpoint`: where the backend that the module selected is reached. `None` where the attempt must not
-    /// start: the client has gone, the request has ended, the backend is unknown here, or too many attempts were made.
-    fn select_endpoint(
-        &self,
-        state: &mut State,
-        request: RequestId,
-        backend: BackendId,
-    ) -> Option<Rc<Target>> {
-        let pending = state.requests.get_mut(&request)?;
-        // Guards against work for a client that left while this process stood still: its end then lies unread on the
-        // socket, and an attempt that begins later than 0.1 s after it is a break of the protocol.
-        if pending.is_unanswered() && pending.call.client_gone() {
-            pending.end(RequestEnd::ClientGone);
-            state.events.push_back(Event::ClientGone { request });
-        }
+    /// Where the backend that the module selected is reached. `None` where the attempt must not start: the request has
+    /// ended, the backend is unknown here, or too many attempts were made.
+    fn resolve_target(&self, state: &State, request: RequestId, backend: BackendId) -> Option<Rc<Target>> {
+        let pending = state.requests.get(&request)?;
         let may_start = pending.attempts.len() < self.platform.settings.caps.max_attempts as usize;
         let target = state.targets.get(&backend)?;
         (may_start && pending.is_unanswered()).then(|| target.clone())
@@ -95,6 +85,18 @@
     }
 }
 
+/// Ends a request whose client has left, before an attempt is started for it.
+///
+/// Guards against work for a client that left while this process stood still: its end then lies unread on the socket, and an
+/// attempt that begins later than 0.1 s after it is a break of the protocol.
+fn end_if_client_left(state: &mut State, request: RequestId) {
+    let Some(pending) = state.requests.get_mut(&request) else { return };
+    if pending.is_unanswered() && pending.call.client_gone() {
+        pending.end(RequestEnd::ClientGone);
+        state.events.push_back(Event::ClientGone { request });
+    }
+}
+
 fn resolved(
     request: RequestId,
     number: usize,
@@ -109,7 +111,7 @@
         backend,
         outcome,
         latency_ms,
-        request_ended: matches!(pending.answer, AnswerState::Sent),
+        request_ended: matches!(pending.answer, AnswerState::Closed),
         body_consumed: pending.call.remaining_body.as_ref().is_some_and(|r| r.passed()),
     })
 }
--- a/src/bin/proxy/engine/list.rs
+++ b/src/bin/proxy/engine/list.rs
@@ -1,7 +1,7 @@
 //! Takes lists of backends from discovery's client and hands them to the decision module.
 //!
-//! Acts when a list or a change of it arrives, and when a call to discovery fails. Owns no state of its own: the backends'
-//! addresses are in [`State`], and what counts as in service is the module's decision.
+//! Acts when a list or a change of it arrives, and when a call to discovery fails. The backends' addresses are in [`State`],
+//! and what counts as in service is the module's decision.
 
 use super::Engine;
 use super::state::State;
@@ -115,9 +115,9 @@
 
     /// Where a backend that takes work is reached.
     ///
-    /// Guards against a request that is sent on a connection of the backend's previous process: where its machine fell silent
-    /// such a connection still looks open, and the request would end as a reset, which may have run. So another address or
-    /// start time makes another target, and closes the idle connections of the old one.
+    /// Guards against a request that is sent on a connection of the backend's previous process: where its machine fell
+    /// silent such a connection still looks open, and the request would end as a reset, which may have run. So another
+    /// address or start time makes another target, and closes the idle connections of the old one.
     fn update_target(&self, state: &mut State, backend: BackendId, host: &EndpointEntry) {
         let Some(address) = host.address else { return };
         let started_at_ms = host.started_ms;
--- a/src/bin/proxy/engine/mod.rs
+++ b/src/bin/proxy/engine/mod.rs
@@ -2,7 +2,8 @@
 //! order, and carries out the module's actions.
 //!
 //! It owns the ids, the clock, the timers and each request from its admission to its end. Everything runs on one thread, so
-//! that events have one order. Of the phases of a request `admit` and `select_endpoint` are here.
+//! that events have one order. Of the phases of a request `admit` is here, and the start of the attempts that
+//! follow `select_endpoint`.
 
 mod act;
 mod admit;
--- a/src/bin/proxy/engine/observe.rs
+++ b/src/bin/proxy/engine/observe.rs
@@ -1,6 +1,6 @@
 //! What the engine reports to the observer, where there is one, and the weights of the route table that come back.
 //!
-//! Acts at each arrival, send and end, and where a table or a list changes. Owns no state.
+//! Acts at each arrival, send and end, and where a table or a list changes.
 
 use super::Engine;
 use hyper::header::HeaderValue;
--- a/src/bin/proxy/engine/request.rs
+++ b/src/bin/proxy/engine/request.rs
@@ -1,6 +1,7 @@
 //! A request while it is in the engine, from its admission to its end.
 //!
-//! [`ParsedRequest`] is what the client asks for, [`PendingRequest`] what the engine keeps of it, [`RequestEnd`] how it ended.
+//! [`ParsedRequest`] is what the client asks for, [`PendingRequest`] what the engine keeps of it, [`RequestEnd`] how it
+//! ended.
 
 use super::Engine;
 use crate::upstream::{UpstreamRequest, UpstreamResponse};
@@ -55,10 +56,11 @@
     pub client_timeout: Duration,
 }
 
-/// Whether the request has its one answer. The channel to the client is used up by it.
+/// Whether the request still awaits its one answer. The channel to the client is used up by it.
 pub(super) enum AnswerState {
     Pending(oneshot::Sender<RequestEnd>),
-    Sent,
+    /// Answered, or its client has gone.
+    Closed,
 }
 
 /// An attempt that has not ended.
@@ -94,7 +96,7 @@
 
     /// Ends it towards the client, unless it has ended.
     pub(super) fn end(&mut self, end: RequestEnd) {
-        if let AnswerState::Pending(client) = std::mem::replace(&mut self.answer, AnswerState::Sent) {
+        if let AnswerState::Pending(client) = std::mem::replace(&mut self.answer, AnswerState::Closed) {
             // The receiver is gone when the client has just left; its `CallerGuard` reports that.
             let _ = client.send(end);
         }
@@ -102,7 +104,7 @@
 
     /// Its client has gone: what of its body was not written is never written.
     pub(super) fn abandon(&mut self) {
-        self.answer = AnswerState::Sent;
+        self.answer = AnswerState::Closed;
         if let Some(body) = &self.call.remaining_body {
             body.withdraw();
         }
--- a/src/bin/proxy/lifecycle.rs
+++ b/src/bin/proxy/lifecycle.rs
@@ -1,7 +1,7 @@
 //! Whether this process keeps clients or drains: one state, changed by the ops address and by SIGTERM.
 //!
-//! Watched by the listener and by each client's connection. Owns the phase of the process and the time of its stop; the times
-//! that the platform sets for a stop are the constants below.
+//! Watched by the listener and by each client's connection. Owns the phase of the process and the time of its stop; the
+//! times that the platform sets for a stop are the constants below.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -9,8 +9,8 @@
 use tokio::time::{Instant, sleep};
 
 /// New connections are accepted for so long after readiness says no, and an idle connection is kept for so long, for a last
-/// request whose response closes it. The platform sends new connections for 0.4 s at the most, and kills no sooner than 0.7 s
-/// after SIGTERM, whatever the deadlines.
+/// request whose response closes it. The platform sends new connections for 0.4 s at the most, and kills no sooner than 0.7
+/// s after SIGTERM, whatever the deadlines.
 pub const DRAIN_DELAY: Duration = Duration::from_millis(500);
 
 /// The platform kills 0.7 s after the longest client timeout from SIGTERM on, of which no more than this counts.
@@ -117,7 +117,7 @@
 
     /// Waits until the process has drained for [`DRAIN_DELAY`]: from then on an idle connection is to be closed. A resume
     /// before that starts the wait anew.
-    pub async fn released(&self) {
+    pub async fn drain_delay_over(&self) {
         let mut phase = self.phase.subscribe();
         loop {
             // An error would mean that the sender is gone; it is a field of this one.
--- a/src/bin/proxy/route_table/start.rs
+++ b/src/bin/proxy/route_table/start.rs
@@ -1,6 +1,6 @@
 //! Starts the tasks of the route table and the recorder, as far as they are configured.
 //!
-//! Acts once, at the start. Owns nothing: the tasks hold what they need.
+//! Acts once, at the start.
 
 use super::proxy::ObservedEngine;
 use crate::config::Config;
--- a/src/bin/proxy/upstream/attempt.rs
+++ b/src/bin/proxy/upstream/attempt.rs
@@ -40,11 +40,11 @@
     /// Carries the attempt out and reports its end, once.
     pub async fn run(self, pool: Rc<Pool>, report: impl FnOnce(AttemptEnd)) {
         let Attempt { call, target, deadline, begin_by, cancelled } = self;
-        let mut early_end = pin!(given_up(&call, deadline, cancelled));
+        let mut cancel_or_timeout = pin!(cancelled_or_timed_out(&call, deadline, cancelled));
         let link = tokio::select! {
             biased;
-            // Given up in the very step in which the connection was established, nothing is written to it.
-            outcome = &mut early_end => return report(unanswered(&call, outcome)),
+            // Cancelled or timed out in the very step in which the connection was established, nothing is written to it.
+            outcome = &mut cancel_or_timeout => return report(end_without_response(&call, outcome)),
             link = connect(&pool, &call, &target) => link,
         };
         let link = match link {
@@ -61,21 +61,25 @@
         let outcome = tokio::select! {
             biased;
             end = &mut exchange => return report(end),
-            outcome = &mut early_end => outcome,
+            outcome = &mut cancel_or_timeout => outcome,
         };
         let written = progress.whole();
         if !written {
             progress.abandon();
         }
-        report(unanswered(&call, outcome));
+        report(end_without_response(&call, outcome));
         if written && pool.limits.may_duplicate {
             drain_superseded(&pool, exchange).await;
         }
     }
 }
 
-/// Waits until the attempt is given up, by its deadline or by the module.
-async fn given_up(call: &UpstreamRequest, deadline: Instant, cancelled: oneshot::Receiver<()>) -> Outcome {
+/// Waits until the attempt's deadline has passed or the module cancels it.
+async fn cancelled_or_timed_out(
+    call: &UpstreamRequest,
+    deadline: Instant,
+    cancelled: oneshot::Receiver<()>,
+) -> Outcome {
     let cancelled = async {
         if cancelled.await.is_err() {
             pending().await
@@ -88,10 +92,10 @@
     }
 }
 
-/// The end of an attempt that was given up. Without its last byte a request does not run, and how fast its client sends says
-/// nothing of the backend.
-fn unanswered(call: &UpstreamRequest, given_up: Outcome) -> AttemptEnd {
-    AttemptEnd::Failed(if call.is_complete() { given_up } else { Outcome::NotSent })
+/// The end of an attempt that was cancelled or timed out. Without its last byte a request does not run, and how fast its
+/// client sends says nothing of the backend.
+fn end_without_response(call: &UpstreamRequest, cause: Outcome) -> AttemptEnd {
+    AttemptEnd::Failed(if call.is_complete() { cause } else { Outcome::NotSent })
 }
 
 /// Awaits the response of an attempt that was given up, for its connection's sake: backends do not stop work that was given
@@ -122,7 +126,8 @@
     Ok(link)
 }
 
-/// Sends the request on a connection, awaits its response, and returns the connection to the pool where it can be used again.
+/// Sends the request on a connection, awaits its response, and returns the connection to the pool where it can be used
+/// again.
 async fn exchange(
     mut link: Link,
     pool: &Rc<Pool>,
--- a/tests/unit/proxy/lifecycle.rs
+++ b/tests/unit/proxy/lifecycle.rs
@@ -8,16 +8,16 @@
 async fn a_resume_straight_after_a_quiesce_releases_nobody() {
     let lifecycle = Lifecycle::new();
     lifecycle.begin();
-    let mut released = pin!(lifecycle.released());
+    let mut drain_delay_over = pin!(lifecycle.drain_delay_over());
     for _ in 0..3 {
         assert!(lifecycle.quiesce() && lifecycle.phase() == Phase::Draining);
-        assert!(timeout(DRAIN_DELAY / 2, released.as_mut()).await.is_err());
+        assert!(timeout(DRAIN_DELAY / 2, drain_delay_over.as_mut()).await.is_err());
         assert!(lifecycle.resume() && lifecycle.phase() == Phase::Serving);
-        assert!(timeout(DRAIN_DELAY * 4, released.as_mut()).await.is_err());
+        assert!(timeout(DRAIN_DELAY * 4, drain_delay_over.as_mut()).await.is_err());
     }
     let called = Instant::now();
     assert!(lifecycle.quiesce());
-    released.await;
+    drain_delay_over.await;
     assert_eq!(called.elapsed(), DRAIN_DELAY);
 }
 
