--- a/src/bin/proxy/engine/mod.rs
+++ b/src/bin/proxy/engine/mod.rs
@@ -2,7 +2,8 @@
 //! order, and carries out the module's actions.
 //!
 //! It owns the ids, the clock, the timers and each request from its admission to its end. Everything runs on one thread, so
-//! that events have one order. Of the phases of a request `admit` and `select_endpoint` are here.
+//! that events have one order. Of the phases of a request `admit` is here, and the start of the attempts that
+//! follow `select_endpoint`.
 
 mod act;
 mod admit;
@@ -109,7 +110,7 @@
         self.state.borrow().balancer.share()
     }
 
-    /// Answers all that is open at `last_answer_at`, and from now on admits nothing that would last longer.
+    /// Answers all that is open at `last_answer_at`, and from now on shortens the deadlines of new requests to it.
     pub fn answer_all_by(self: &Rc<Self>, last_answer_at: Instant) {
         self.last_answer_at.set(Some(last_answer_at));
         let engine = self.clone();
