--- a/src/bin/proxy/body/buffer_budget.rs
+++ b/src/bin/proxy/body/buffer_budget.rs
@@ -3,7 +3,7 @@
 //! One budget is shared by all requests and responses. Each buffered body holds a reservation, which is returned when
 //! it is dropped.
 
-use super::SMALL;
+use super::MAX_BUFFERED_BODY_BYTES;
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -27,9 +27,9 @@
 
     /// Reserves memory for a body of this length, or for the longest buffered one where the length is unknown. None if
     /// too little is left, or if the body is too long to be buffered.
-    pub fn take(self: &Rc<Self>, length: Option<u64>) -> Option<BufferReservation> {
-        let length = length.unwrap_or(SMALL as u64);
-        let bytes = usize::try_from(length).ok().filter(|bytes| *bytes <= SMALL)?;
+    pub fn reserve(self: &Rc<Self>, length: Option<u64>) -> Option<BufferReservation> {
+        let length = length.unwrap_or(MAX_BUFFERED_BODY_BYTES as u64);
+        let bytes = usize::try_from(length).ok().filter(|bytes| *bytes <= MAX_BUFFERED_BODY_BYTES)?;
         let left = self.0.get().checked_sub(bytes)?;
         self.0.set(left);
         Some(BufferReservation { budget: self.clone(), bytes })
--- a/src/bin/proxy/body/mod.rs
+++ b/src/bin/proxy/body/mod.rs
@@ -10,13 +10,13 @@
 mod rate_floor;
 mod remaining;
 
-pub use buffer_budget::{BufferBudget as Room, BufferReservation as Held};
-pub use rate_floor::{BACKEND_RATE_FLOOR as BACKEND, CLIENT_RATE_FLOOR as CLIENT, RateLimitedBody as Paced};
-pub use remaining::{BodyState as Flow, RemainingBody as Rest};
+pub use buffer_budget::{BufferBudget, BufferReservation};
+pub use rate_floor::{BACKEND_RATE_FLOOR, CLIENT_RATE_FLOOR, RateLimitedBody};
+pub use remaining::{BodyState, RemainingBody};
 
 /// The longest body that is buffered, in bytes; a buffered body can be sent again.
-pub const SMALL: usize = 64 * 1024;
+pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
 /// The longest body that is passed on, in bytes.
-pub const LARGEST: u64 = 32 << 20;
+pub const MAX_BODY_BYTES: u64 = 32 << 20;
 /// Bytes of each of the HTTP library's buffers: one for each direction of a connection.
 pub const BUFFER: usize = 16 * 1024;
--- a/src/bin/proxy/body/rate_floor.rs
+++ b/src/bin/proxy/body/rate_floor.rs
@@ -3,7 +3,7 @@
 //! The time that counts against the sender is the time in which this program waits for it; time in which the body is
 //! not read costs it nothing.
 
-use super::SMALL;
+use super::MAX_BUFFERED_BODY_BYTES;
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body, Incoming};
 use std::future::Future;
@@ -71,17 +71,17 @@
     }
 
     /// The bytes that are still to be received, if the length is known.
-    pub fn left(&self) -> Option<u64> {
+    pub fn announced_bytes_left(&self) -> Option<u64> {
         self.body.size_hint().exact()
     }
 
     /// The bytes received.
-    pub fn came(&self) -> u64 {
+    pub fn received_bytes(&self) -> u64 {
         self.received
     }
 
     /// Whether the last byte has been received.
-    pub fn over(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.body.is_end_stream()
     }
 
@@ -134,8 +134,8 @@
     }
 
     /// Appends the body to `buffer` until it exceeds what is buffered; returns whether it was read to its end.
-    pub async fn hold(&mut self, buffer: &mut BytesMut) -> io::Result<bool> {
-        while buffer.len() <= SMALL {
+    pub async fn read_into(&mut self, buffer: &mut BytesMut) -> io::Result<bool> {
+        while buffer.len() <= MAX_BUFFERED_BODY_BYTES {
             match self.next().await? {
                 Some(data) => buffer.extend_from_slice(&data),
                 None => return Ok(true),
--- a/src/bin/proxy/config/mod.rs
+++ b/src/bin/proxy/config/mod.rs
@@ -1,7 +1,7 @@
 //! The configuration: command line, environment and file, in this order of precedence, read and checked.
 //!
-//! Acts once, at the start, and at each SIGHUP for discovery's addresses. Keys, flags and variables are the operators' and the
-//! platform's, and do not change.
+//! Acts once, at the start, and at each SIGHUP for discovery's addresses. Keys, flags and variables are the operators' and
+//! the platform's, and do not change.
 
 mod check;
 mod discovery;
@@ -34,7 +34,8 @@
     pub discovery: Vec<SocketAddr>,
     /// The service whose backends are called, where the registries have several services.
     pub service: Option<ServiceName>,
-    /// PollBackoff of calls to discovery while it cannot be reached; without it, and under the platform's protocol, a short one.
+    /// PollBackoff of calls to discovery while it cannot be reached; without it, and under the platform's protocol, a short
+    /// one.
     pub discovery_backoff: Option<PollBackoff>,
     /// The operators' address, if there is one.
     pub ops: Option<SocketAddr>,
@@ -170,8 +171,8 @@
     Ok(())
 }
 
-/// The name of this proxy in route reports and recordings: that of `routes`, else that of `membership`, else one made of the
-/// address; empty where neither reports nor recordings are configured.
+/// The name of this proxy in route reports and recordings: that of `routes`, else that of `membership`, else one made of
+/// the address; empty where neither reports nor recordings are configured.
 fn proxy_name(
     membership: &Option<membership::Settings>,
     routes: &Option<route_table::Settings>,
--- a/src/bin/proxy/counters.rs
+++ b/src/bin/proxy/counters.rs
@@ -1,8 +1,8 @@
 //! The figures for operators: the phase `account` of a request.
 //!
-//! Each request is counted once, where it ends: when its [`RequestRecord`] is dropped. An attempt counts when it was written
-//! completely; others never count. Owns the counts of this process. Their JSON keys are read by operators' scripts and do
-//! not change.
+//! Each request is counted once, where it ends: when its [`RequestRecord`] is dropped. An attempt counts when it was
+//! written completely; others never count. Owns the counts of this process. Their JSON keys are read by operators' scripts
+//! and do not change.
 
 use load_balancer::client::route_table::RequestTotals;
 use load_balancer::interface::Census;
@@ -92,8 +92,8 @@
     }
 }
 
-/// A request, counted when this is dropped. Without a response one that was complete counts as failed; one that was not, and
-/// had no response, is not counted.
+/// A request, counted when this is dropped. Without a response one that was complete counts as failed; one that was not,
+/// and had no response, is not counted.
 pub struct RequestRecord {
     counters: Rc<Counters>,
     class: usize,
--- a/src/bin/proxy/descriptors.rs
+++ b/src/bin/proxy/descriptors.rs
@@ -7,8 +7,8 @@
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use tracing::warn;
 
-/// Descriptors that are neither clients' nor backends' connections: standard streams, the listener, the reactor, a file that
-/// is read again, and discovery, of which two calls may be in flight while the connection of a third is being closed.
+/// Descriptors that are neither clients' nor backends' connections: standard streams, the listener, the reactor, a file
+/// that is read again, and discovery, of which two calls may be in flight while the connection of a third is being closed.
 const RESERVED: usize = 16;
 /// Most connections that are accepted only to have their requests rejected at once.
 const MAX_SPARE: usize = 32;
--- a/src/bin/proxy/downstream/accept.rs
+++ b/src/bin/proxy/downstream/accept.rs
@@ -35,8 +35,8 @@
 }
 
 impl Downstream {
-    /// Accepts connections until the process stops and no more come; then closes them as they fall idle, and returns when the
-    /// last one is closed.
+    /// Accepts connections until the process stops and no more come; then closes them as they fall idle, and returns when
+    /// the last one is closed.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         let mut connections = Connections {
             tasks: JoinSet::new(),
@@ -102,8 +102,8 @@
     }
 }
 
-/// Takes what a listener's queue holds and closes the listener; returns it where something is left in the queue for want of a
-/// descriptor. The system is asked, since the reactor may not have reported the last ones yet.
+/// Takes what a listener's queue holds and closes the listener; returns it where something is left in the queue for want of
+/// a descriptor. The system is asked, since the reactor may not have reported the last ones yet.
 pub(super) fn take_queued(
     listener: std::net::TcpListener,
 ) -> (Vec<TcpStream>, Option<std::net::TcpListener>) {
--- a/src/bin/proxy/downstream/connection.rs
+++ b/src/bin/proxy/downstream/connection.rs
@@ -29,7 +29,8 @@
 /// A client that has sent no request's head so long after it connected is closed. It is owed an error or a close within 3 s
 /// whatever the settings: its deadline does not count yet, since that begins with a request's last byte.
 pub(super) const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Idle for so long, a connection is closed: before the HTTP library does it at [`HEAD_TIMEOUT`], without a lingering close.
+/// Idle for so long, a connection is closed: before the HTTP library does it at [`HEAD_TIMEOUT`], without a lingering
+/// close.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(55);
 /// At the limit of connections, one that is idle for so long is closed. Not the newest ones: their requests are on their
 /// way.
@@ -124,7 +125,7 @@
         let source = RequestSource { over_limit, progress: &progress, client: &client };
         let service = service_fn(async |request| {
             activity.had_request.set(true);
-            if progress.contradicts() {
+            if progress.has_conflicting_framing() {
                 return Ok(closing(plain(StatusCode::BAD_REQUEST)));
             }
             let reply = self.handle_request(request, source).await;
--- a/src/bin/proxy/downstream/handle.rs
+++ b/src/bin/proxy/downstream/handle.rs
@@ -5,7 +5,7 @@
 
 use super::Downstream;
 use super::respond::{Reply, closing, plain, respond};
-use crate::body::{Flow, Rest};
+use crate::body::{BodyState, RemainingBody};
 use crate::counters::RequestRecord;
 use crate::engine::{AdmittedRequest, NotAdmitted, ParsedRequest, RequestEnd};
 use crate::io::{Client, Progress};
@@ -82,7 +82,7 @@
     fn must_close(&self, client: &Client) -> bool {
         2 * self.open.get() > self.own_connections()
             || !self.lifecycle.phase().keeps_connections()
-            || client.spilt()
+            || client.has_discarded()
     }
 
     /// Admits a request, waits for its end, and responds.
@@ -95,7 +95,7 @@
     ) -> Reply {
         let body = request.call.remaining_body.clone();
         let received_at = request.received_at;
-        source.client.is_at(body.is_none());
+        source.client.set_request_complete(body.is_none());
         let mut ended = pin!(ended(self.engine.admit(request)));
         let Some(body) = body else {
             let end = unless_client_leaves(ended, source.client).await;
@@ -104,13 +104,13 @@
         let complete_or_ended = async {
             tokio::select! {
                 end = &mut ended => return end,
-                flow = body.settled() => body_settled(flow, &mut record, source),
+                state = body.settled() => body_settled(state, &mut record, source),
             }
             ended.await
         };
         let end = unless_client_leaves(complete_or_ended, source.client).await;
         let end = match body.state() {
-            Flow::Whole(at) => self.in_time(end, at),
+            BodyState::Complete(at) => self.in_time(end, at),
             _ => end,
         };
         respond_with_unread_body(end, record, &body, announced)
@@ -142,14 +142,14 @@
     tokio::select! {
         biased;
         end = ended => end,
-        () = client.leaves() => RequestEnd::ClientGone,
+        () = client.wait_until_left() => RequestEnd::ClientGone,
     }
 }
 
 /// The body that flowed is complete or broken off. When complete, an answer is owed, and the next bytes are another head's.
-fn body_settled(flow: Flow, record: &mut RequestRecord, source: RequestSource<'_>) {
-    if flow != Flow::Broken {
-        source.client.is_at(true);
+fn body_settled(state: BodyState, record: &mut RequestRecord, source: RequestSource<'_>) {
+    if state != BodyState::Broken {
+        source.client.set_request_complete(true);
         source.progress.await_head();
         record.complete();
     }
@@ -162,12 +162,12 @@
 fn respond_with_unread_body(
     end: RequestEnd,
     record: RequestRecord,
-    body: &Rest,
+    body: &RemainingBody,
     announced: Announced,
 ) -> Reply {
     let unread = if matches!(end, RequestEnd::Served(_)) { None } else { body.withdraw() };
     match unread {
-        Some(_) if announced.expects_continue && !body.passed() => closing(respond(end, record)),
+        Some(_) if announced.expects_continue && !body.was_passed_on() => closing(respond(end, record)),
         Some(flow) => {
             spawn_local(flow.drain());
             respond(end, record)
--- a/src/bin/proxy/downstream/lingering_close.rs
+++ b/src/bin/proxy/downstream/lingering_close.rs
@@ -5,7 +5,7 @@
 //! Guards against a response that is lost: a connection that is closed over unread bytes is reset, and the client's system
 //! then drops what it has received. So our sending side ends first, and what still arrives is read and dropped.
 
-use crate::body::{BUFFER, SMALL};
+use crate::body::{BUFFER, MAX_BUFFERED_BODY_BYTES};
 use hyper::rt::{Read, ReadBuf, ReadBufCursor, Write};
 use std::cell::Cell;
 use std::future::Future;
@@ -16,17 +16,17 @@
 use std::time::Duration;
 use tokio::time::{Instant, Sleep, sleep, sleep_until};
 
-/// A client that has sent nothing for so long after our last byte has most likely received it: a round trip between regions,
-/// and less than the time between the last responses and the kill.
+/// A client that has sent nothing for so long after our last byte has most likely received it: a round trip between
+/// regions, and less than the time between the last responses and the kill.
 const QUIET_TIMEOUT: Duration = Duration::from_millis(300);
 /// Longest time that is read after our last byte: a client that goes on sending must not hold its connection for ever.
 const MAX_DURATION: Duration = Duration::from_secs(5);
-/// Most bytes that are read after our last byte: more than is on its way at that time. To read all of a 60 MB body would cost
-/// the other clients more time than this response is worth.
-const MAX_BYTES: usize = 16 * SMALL;
+/// Most bytes that are read after our last byte: more than is on its way at that time. To read all of a 60 MB body would
+/// cost the other clients more time than this response is worth.
+const MAX_BYTES: usize = 16 * MAX_BUFFERED_BODY_BYTES;
 
-/// A stream whose shutdown ends our sending side and then reads and drops what still arrives, until the client ends its side
-/// too.
+/// A stream whose shutdown ends our sending side and then reads and drops what still arrives, until the client ends its
+/// side too.
 pub(super) struct LingeringClose<S> {
     stream: S,
     ended_at: Rc<Cell<Option<Instant>>>,
--- a/src/bin/proxy/downstream/mod.rs
+++ b/src/bin/proxy/downstream/mod.rs
@@ -10,7 +10,7 @@
 mod read_request;
 mod respond;
 
-use crate::body::Room;
+use crate::body::BufferBudget;
 use crate::counters::Counters;
 use crate::engine::Engine;
 use crate::lifecycle::Lifecycle;
@@ -34,7 +34,7 @@
     /// Connections beyond that limit, accepted only to have their requests rejected at once.
     pub spare: usize,
     /// Budget of the bodies that are buffered.
-    pub buffer_budget: Rc<Room>,
+    pub buffer_budget: Rc<BufferBudget>,
     /// How many processes serve this address.
     pub processes: watch::Sender<u32>,
     /// How many connections are open.
--- a/src/bin/proxy/downstream/read_request.rs
+++ b/src/bin/proxy/downstream/read_request.rs
@@ -5,7 +5,7 @@
 use super::Downstream;
 use super::handle::RequestSource;
 use super::respond::{Reply, plain};
-use crate::body::{self, Held, Paced, Rest};
+use crate::body::{self, BufferReservation, RateLimitedBody, RemainingBody};
 use crate::counters::RequestRecord;
 use crate::engine::{ParsedRequest, millis};
 use crate::upstream::UpstreamRequest;
@@ -41,8 +41,8 @@
 struct BufferedBody {
     buffered: Bytes,
     /// What follows that; `None` where the body is complete.
-    remaining: Option<Paced>,
-    buffer_permit: Option<Held>,
+    remaining: Option<RateLimitedBody>,
+    buffer_permit: Option<BufferReservation>,
 }
 
 impl Downstream {
@@ -60,7 +60,7 @@
         let client = Rc::downgrade(source.client);
         let is_complete = remaining.is_none();
         let remaining_body =
-            remaining.map(|body| Rc::new(Rest::new(body, checked.client_timeout, client.clone())));
+            remaining.map(|body| Rc::new(RemainingBody::new(body, checked.client_timeout, client.clone())));
         let mut record = self.counters.record(checked.class);
         if is_complete {
             source.progress.await_head();
@@ -139,12 +139,12 @@
         Some(Duration::from_millis(timeout_ms).min(longest))
     }
 
-    /// Reads a body as far as it is small and the buffer budget allows. What cannot be buffered is read only once there is a
-    /// backend to pass it on to.
+    /// Reads a body as far as it is small and the buffer budget allows. What cannot be buffered is read only once there is
+    /// a backend to pass it on to.
     async fn buffer_body(&self, body: Incoming, headers: &HeaderMap) -> Result<BufferedBody, ErrorReply> {
-        let mut body = Paced::new(body, body::CLIENT);
-        let length = body.left();
-        if length.is_some_and(|n| n > body::LARGEST) {
+        let mut body = RateLimitedBody::new(body, body::CLIENT_RATE_FLOOR);
+        let length = body.announced_bytes_left();
+        if length.is_some_and(|n| n > body::MAX_BODY_BYTES) {
             // Guards against a response that is lost in a reset over unread bytes. A client that expects a `100 Continue`
             // may well not send the body.
             if !headers.contains_key(EXPECT) {
@@ -152,11 +152,11 @@
             }
             return Err(status(StatusCode::PAYLOAD_TOO_LARGE));
         }
-        let Some(mut buffer_permit) = self.buffer_budget.take(length) else {
+        let Some(mut buffer_permit) = self.buffer_budget.reserve(length) else {
             return Ok(BufferedBody { buffered: Bytes::new(), remaining: Some(body), buffer_permit: None });
         };
         let mut buffered = BytesMut::new();
-        let is_complete = body.hold(&mut buffered).await.map_err(|e| match e.kind() {
+        let is_complete = body.read_into(&mut buffered).await.map_err(|e| match e.kind() {
             io::ErrorKind::TimedOut => status(StatusCode::REQUEST_TIMEOUT),
             _ => bad_request(),
         })?;
--- a/src/bin/proxy/downstream/respond.rs
+++ b/src/bin/proxy/downstream/respond.rs
@@ -2,7 +2,7 @@
 //!
 //! Owns the response's body, and with it the request's record: the phase `account` is the drop of both.
 
-use crate::body::{Held, Paced};
+use crate::body::{BufferReservation, RateLimitedBody};
 use crate::counters::{CountedAs, RequestRecord};
 use crate::engine::RequestEnd;
 use crate::upstream::UpstreamResponse;
@@ -20,9 +20,9 @@
 #[derive(Default)]
 pub struct ResponseBody {
     data: Bytes,
-    remaining: Option<Paced>,
+    remaining: Option<RateLimitedBody>,
     record: Option<RequestRecord>,
-    _buffer_permit: Option<Held>,
+    _buffer_permit: Option<BufferReservation>,
 }
 
 impl Body for ResponseBody {
@@ -47,12 +47,12 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.data.is_empty() && self.remaining.as_ref().is_none_or(Paced::over)
+        self.data.is_empty() && self.remaining.as_ref().is_none_or(RateLimitedBody::is_complete)
     }
 
     fn size_hint(&self) -> SizeHint {
         let data = self.data.len() as u64;
-        match self.remaining.as_ref().map(Paced::left) {
+        match self.remaining.as_ref().map(RateLimitedBody::announced_bytes_left) {
             None => SizeHint::with_exact(data),
             Some(Some(remaining)) => SizeHint::with_exact(data + remaining),
             Some(None) => SizeHint::default(),
--- a/src/bin/proxy/engine/admit.rs
+++ b/src/bin/proxy/engine/admit.rs
@@ -6,7 +6,7 @@
 use super::clock::millis;
 use super::request::{AnswerState, CallerGuard, ParsedRequest, PendingRequest, RequestEnd, backstop};
 use super::state::hash;
-use crate::body::{Flow, Rest};
+use crate::body::{BodyState, RemainingBody};
 use crate::upstream::{DEADLINE_MARGIN, UpstreamRequest, deadline_margin};
 use load_balancer::interface::{Arrival, Event, Idempotency, RequestId};
 use load_balancer::replay::Ending;
@@ -23,7 +23,7 @@
     received_at: Instant,
     client_timeout: Duration,
     /// The part of its body that is still being received.
-    remaining_body: Option<Rc<Rest>>,
+    remaining_body: Option<Rc<RemainingBody>>,
 }
 
 /// A request that the module never had: too many are open, or the process stops and no time is left for an attempt.
@@ -118,12 +118,12 @@
         let engine = self.caller.engine.clone();
         let mut complete_at = self.received_at;
         if let Some(body) = self.remaining_body.take() {
-            let flow = tokio::select! {
+            let state = tokio::select! {
                 biased;
                 end = &mut self.end => return self.caller.note(end.unwrap_or(RequestEnd::UpstreamFailed)),
-                flow = body.settled() => flow,
+                state = body.settled() => state,
             };
-            let Flow::Whole(at) = flow else { return RequestEnd::ClientGone };
+            let BodyState::Complete(at) = state else { return RequestEnd::ClientGone };
             complete_at = at;
             let deadline_ms = engine.deadline_ms(at, self.client_timeout);
             engine.handle_event(Event::BodyComplete { request: self.caller.request, deadline_ms });
--- a/src/bin/proxy/engine/attempts.rs
+++ b/src/bin/proxy/engine/attempts.rs
@@ -1,13 +1,13 @@
 //! Attempts: the start of each at the endpoint that the module selected, and its end, after which the module retries or the
 //! client is answered. The selection itself (the phase `select_endpoint`) is `select` in `balancer/selection.rs`.
 //!
-//! Acts when the module selects an endpoint and when an attempt ends. Attempts in flight are kept in their [`PendingRequest`],
-//! each under its number.
+//! Acts when the module selects an endpoint and when an attempt ends. Attempts in flight are kept in their
+//! [`PendingRequest`], each under its number.
 
 use super::Engine;
 use super::request::{AnswerState, InFlightAttempt, PendingRequest, RequestEnd};
 use super::state::State;
-use crate::body::Flow;
+use crate::body::BodyState;
 use crate::upstream::{Attempt, AttemptEnd, Target};
 use load_balancer::interface::{BackendId, Event, Outcome, RequestId, Resolved};
 use std::rc::Rc;
@@ -72,7 +72,7 @@
             }
             // A backend begins its work with the last byte of a request.
             let begun_at = match pending.call.remaining_body.as_ref().map(|r| r.state()) {
-                Some(Flow::Whole(at)) => at.max(attempt.sent_at),
+                Some(BodyState::Complete(at)) => at.max(attempt.sent_at),
                 _ => attempt.sent_at,
             };
             let latency_ms = begun_at.elapsed().as_secs_f64() * 1000.0;
@@ -87,8 +87,8 @@
 
 /// Ends a request whose client has left, before an attempt is started for it.
 ///
-/// Guards against work for a client that left while this process stood still: its end then lies unread on the socket, and an
-/// attempt that begins later than 0.1 s after it is a break of the protocol.
+/// Guards against work for a client that left while this process stood still: its end then lies unread on the socket, and
+/// an attempt that begins later than 0.1 s after it is a break of the protocol.
 fn end_if_client_left(state: &mut State, request: RequestId) {
     let Some(pending) = state.requests.get_mut(&request) else { return };
     if pending.is_unanswered() && pending.call.client_gone() {
@@ -112,6 +112,6 @@
         outcome,
         latency_ms,
         request_ended: matches!(pending.answer, AnswerState::Closed),
-        body_consumed: pending.call.remaining_body.as_ref().is_some_and(|r| r.passed()),
+        body_consumed: pending.call.remaining_body.as_ref().is_some_and(|r| r.was_passed_on()),
     })
 }
--- a/src/bin/proxy/engine/list.rs
+++ b/src/bin/proxy/engine/list.rs
@@ -1,7 +1,7 @@
 //! Takes lists of backends from discovery's client and hands them to the decision module.
 //!
-//! Acts when a list or a change of it arrives, and when a call to discovery fails. The backends' addresses are in [`State`],
-//! and what counts as in service is the module's decision.
+//! Acts when a list or a change of it arrives, and when a call to discovery fails. The backends' addresses are in
+//! [`State`], and what counts as in service is the module's decision.
 
 use super::Engine;
 use super::state::State;
--- a/src/bin/proxy/engine/request.rs
+++ b/src/bin/proxy/engine/request.rs
@@ -87,8 +87,8 @@
         matches!(self.answer, AnswerState::Pending(_))
     }
 
-    /// Until when a further attempt may begin. Guards against a request that runs twice: past the window, backends no longer
-    /// recognise a repeat. It counts from the first attempt that may have run, and one in flight may.
+    /// Until when a further attempt may begin. Guards against a request that runs twice: past the window, backends no
+    /// longer recognise a repeat. It counts from the first attempt that may have run, and one in flight may.
     pub(super) fn begin_by(&self) -> Option<Instant> {
         let in_flight = self.attempts.iter().flatten().map(|attempt| attempt.sent_at);
         Some(in_flight.chain(self.first_sent_at).min()? + self.dedup_window?)
--- a/src/bin/proxy/handover.rs
+++ b/src/bin/proxy/handover.rs
@@ -1,8 +1,8 @@
 //! Counts the processes that listen at one address while one replaces another.
 //!
-//! During a replacement two processes share a port; what the platform gives to a proxy (descriptors, budgets) is then divided
-//! between them. Each process holds the lock on one file per address, which the system releases when the process ends,
-//! however it ends. Owns that lock; looks at the others' every [`POLL_INTERVAL`].
+//! During a replacement two processes share a port; what the platform gives to a proxy (descriptors, budgets) is then
+//! divided between them. Each process holds the lock on one file per address, which the system releases when the process
+//! ends, however it ends. Owns that lock; looks at the others' every [`POLL_INTERVAL`].
 
 use std::fs::{File, TryLockError};
 use std::net::SocketAddr;
--- a/src/bin/proxy/io/client.rs
+++ b/src/bin/proxy/io/client.rs
@@ -3,7 +3,7 @@
 //! The HTTP library does not read a stream while it has bytes that it needs later, and so misses an end behind them.
 //! [`Client`] reads ahead, up to a limit, and keeps what it has read for the library.
 
-use crate::body::{BUFFER, LARGEST};
+use crate::body::{BUFFER, MAX_BODY_BYTES};
 use bytes::{Buf, BytesMut};
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper_util::rt::TokioIo;
@@ -52,7 +52,7 @@
     /// Reads what is there up to the limit of the read-ahead, and if it `discards`, further bytes up to that of one
     /// check. Returns whether all was read, which shows that the stream has not ended.
     ///
-    /// Failure: a client sends without end behind its request. Past [`LARGEST`] discarded bytes its stream counts as
+    /// Failure: a client sends without end behind its request. Past [`MAX_BODY_BYTES`] discarded bytes its stream counts as
     /// ended.
     fn fill(&mut self, stream: &OwnedReadHalf, discards: bool) -> bool {
         let mut chunk = [0; READ_CHUNK];
@@ -66,7 +66,7 @@
                 Err(error) => self.end = Some(Err(error)),
             }
         }
-        if self.discarded > LARGEST {
+        if self.discarded > MAX_BODY_BYTES {
             self.end = Some(Err(io::ErrorKind::FileTooLarge.into()));
         }
         false
@@ -79,7 +79,7 @@
 
 impl Client {
     /// Whether the client has closed its connection, its sending direction, or reset it, as far as the system knows.
-    pub fn left(&self) -> bool {
+    pub fn has_left(&self) -> bool {
         let stream = self.stream.borrow();
         let ahead = &mut *self.ahead.borrow_mut();
         if ahead.fill(stream.inner(), self.request_complete.get()) {
@@ -92,18 +92,18 @@
     }
 
     /// Sets whether its request has been read completely: bytes that are unread then may be discarded.
-    pub fn is_at(&self, request_complete: bool) {
+    pub fn set_request_complete(&self, request_complete: bool) {
         self.request_complete.set(request_complete);
     }
 
     /// Whether bytes behind the request were discarded, so that the connection has to close after the answer.
-    pub fn spilt(&self) -> bool {
+    pub fn has_discarded(&self) -> bool {
         self.ahead.borrow().discarded > 0
     }
 
     /// Waits until the client has left. Only one task may wait, that of the connection.
-    pub async fn leaves(&self) {
-        while !self.left() {
+    pub async fn wait_until_left(&self) {
+        while !self.has_left() {
             let is_full = self.ahead.borrow().is_full();
             if !is_full {
                 // An error shows at the next check.
--- a/src/bin/proxy/io/mod.rs
+++ b/src/bin/proxy/io/mod.rs
@@ -59,7 +59,7 @@
         self.head.replace(Some(RequestHead::default()));
     }
     /// Whether the head that was read last has two framings, a length and an encoding.
-    pub fn contradicts(&self) -> bool {
+    pub fn has_conflicting_framing(&self) -> bool {
         self.head
             .borrow()
             .as_ref()
@@ -69,7 +69,7 @@
     ///
     /// The HTTP library flushes a stream only once all that it has buffered is written, and by then it has taken the
     /// body.
-    pub fn whole(&self) -> bool {
+    pub fn is_written(&self) -> bool {
         self.is_flushed.get()
     }
     /// Ends all writing, also of what the HTTP library has buffered: a request that is incomplete stays so.
--- a/src/bin/proxy/io/outgoing.rs
+++ b/src/bin/proxy/io/outgoing.rs
@@ -1,7 +1,7 @@
 //! The body of a request as it is written to a backend: the buffered part, then the streamed one.
 
 use super::Progress;
-use crate::body::{Flow, Rest};
+use crate::body::{BodyState, RemainingBody};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use std::io;
@@ -13,13 +13,13 @@
 pub struct Outgoing {
     /// The buffered part that has not been taken.
     buffered: Bytes,
-    remaining: Option<Rc<Rest>>,
+    remaining: Option<Rc<RemainingBody>>,
     progress: Rc<Progress>,
 }
 
 impl Outgoing {
     /// The body of the request that is about to be written.
-    pub fn new(buffered: Bytes, remaining: Option<Rc<Rest>>, progress: Rc<Progress>) -> Self {
+    pub fn new(buffered: Bytes, remaining: Option<Rc<RemainingBody>>, progress: Rc<Progress>) -> Self {
         progress.begin();
         // The HTTP library does not poll an empty body.
         progress.body_taken.set(buffered.is_empty() && remaining.is_none());
@@ -28,7 +28,7 @@
 
     /// Whether all of it has been taken.
     fn is_taken(&self) -> bool {
-        let is_complete = |remaining: &Rc<Rest>| matches!(remaining.state(), Flow::Whole(_));
+        let is_complete = |remaining: &Rc<RemainingBody>| matches!(remaining.state(), BodyState::Complete(_));
         self.buffered.is_empty() && self.remaining.as_ref().is_none_or(is_complete)
     }
 }
--- a/src/bin/proxy/lifecycle.rs
+++ b/src/bin/proxy/lifecycle.rs
@@ -42,8 +42,8 @@
 }
 
 impl Phase {
-    /// Whether clients' connections are kept after a response, and readiness may say yes. New connections are accepted while
-    /// draining too, and for [`DRAIN_DELAY`] more when stopping.
+    /// Whether clients' connections are kept after a response, and readiness may say yes. New connections are accepted
+    /// while draining too, and for [`DRAIN_DELAY`] more when stopping.
     pub fn keeps_connections(self) -> bool {
         self == Phase::Serving
     }
--- a/src/bin/proxy/ops.rs
+++ b/src/bin/proxy/ops.rs
@@ -1,7 +1,7 @@
 //! The operators' address: one line on a connection, one answer, then a close.
 //!
-//! Acts on each connection to it. Owns these connections, of which there are at most [`MAX_CALLERS`]. Answers and their keys
-//! are read by operators' scripts and do not change.
+//! Acts on each connection to it. Owns these connections, of which there are at most [`MAX_CALLERS`]. Answers and their
+//! keys are read by operators' scripts and do not change.
 
 use crate::counters::Counters;
 use crate::engine::Engine;
--- a/src/bin/proxy/recorder/mod.rs
+++ b/src/bin/proxy/recorder/mod.rs
@@ -1,8 +1,8 @@
 //! Hosts the library's recorder: gives it the clock, and sends its segments to a registry.
 //!
 //! Acts where `record` is configured: at each sampled request, and on a timer that cuts segments. Owns the recorder and the
-//! segments that wait for a registry. No request waits for it: segments are encoded on a thread of their own, and the oldest
-//! are dropped where no registry accepts them.
+//! segments that wait for a registry. No request waits for it: segments are encoded on a thread of their own, and the
+//! oldest are dropped where no registry accepts them.
 
 mod settings;
 mod shipping;
--- a/src/bin/proxy/startup/core_parts.rs
+++ b/src/bin/proxy/startup/core_parts.rs
@@ -1,6 +1,6 @@
 //! The parts that live as long as the process, made in the order in which they need each other.
 
-use crate::body::Room;
+use crate::body::BufferBudget;
 use crate::config::Config;
 use crate::counters::Counters;
 use crate::engine::{Engine, millis};
@@ -27,7 +27,7 @@
     /// How many processes serve this address.
     pub(super) processes: watch::Sender<u32>,
     /// Budget of the bodies that are buffered.
-    pub(super) buffer_budget: Rc<Room>,
+    pub(super) buffer_budget: Rc<BufferBudget>,
     pub(super) pool: Rc<Pool>,
     pub(super) observer: Option<Rc<Observer>>,
     pub(super) engine: Rc<Engine>,
@@ -51,7 +51,7 @@
             drain_grace: millis(site.drain_grace_ms),
             may_duplicate: site.may_hedge,
         };
-        let buffer_budget = Room::new(config.memory / BODY_MEMORY_PART);
+        let buffer_budget = BufferBudget::new(config.memory / BODY_MEMORY_PART);
         let pool = Rc::new(Pool::new(limits, counters.attempts(), buffer_budget.clone()));
         let (watch_wanted_sender, watch_wanted) = watch::channel(false);
         let observer = is_observed(config).then(Observer::new);
--- a/src/bin/proxy/startup/mod.rs
+++ b/src/bin/proxy/startup/mod.rs
@@ -1,7 +1,8 @@
 //! Starts the proxy, one step a function, serves until SIGTERM, and stops.
 //!
 //! Acts once. Owns the signals, and in [`Core`] the parts that live as long as the process. The order of the steps matters:
-//! the list of endpoints is asked for before the port is bound, so that a process that is replaced serves until this one can.
+//! the list of endpoints is asked for before the port is bound, so that a process that is replaced serves until this one
+//! can.
 
 mod core_parts;
 mod listen;
@@ -187,8 +188,8 @@
     });
 }
 
-/// Joins the processes that listen at this address, where it is shared. Where the lock files cannot be used each goes on as if
-/// it were alone.
+/// Joins the processes that listen at this address, where it is shared. Where the lock files cannot be used each goes on as
+/// if it were alone.
 fn join_shared_listeners(config: &Config, core: &Core, listener: &TcpListener) -> Result<(), Error> {
     let bound = listener.local_addr();
     let bound =
--- a/src/bin/proxy/upstream/attempt.rs
+++ b/src/bin/proxy/upstream/attempt.rs
@@ -63,7 +63,7 @@
             end = &mut exchange => return report(end),
             outcome = &mut cancel_or_timeout => outcome,
         };
-        let written = progress.whole();
+        let written = progress.is_written();
         if !written {
             progress.abandon();
         }
@@ -162,7 +162,7 @@
         Ok(response) => Ok(response),
         Err(_) if !call.is_complete() && call.is_broken() => Err(Outcome::NotSent),
         // Only the connection knows whether the backend can have all of the request.
-        Err(_) if link.progress.whole() => Err(Outcome::Reset),
+        Err(_) if link.progress.is_written() => Err(Outcome::Reset),
         Err(_) => Err(Outcome::ConnectFailed),
     }
 }
@@ -178,12 +178,12 @@
     pool: &Rc<Pool>,
     call: &UpstreamRequest,
 ) -> Result<AttemptEnd, Outcome> {
-    let early = !link.progress.whole();
+    let early = !link.progress.is_written();
     let end = read_response(response, &pool.buffer_budget, call.client_deadline()).await;
     if !early || end.outcome() == Outcome::Rejected {
         return Ok(end);
     }
-    let may_have_run = link.progress.whole();
+    let may_have_run = link.progress.is_written();
     link.progress.abandon();
     Err(if may_have_run { Outcome::Reset } else { Outcome::ConnectFailed })
 }
--- a/src/bin/proxy/upstream/mod.rs
+++ b/src/bin/proxy/upstream/mod.rs
@@ -12,7 +12,7 @@
 pub use pool::{Limits, Pool};
 pub use request::{DEADLINE_MARGIN, UpstreamRequest, deadline_margin};
 
-use crate::body::{Held, Paced};
+use crate::body::{BufferReservation, RateLimitedBody};
 use bytes::Bytes;
 use load_balancer::interface::Outcome;
 use std::cell::Cell;
@@ -25,9 +25,9 @@
     /// Its body, or the first part of it.
     pub data: Bytes,
     /// What follows that.
-    pub remaining: Option<Paced>,
+    pub remaining: Option<RateLimitedBody>,
     /// The part of the buffer budget that `data` takes up.
-    pub buffer_permit: Option<Held>,
+    pub buffer_permit: Option<BufferReservation>,
 }
 
 /// Where a backend is reached, and since when it takes nothing new.
--- a/src/bin/proxy/upstream/pool.rs
+++ b/src/bin/proxy/upstream/pool.rs
@@ -3,7 +3,7 @@
 //! Acts at each attempt, and once a second in `close_expired`. Owns the idle connections and the counts of the open ones.
 
 use super::Target;
-use crate::body::{self, Room};
+use crate::body::{self, BufferBudget};
 use crate::io::{Outgoing, Progress, Watched};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
@@ -48,7 +48,7 @@
     pub(super) superseded: Rc<Cell<usize>>,
     /// Attempts that were written completely.
     attempts: Rc<Cell<u64>>,
-    pub(super) buffer_budget: Rc<Room>,
+    pub(super) buffer_budget: Rc<BufferBudget>,
 }
 
 struct IdleConnection {
@@ -89,8 +89,9 @@
 }
 
 impl Pool {
-    /// An empty pool; attempts that it has written completely are counted in `attempts`, responses buffered in `buffer_budget`.
-    pub fn new(limits: Limits, attempts: Rc<Cell<u64>>, buffer_budget: Rc<Room>) -> Self {
+    /// An empty pool; attempts that it has written completely are counted in `attempts`, responses buffered in
+    /// `buffer_budget`.
+    pub fn new(limits: Limits, attempts: Rc<Cell<u64>>, buffer_budget: Rc<BufferBudget>) -> Self {
         Pool {
             limits,
             idle: RefCell::default(),
--- a/src/bin/proxy/upstream/response.rs
+++ b/src/bin/proxy/upstream/response.rs
@@ -4,7 +4,7 @@
 //! part counts against the buffer budget until the response is dropped.
 
 use super::{AttemptEnd, UpstreamResponse};
-use crate::body::{self, Paced, Room};
+use crate::body::{self, BufferBudget, RateLimitedBody};
 use bytes::BytesMut;
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_LENGTH, TRANSFER_ENCODING};
@@ -18,25 +18,26 @@
 /// A response without a length is passed on as it arrives when it is not complete so long after its first bytes. Where less
 /// time is left than this, its attempt times out before.
 const BUFFERING_TIMEOUT: Duration = Duration::from_millis(300);
-/// A response that flows is broken off so long after its client stopped waiting. A late response earns nothing and counts as
-/// lost after half a second, whatever the settings; one that is broken off counts as failed.
+/// A response that flows is broken off so long after its client stopped waiting. A late response earns nothing and counts
+/// as lost after half a second, whatever the settings; one that is broken off counts as failed.
 const OVERDUE: Duration = Duration::from_millis(250);
 
 /// Reads a response as far as it is buffered, and says what it means.
 pub(super) async fn read_response(
     response: Response<Incoming>,
-    buffer_budget: &Rc<Room>,
+    buffer_budget: &Rc<BufferBudget>,
     client_deadline: Instant,
 ) -> AttemptEnd {
     let (head, body) = response.into_parts();
-    // Guards against a response with two framings: the HTTP library would take the chunks and ignore the length, the backend
-    // may have used the length, and the client would get a body that was cut at the wrong byte.
+    // Guards against a response with two framings: the HTTP library would take the chunks and ignore the length, the
+    // backend may have used the length, and the client would get a body that was cut at the wrong byte.
     if head.headers.contains_key(CONTENT_LENGTH) && head.headers.contains_key(TRANSFER_ENCODING) {
         return AttemptEnd::Failed(Outcome::Reset);
     }
     let declined = head.headers.get("srv-declined").is_some_and(|v| v == "1");
     // A response that breaks off is none: the request may have run.
-    let Ok(mut response) = buffer(Paced::new(body, body::BACKEND), buffer_budget).await else {
+    let Ok(mut response) = buffer(RateLimitedBody::new(body, body::BACKEND_RATE_FLOOR), buffer_budget).await
+    else {
         return AttemptEnd::Failed(Outcome::Reset);
     };
     if let Some(remaining) = &mut response.remaining {
@@ -53,19 +54,19 @@
 }
 
 /// Buffers a small body, and of a longer one the first bytes: their arrival is what is measured as the latency.
-async fn buffer(mut body: Paced, buffer_budget: &Rc<Room>) -> io::Result<UpstreamResponse> {
-    let length = body.left();
+async fn buffer(mut body: RateLimitedBody, buffer_budget: &Rc<BufferBudget>) -> io::Result<UpstreamResponse> {
+    let length = body.announced_bytes_left();
     let Some(first) = body.next().await? else {
         return Ok(UpstreamResponse::default());
     };
-    let Some(mut buffer_permit) = buffer_budget.take(length) else {
+    let Some(mut buffer_permit) = buffer_budget.reserve(length) else {
         return Ok(UpstreamResponse { data: first, remaining: Some(body), buffer_permit: None });
     };
     let mut buffered = BytesMut::new();
     buffered.extend_from_slice(&first);
     let complete = match length {
-        Some(_) => body.hold(&mut buffered).await?,
-        None => timeout(BUFFERING_TIMEOUT, body.hold(&mut buffered)).await.unwrap_or(Ok(false))?,
+        Some(_) => body.read_into(&mut buffered).await?,
+        None => timeout(BUFFERING_TIMEOUT, body.read_into(&mut buffered)).await.unwrap_or(Ok(false))?,
     };
     buffer_permit.shrink(buffered.len());
     let remaining = (!complete).then_some(body);
--- a/tests/unit/proxy/downstream.rs
+++ b/tests/unit/proxy/downstream.rs
@@ -17,7 +17,8 @@
 
 fn downstream() -> Rc<Downstream> {
     let platform = load_balancer::platform_settings::parse(settings().to_string().as_bytes()).expect("sound");
-    let (counters, buffer_budget) = (Counters::new(platform.site.classes.clone()), Room::new(1 << 20));
+    let (counters, buffer_budget) =
+        (Counters::new(platform.site.classes.clone()), BufferBudget::new(1 << 20));
     let processes = watch::Sender::new(1);
     let limits = Limits {
         connections: 8,
--- a/tests/unit/proxy/io.rs
+++ b/tests/unit/proxy/io.rs
@@ -25,7 +25,7 @@
             other(&mut far).await;
             drop(far);
             assert!(!answer.await.expect("no panic"), "nobody answers");
-            progress.whole()
+            progress.is_written()
         })
         .await
 }
@@ -68,7 +68,7 @@
         far.read_buf(&mut seen).await.expect("it begins");
         progress.abandon();
         far.read_to_end(&mut seen).await.expect("it ends");
-        assert!(seen.len() < 60_000 && !progress.whole(), "{} bytes", seen.len());
+        assert!(seen.len() < 60_000 && !progress.is_written(), "{} bytes", seen.len());
         assert!(!answer.await.expect("no panic"), "nobody answers");
     };
     LocalSet::new().run_until(run).await;
@@ -82,7 +82,7 @@
         for bytes in text.as_bytes().chunks(part) {
             progress.head.borrow_mut().as_mut().expect("awaited").read(bytes);
         }
-        progress.contradicts()
+        progress.has_conflicting_framing()
     };
     for part in [1, 7, 4096] {
         let both = "\r\nPOST / HTTP/1.1\r\nContent-LENGTH: 3\r\nHost: o\r\nTransfer-Encoding : x\r\n";
--- a/tests/unit/proxy/upstream/pool.rs
+++ b/tests/unit/proxy/upstream/pool.rs
@@ -15,7 +15,7 @@
         drain_grace: Duration::from_millis(500),
         may_duplicate: true,
     };
-    Pool::new(limits, Rc::default(), Room::new(1 << 20))
+    Pool::new(limits, Rc::default(), BufferBudget::new(1 << 20))
 }
 
 /// What lies in the system unread when a request is about to be written, though the reactor has not told of it yet: no
@@ -45,7 +45,7 @@
             let request = Request::get("/").header("host", "b").body(body).expect("well formed");
             let answer = link.sender.send_request(request).await;
             assert!(answer.is_err(), "{said:?} passed for an answer");
-            assert!(!link.progress.whole(), "{said:?}: the request was written all the same");
+            assert!(!link.progress.is_written(), "{said:?}: the request was written all the same");
             drop(link);
             let mut heard = Vec::new();
             let _ = far.read_to_end(&mut heard); // a close over unread bytes resets
