--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -11,11 +11,11 @@
 //! - on a tick, if its time in its queue is over: an eighth of the shortest latency objective at the tier
 //!   that clients reach, a half behind it; if it waits for an endpoint or for its key, the objective of its
 //!   class less the mean latency; at most until two ticks before its deadline;
-//! - outside, by the proxy: over `max_open_requests`, late in a stop, on a connection over the limit.
+//! - outside, by the proxy: over `max_open_requests`, late in a stop, on a busy connection over the limit.
 //!
-//! A request that is shed, or whose attempts have failed, is answered by [`Balancer::reject_or_fail`]:
-//! rejected with a Retry-After between one and two eighths of its class's objective, if a further try is
-//! harmless.
+//! [`Balancer::reject_or_fail`] answers those it sheds, and those whose attempts failed: rejected if a
+//! further try is harmless, with a Retry-After (where the site has it) of one to two eighths of the class's
+//! objective. What the proxy itself sheds has no Retry-After.
 
 use super::Balancer;
 use super::priority::{SAME_PRIORITY, priorities};
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -28,7 +28,7 @@
     /// Answers that `relative_latency` covers.
     pub(super) samples: f64,
     pub(super) error_rate: f64,
-    /// When a trial may return it to service; 0 while it is in service.
+    /// From when on it may get a trial; 0 while it is in service.
     pub(super) ejected_until_ms: f64,
     /// Ejections since it was last returned to service.
     pub(super) ejections: u32,
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -1,19 +1,21 @@
 //! Outlier detection: when an endpoint is ejected from service, and how it returns.
 //!
 //! An endpoint is ejected
-//! - for errors, after a failed call: its error rate is over max(0.35, min(3 e, (1 + e) / 2)), where e is the
-//!   error rate over all endpoints;
-//! - for slowness, after an answer: its mean relative latency is over 2.5, by more than eight samples;
+//! - for errors, after a failed call: its error rate is over max(0.35, min(3 e, (1 + e) / 2)), where e is
+//!   the error rate over all endpoints;
+//! - for slowness, after an answer or a late cancellation: its mean relative latency is over 2.5, by more
+//!   than eight samples;
 //! - for a hang, on a tick: it is silent while others answer, for so long that eight answers were due.
 //!
 //! At most half of the endpoints are ejected, but always one may be: beyond that the cause is shared, and
 //! none is at fault.
 //!
 //! It stays out for 2 s, doubled with each further ejection up to 16 s. Then it may get a trial: one request
-//! at a time, of a class that may run twice. A trial that succeeds, with an error rate below 0.15 and a
-//! relative latency below 1.25, returns it to service. One that ends in an error, a reset or a failed
-//! connect, or that shows it too slow, ejects it again; any other (a timeout, a rejection, a malformed
-//! request) leaves it ejected and due for the next trial.
+//! at a time, of a class that may run twice. A successful answer with an error rate below 0.15 and a relative
+//! latency below 1.25 returns it to service. An error, a reset or a failed connect ejects it again, as does a
+//! trial that is too slow or hangs; any other end leaves it ejected and due for the next trial. Calls that
+//! were in flight at the ejection count alike: their failures lengthen it, their good answers may end it
+//! early.
 
 use super::Balancer;
 use super::endpoints::{Endpoint, Endpoints};
@@ -91,7 +93,7 @@
         now_ms >= self.ejected_until_ms && self.calls.is_empty()
     }
 
-    /// Whether the last answer, a trial's, returns it to service.
+    /// Whether the last answer, a trial's or that of a call from before the ejection, returns it to service.
     pub(super) fn passes_trial(&self, relative_latency: f64) -> bool {
         self.ejected() && self.error_rate < RETURN_ERROR_RATE && relative_latency < RETURN_RELATIVE_LATENCY
     }
@@ -172,8 +174,8 @@
         self.error_rate += (1.0 - self.error_rate) * OVERALL_ERROR_SMOOTHING;
     }
 
-    /// Whether an endpoint whose call failed is ejected, or ejected again after a trial. Where most calls
-    /// fail, three times the overall error rate cannot be reached: half-way from it to 1 is enough.
+    /// Whether an endpoint whose call failed is ejected, or ejected again. Where most calls fail, three times
+    /// the overall error rate cannot be reached: half-way from it to 1 is enough.
     pub(super) fn has_too_many_errors(&self, endpoint: &Endpoint) -> bool {
         let shared = (EJECTION_ERROR_RATIO * self.error_rate).min((1.0 + self.error_rate) / 2.0);
         endpoint.ejected() || endpoint.error_rate > shared.max(EJECTION_ERROR_RATE)
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -7,14 +7,15 @@
 //! - for a request that may have run, the retry budget has a token;
 //! - an endpoint can take it (`selection`).
 //!
-//! Otherwise it waits in its slice's queue, if no attempt can have run and time is left, or is given up
-//! ([`Balancer::reject_or_fail`]).
+//! Otherwise it waits in its slice's queue, if no attempt can have run, its queue time is not over, and it
+//! has attempts and its body left; or it is given up ([`Balancer::reject_or_fail`]).
 
 use super::Balancer;
 use super::request::Request;
 use crate::interface::*;
 
-/// Tokens that each request adds to the retry budget: retries are at most a tenth of the requests, no storm.
+/// Tokens that each request adds to the retry budget: retries of what may have run are at most a tenth of the
+/// requests, beside a burst of [`MIN_BUDGET_TOKENS`].
 const TOKENS_PER_REQUEST: f64 = 0.1;
 /// Tokens that the budget holds at least when full, and at the start.
 const MIN_BUDGET_TOKENS: f64 = 10.0;
--- a/src/bin/proxy/body/buffer_budget.rs
+++ b/src/bin/proxy/body/buffer_budget.rs
@@ -10,7 +10,7 @@
 /// The bytes that are left for buffered bodies.
 ///
 /// Failure: many bodies are buffered at once and exceed the memory limit. A body that gets no reservation is streamed,
-/// as a long one is, and cannot be sent again.
+/// as a long one is, and cannot be sent again once an attempt has read a part of it.
 pub struct BufferBudget(Cell<usize>);
 
 /// Bytes reserved for one body; returned to the budget when dropped.
--- a/src/bin/proxy/body/rate_floor.rs
+++ b/src/bin/proxy/body/rate_floor.rs
@@ -29,12 +29,12 @@
 
 /// For clients that send a request.
 ///
-/// Failure: a client stops in the middle of its request and holds a connection and memory. It is answered within 3 s of
-/// connecting; proper clients send 64 kB a second. No deadline counts before the last byte, so that no setting bears on
-/// this.
+/// Failure: a client stops in the middle of its request and holds a connection and memory. It is ended 2 s after its last
+/// byte, or once the slack is used up; proper clients send 64 kB a second. No deadline counts before the last byte, so that
+/// no setting bears on this.
 pub const CLIENT_RATE_FLOOR: RateFloor =
     RateFloor { stall: Duration::from_secs(2), slack: Duration::from_secs(5), bytes_per_s: 16_000.0 };
-/// For backends that send a long response, which is passed on however slow it is above this.
+/// For the response of a backend; a long one is passed on however slow it is above this.
 pub const BACKEND_RATE_FLOOR: RateFloor =
     RateFloor { stall: Duration::from_secs(10), slack: Duration::from_secs(60), bytes_per_s: 1000.0 };
 
--- a/src/bin/proxy/body/remaining.rs
+++ b/src/bin/proxy/body/remaining.rs
@@ -22,7 +22,7 @@
     InProgress,
     /// All of it; the last byte at this time.
     Complete(Instant),
-    /// A part of it, and no more will be: its client stopped or left, or it is too long.
+    /// No more will be received: its client stopped or left, it is too long, or it was withdrawn.
     Broken,
 }
 
--- a/src/bin/proxy/downstream/mod.rs
+++ b/src/bin/proxy/downstream/mod.rs
@@ -31,7 +31,8 @@
     pub lifecycle: Rc<Lifecycle>,
     /// Most connections at once, of all processes together.
     pub connections: usize,
-    /// Connections beyond that limit, accepted only to have their requests rejected at once.
+    /// Connections beyond that limit. Their requests are rejected while as many requests are unanswered as this process
+    /// may have connections.
     pub spare: usize,
     /// Budget of the bodies that are buffered.
     pub buffer_budget: Rc<BufferBudget>,
--- a/src/bin/proxy/engine/request.rs
+++ b/src/bin/proxy/engine/request.rs
@@ -34,7 +34,8 @@
     },
     /// Every attempt that was allowed failed; it may have run.
     UpstreamFailed,
-    /// No response before the client's deadline; it may have run.
+    /// No response before the client's deadline, and the module had not ended it before; it may have run. The module's own
+    /// timeout is earlier and ends as `Rejected` or `UpstreamFailed`.
     DeadlineExceeded,
     /// Its client closed its connection, or stopped in the middle of the body.
     ClientGone,
--- a/src/bin/proxy/io/client.rs
+++ b/src/bin/proxy/io/client.rs
@@ -78,7 +78,8 @@
 }
 
 impl Client {
-    /// Whether the client has closed its connection, its sending direction, or reset it, as far as the system knows.
+    /// Whether the client has closed its connection, its sending direction, or reset it, as far as the system
+    /// knows, or has sent more than [`MAX_BODY_BYTES`] behind its request.
     pub fn has_left(&self) -> bool {
         let stream = self.stream.borrow();
         let ahead = &mut *self.ahead.borrow_mut();
@@ -184,7 +185,7 @@
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let ended = Pin::new(&mut self.write).poll_shutdown(cx);
         if ended.is_ready() {
-            // What is read from now on is discarded by the HTTP library too, so that gaps in it do no harm.
+            // What is read from now on is discarded by `LingeringClose`, so that gaps in it do no harm.
             self.client.ahead.borrow_mut().discarded = 0;
         }
         ended
--- a/src/bin/proxy/upstream/attempt.rs
+++ b/src/bin/proxy/upstream/attempt.rs
@@ -92,8 +92,9 @@
     }
 }
 
-/// The end of an attempt that was cancelled or timed out. Without its last byte a request does not run, and how fast its
-/// client sends says nothing of the backend.
+/// The end of an attempt that was cancelled or timed out. A request whose client has not sent its last byte cannot have
+/// run, and how fast a client sends says nothing of the backend. Any other counts as one that may have run, also if nothing
+/// of it was written.
 fn end_without_response(call: &UpstreamRequest, cause: Outcome) -> AttemptEnd {
     AttemptEnd::Failed(if call.is_complete() { cause } else { Outcome::NotSent })
 }
--- a/src/bin/registry/store/recovery.rs
+++ b/src/bin/registry/store/recovery.rs
@@ -95,8 +95,9 @@
 /// Applies the log's records to the state, and cuts the log after the last intact one. Returns its length then.
 ///
 /// Failure: a crash during a write leaves a frame that is cut short, has the wrong checksum or consists of zeros. How it
-/// shows: records appended after it would not be read by the next start, although they were answered as stored. Why the
-/// cut is safe: the torn write was never synced, so it was never answered.
+/// shows: records appended after it would not be read by the next start, although they were answered as stored. Why the cut
+/// is safe: a torn write was never synced, so it was never answered. Where the disk has damaged an older record, answered
+/// ones behind it are lost too; the gap below the start covers their versions.
 fn replay_log(file: &mut File, state: &mut State, report: &mut RecoveryReport) -> Result<u64, OpenError> {
     let mut bytes = Vec::new();
     file.read_to_end(&mut bytes)?;
--- a/src/bin/registry/writer/commit.rs
+++ b/src/bin/registry/writer/commit.rs
@@ -17,8 +17,9 @@
 pub(super) type CommitResult = Result<(), String>;
 
 impl Writer {
-    /// Writes a batch. Afterwards the leases, the deadlines and the route table agree with the disk, whether the write
-    /// succeeded or failed. Returns the replies that are due, and the result that they depend on.
+    /// Writes a batch. Afterwards the leases and the route table agree with the disk, whether the write succeeded or
+    /// failed; ends of TTLs that could not be written are due again. The deadlines that the batch's registrations have
+    /// set stay also after a failure. Returns the replies that are due, and the result that they depend on.
     pub(super) fn commit(&mut self, batch: Batch, now: Instant) -> (Vec<PendingReply>, CommitResult) {
         let Batch { registrations, expired, lease_changes, route_decision, replies } = batch;
         let mut records = records(&self.shared.state(), registrations, &expired);
--- a/src/bin/registry/writer/decide.rs
+++ b/src/bin/registry/writer/decide.rs
@@ -52,7 +52,7 @@
 }
 
 impl Writer {
-    /// Decides on every request, then on entries and leases whose TTL is over.
+    /// Decides on the route table's tick, then on every request, then on entries and leases whose TTL is over.
     ///
     /// Renewals of entries go first. Failure: a renewal that arrived in time but shares its batch with the end of the
     /// TTL would find its entry ended. A lease has no such grace: [`LeaseTable::request`] rejects its renewal once the
--- a/src/bin/registry/writer/mod.rs
+++ b/src/bin/registry/writer/mod.rs
@@ -7,7 +7,7 @@
 //! 2. decide (`decide.rs`): each request is checked against the state and becomes records, or an error. Entries and
 //!    leases whose TTL is over become records of their end. Renewals of entries count before these ends.
 //! 3. commit (`commit.rs`): the records are appended to the log and synced. Only then they are applied to the state,
-//!    where watches and lists see them. If the disk fails, all decisions of the batch are undone.
+//!    where watches and lists see them. If the disk fails, nothing of the batch is applied.
 //! 4. answer (`answer.rs`): each caller gets its reply, a success only if its records are on disk.
 //!
 //! The thread owns the log, the leases and the deadlines of the entries. It shares the state with the serving side by
--- a/src/client/traffic.rs
+++ b/src/client/traffic.rs
@@ -1,6 +1,6 @@
 //! Counts of a client's control traffic: messages and bytes, by kind.
 //!
-//! A [`Traffic`] owns the counts; its clones share them. Calls count their messages, a [`MeteredStream`] counts the
+//! A [`Traffic`] owns the counts; its clones share them. Calls count their messages, a `MeteredStream` counts the
 //! bytes of its connection under the kind of the call that the connection carries.
 
 use std::cell::Cell;
--- a/src/replay/common_random_numbers.rs
+++ b/src/replay/common_random_numbers.rs
@@ -2,7 +2,7 @@
 //! (seed, request, attempt), so that replays of two route tables meet the same random numbers and differ only by their
 //! tables.
 
-/// The sequence of random numbers of one attempt of one request.
+/// The sequence of random numbers of one attempt of a request, or of its arrival (`attempt` is `u64::MAX`).
 pub(super) struct CommonRandomNumbers {
     state: u64,
 }
--- a/src/replay/evaluate.rs
+++ b/src/replay/evaluate.rs
@@ -1,10 +1,11 @@
 //! Evaluates a proposed route table against the recorded traffic.
 //!
-//! The registry calls [`judge`] once for each proposal. It answers in this order:
+//! The registry calls [`judge`] for each evaluation of a proposal: once, and again if the endpoint list changes or the
+//! registry starts anew. It answers in this order:
 //! - the records do not suffice (`cannot_tell`);
 //! - the back-test fails: the table in force, replayed, does not give what was recorded (`cannot_tell`);
 //! - the proposal breaks a bound (`refuse`), with the largest step towards it that would pass, found by bisection;
-//! - the proposal sends a backend more calls than were ever observed there (`cannot_tell`);
+//! - the proposal brings a backend clearly more calls in flight than were ever observed there (`cannot_tell`);
 //! - none of these (`admit`).
 
 use super::backtest::{self, Errors};
@@ -19,7 +20,7 @@
 const WARM_UP_SHARE: f64 = 0.25;
 /// Longest time (ms) that is left out.
 const MAX_WARM_UP_MS: f64 = 15_000.0;
-/// Recorded requests without which no verdict is given.
+/// Recorded requests below which the coverage counts as 0.
 const MIN_REQUESTS: usize = 200;
 /// Bisections between the table in force and the proposal in search of the largest step that passes.
 const BISECTION_STEPS: u32 = 8;
--- a/src/replay/job.rs
+++ b/src/replay/job.rs
@@ -22,7 +22,7 @@
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
-    /// Share of the fleet's requests of which there must be records, or that the sampling stands for.
+    /// Share of the fleet's time in the window, less dropped traces, of which there must be records.
     pub coverage: f64,
     /// Length of the records that are used, up to the newest, ms.
     pub span_ms: f64,
--- a/src/replay/model/load.rs
+++ b/src/replay/model/load.rs
@@ -60,7 +60,7 @@
         LoadCurve::fit(&calls.iter().step_by(stride).map(sample).collect::<Vec<_>>())
     }
 
-    /// Calls in flight from which each backend rejects calls; infinite where rejections do not come with load.
+    /// Calls in flight above which each backend rejects calls; infinite where rejections do not come with load.
     pub(super) fn rejects_from(&self) -> Vec<f64> {
         let mut served = vec![Vec::new(); self.records.backends.len()];
         let mut rejected = vec![Vec::new(); self.records.backends.len()];
--- a/src/replay/model/mod.rs
+++ b/src/replay/model/mod.rs
@@ -36,7 +36,7 @@
     conditions: Conditions,
     /// Latency (ms) between the zones, by proxy, then by backend.
     zone_latency_ms: Vec<f64>,
-    /// Calls in flight from which a backend rejects calls; infinite where it does not. By backend.
+    /// Calls in flight above which a backend rejects calls; infinite where it does not. By backend.
     rejects_from: Vec<f64>,
     /// Time (ms) after which calls fail, by kind of failure.
     failed_after_ms: Vec<Quantiles>,
--- a/src/replay/model/zone_latency.rs
+++ b/src/replay/model/zone_latency.rs
@@ -1,24 +1,24 @@
 //! The latency between zones: what a call to another zone takes more than one within the backend's own zone.
 //!
-//! For each backend and class, the fastest tenth of the answers to one zone is compared with that of the answers to the
-//! backend's own zone; the median of the differences over backends and classes is taken.
+//! For each backend and class, the 10th percentile of the latencies of answers to one zone is compared with that of the
+//! answers to the backend's own zone; the median of the differences over backends and classes is taken.
 
 use super::fit::is_answered;
 use crate::replay::quantiles::Quantiles;
 use crate::replay::recorded_traffic::RecordedTraffic;
 use std::collections::BTreeMap;
 
-/// Answers to one zone, of one backend and class, from which their fastest tenth is used.
+/// Answers to one zone, of one backend and class, from which their 10th percentile is used.
 const MIN_ANSWERS: usize = 30;
 
 /// The latency (ms) between the zones of each proxy and each backend, by proxy, then by backend; 0 where it is unknown.
 pub(super) fn zone_latency_ms(records: &RecordedTraffic) -> Vec<f64> {
-    let fastest = fastest_tenths_ms(records);
+    let tenth_percentiles = tenth_percentiles_ms(records);
     let mut differences: BTreeMap<(&str, &str), Vec<f64>> = BTreeMap::new();
-    for (&(zone, backend, class), &remote_ms) in &fastest {
+    for (&(zone, backend, class), &remote_ms) in &tenth_percentiles {
         let home = records.backends[backend as usize].zone.as_str();
         if home != zone
-            && let Some(local_ms) = fastest.get(&(home, backend, class))
+            && let Some(local_ms) = tenth_percentiles.get(&(home, backend, class))
         {
             differences.entry((zone, home)).or_default().push(remote_ms - local_ms);
         }
@@ -38,7 +38,7 @@
 }
 
 /// The 10th percentile (ms) of the waits for answers, by the proxy's zone, backend and class.
-fn fastest_tenths_ms(records: &RecordedTraffic) -> BTreeMap<(&str, u32, u16), f64> {
+fn tenth_percentiles_ms(records: &RecordedTraffic) -> BTreeMap<(&str, u32, u16), f64> {
     let mut waits: BTreeMap<(&str, u32, u16), Vec<f64>> = BTreeMap::new();
     for call in records.calls.iter().filter(|call| is_answered(call)) {
         let zone = records.proxies[call.proxy as usize].zone.as_str();
--- a/src/replay/simulation/arrivals.rs
+++ b/src/replay/simulation/arrivals.rs
@@ -18,7 +18,7 @@
     pub(super) at_ms: f64,
     /// Index of the recorded request.
     pub(super) recorded: u32,
-    /// 0 for the recorded request itself, else the number of the one that it stands for.
+    /// 0 for the recorded request itself, else the number, from 1, of the request that was not recorded.
     pub(super) replica: u32,
 }
 
--- a/src/replay/simulation/mod.rs
+++ b/src/replay/simulation/mod.rs
@@ -96,7 +96,7 @@
             tally: Tally::new(records.backends.len(), records.classes.len(), warm_up_ms),
         };
         for (index, recorded) in (0..).zip(&records.proxies) {
-            // The recording proxy checked its settings by the same rule: one that fails here takes no part.
+            // The merge of the records has dropped proxies with settings that the module refuses, so that none fails here.
             if let Ok(balancer) = Balancer::new(recorded.settings.clone(), seed ^ recorded.seed) {
                 simulation.start_proxy(index, balancer, weights);
             }
--- a/src/route_table/rollout/mod.rs
+++ b/src/route_table/rollout/mod.rs
@@ -19,7 +19,7 @@
 //! | `stopped` | proxies with the table do significantly worse than those without | `StageReview::stop_if_worse` |
 //! | `stopped` | a greater share of them drifts | `StageReview::stop_if_drifting` |
 //! | `stopped` | a check still waits `stage_timeout_ms` after the counts of the stage began ([`StageProgress::since_ms`]) | `StageReview::wait_or_time_out` |
-//! | `stopped` | the fleet has revisions that this registry never issued, before any proxy got the table | `Control::decide_rollout` |
+//! | `stopped` | the fleet has revisions that this registry never issued, before any proxy got the table, and no operator overrode that | `Control::decide_rollout` |
 
 mod review;
 mod stage;
