--- a/src/bin/proxy/downstream/handle.rs
+++ b/src/bin/proxy/downstream/handle.rs
@@ -1,11 +1,11 @@
 //! Handles one request from its head to its response, phase by phase.
 //!
-//! Acts for each request on a client's connection, also for `/health/ready`. Owns nothing beyond the request; in what order
-//! the phases run is written in [`Downstream::handle_request`] and nowhere else.
+//! Acts for each request on a client's connection, also for `/health/ready`. In what order the phases run is written in
+//! [`Downstream::handle_request`] and nowhere else.
 
 use super::Downstream;
 use super::respond::{Reply, closing, plain, respond};
-use crate::body::{Flow, Rest};
+use crate::body::{BodyState, RemainingBody};
 use crate::counters::RequestRecord;
 use crate::engine::{AdmittedRequest, NotAdmitted, ParsedRequest, RequestEnd};
 use crate::io::{Client, Progress};
@@ -38,8 +38,9 @@
 }
 
 impl Downstream {
-    /// The way of a request: `read_request` -> `admit` -> (`select_endpoint` -> `connect` -> `forward` -> `await_response` in
-    /// the engine, again for each retry) -> `respond` -> `account`.
+    /// The way of a request: `read_request` -> `admit` -> (`select_endpoint` -> `connect` -> `forward` -> `await_response`,
+    /// again for each retry) -> `respond` -> `account`. The balancer selects the endpoint, the engine starts the attempt,
+    /// and `connect` to `await_response` are in `upstream/`.
     pub(super) async fn handle_request(
         &self,
         request: Request<Incoming>,
@@ -72,16 +73,16 @@
 
     /// The status of `/health/ready`.
     fn readiness(&self) -> StatusCode {
-        let ready = self.engine.is_ready() && self.lifecycle.phase().accepts_clients();
+        let ready = self.engine.is_ready() && self.lifecycle.phase().keeps_connections();
         if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }
     }
 
-    /// Whether a client's connection is closed after its response. Clients that send one request and stay connected would soon
-    /// hold all connections: as those run short, none is kept.
+    /// Whether a client's connection is closed after its response. Clients that send one request and stay connected would
+    /// soon hold all connections: as those run short, none is kept.
     fn must_close(&self, client: &Client) -> bool {
         2 * self.open.get() > self.own_connections()
-            || !self.lifecycle.phase().accepts_clients()
-            || client.spilt()
+            || !self.lifecycle.phase().keeps_connections()
+            || client.has_discarded()
     }
 
     /// Admits a request, waits for its end, and responds.
@@ -92,9 +93,9 @@
         announced: Announced,
         source: RequestSource<'_>,
     ) -> Reply {
-        let body = request.call.rest.clone();
+        let body = request.call.remaining_body.clone();
         let received_at = request.received_at;
-        source.client.is_at(body.is_none());
+        source.client.set_request_complete(body.is_none());
         let mut ended = pin!(ended(self.engine.admit(request)));
         let Some(body) = body else {
             let end = unless_client_leaves(ended, source.client).await;
@@ -103,23 +104,23 @@
         let complete_or_ended = async {
             tokio::select! {
                 end = &mut ended => return end,
-                flow = body.settled() => body_settled(flow, &mut record, source),
+                state = body.settled() => body_settled(state, &mut record, source),
             }
             ended.await
         };
         let end = unless_client_leaves(complete_or_ended, source.client).await;
         let end = match body.state() {
-            Flow::Whole(at) => self.in_time(end, at),
+            BodyState::Complete(at) => self.in_time(end, at),
             _ => end,
         };
         respond_with_unread_body(end, record, &body, announced)
     }
 
-    /// Guards against a response that is begun and then lost at the kill: one that flows has no end in sight, so that for a
-    /// request that came late after the stop it counts as too late.
+    /// Guards against a response that is begun and then lost at the SIGKILL by the platform: one that flows has no end in
+    /// sight, so that for a request that came late after the stop it counts as too late.
     fn in_time(&self, end: RequestEnd, complete_at: Instant) -> RequestEnd {
         match end {
-            RequestEnd::Served(UpstreamResponse { rest: Some(_), .. })
+            RequestEnd::Served(UpstreamResponse { remaining: Some(_), .. })
                 if self.lifecycle.is_late_request(complete_at) =>
             {
                 RequestEnd::DeadlineExceeded
@@ -141,14 +142,14 @@
     tokio::select! {
         biased;
         end = ended => end,
-        () = client.leaves() => RequestEnd::ClientGone,
+        () = client.wait_until_left() => RequestEnd::ClientGone,
     }
 }
 
 /// The body that flowed is complete or broken off. When complete, an answer is owed, and the next bytes are another head's.
-fn body_settled(flow: Flow, record: &mut RequestRecord, source: RequestSource<'_>) {
-    if flow != Flow::Broken {
-        source.client.is_at(true);
+fn body_settled(state: BodyState, record: &mut RequestRecord, source: RequestSource<'_>) {
+    if state != BodyState::Broken {
+        source.client.set_request_complete(true);
         source.progress.await_head();
         record.complete();
     }
@@ -161,12 +162,12 @@
 fn respond_with_unread_body(
     end: RequestEnd,
     record: RequestRecord,
-    body: &Rest,
+    body: &RemainingBody,
     announced: Announced,
 ) -> Reply {
     let unread = if matches!(end, RequestEnd::Served(_)) { None } else { body.withdraw() };
     match unread {
-        Some(_) if announced.expects_continue && !body.passed() => closing(respond(end, record)),
+        Some(_) if announced.expects_continue && !body.was_passed_on() => closing(respond(end, record)),
         Some(flow) => {
             spawn_local(flow.drain());
             respond(end, record)
--- a/src/bin/proxy/downstream/read_request.rs
+++ b/src/bin/proxy/downstream/read_request.rs
@@ -1,11 +1,11 @@
 //! The phase `read_request`: checks a request's head and reads its body as far as it is buffered.
 //!
-//! Acts once for each request. What cannot be accepted is answered here with its status: no record counts it. Owns nothing.
+//! Acts once for each request. What cannot be accepted is answered here with its status: no record counts it.
 
 use super::Downstream;
 use super::handle::RequestSource;
 use super::respond::{Reply, plain};
-use crate::body::{self, Held, Paced, Rest};
+use crate::body::{self, BufferReservation, RateLimitedBody, RemainingBody};
 use crate::counters::RequestRecord;
 use crate::engine::{ParsedRequest, millis};
 use crate::upstream::UpstreamRequest;
@@ -39,10 +39,10 @@
 
 /// A body as far as it was read.
 struct BufferedBody {
-    held: Bytes,
+    buffered: Bytes,
     /// What follows that; `None` where the body is complete.
-    rest: Option<Paced>,
-    room: Option<Held>,
+    remaining: Option<RateLimitedBody>,
+    buffer_permit: Option<BufferReservation>,
 }
 
 impl Downstream {
@@ -54,11 +54,13 @@
     ) -> Result<(ParsedRequest, RequestRecord), ErrorReply> {
         let (head, body) = request.into_parts();
         let checked = self.check_head(&head.method, &head.uri, &head.headers, body.is_end_stream())?;
-        let BufferedBody { held, rest, room } = self.buffer_body(body, &head.headers).await?;
+        let BufferedBody { buffered, remaining, buffer_permit } =
+            self.buffer_body(body, &head.headers).await?;
         let received_at = Instant::now();
         let client = Rc::downgrade(source.client);
-        let is_complete = rest.is_none();
-        let rest = rest.map(|body| Rc::new(Rest::new(body, checked.client_timeout, client.clone())));
+        let is_complete = remaining.is_none();
+        let remaining_body =
+            remaining.map(|body| Rc::new(RemainingBody::new(body, checked.client_timeout, client.clone())));
         let mut record = self.counters.record(checked.class);
         if is_complete {
             source.progress.await_head();
@@ -71,10 +73,10 @@
             host: head.headers.get(HOST).cloned(),
             id: checked.id,
             key: checked.idempotency_key,
-            held,
-            rest,
+            buffered_body: buffered,
+            remaining_body,
             client,
-            _room: room,
+            _buffer_permit: buffer_permit,
             client_deadline: received_at + checked.client_timeout,
         };
         let parsed = ParsedRequest {
@@ -137,12 +139,12 @@
         Some(Duration::from_millis(timeout_ms).min(longest))
     }
 
-    /// Reads a body as far as it is small and the buffer budget allows. What cannot be buffered is read only once there is a
-    /// backend to pass it on to.
+    /// Reads a body as far as it is small and the buffer budget allows. What cannot be buffered is read only once there is
+    /// a backend to pass it on to.
     async fn buffer_body(&self, body: Incoming, headers: &HeaderMap) -> Result<BufferedBody, ErrorReply> {
-        let mut body = Paced::new(body, body::CLIENT);
-        let length = body.left();
-        if length.is_some_and(|n| n > body::LARGEST) {
+        let mut body = RateLimitedBody::new(body, body::CLIENT_RATE_FLOOR);
+        let length = body.announced_bytes_left();
+        if length.is_some_and(|n| n > body::MAX_BODY_BYTES) {
             // Guards against a response that is lost in a reset over unread bytes. A client that expects a `100 Continue`
             // may well not send the body.
             if !headers.contains_key(EXPECT) {
@@ -150,16 +152,20 @@
             }
             return Err(status(StatusCode::PAYLOAD_TOO_LARGE));
         }
-        let Some(mut room) = self.room.take(length) else {
-            return Ok(BufferedBody { held: Bytes::new(), rest: Some(body), room: None });
+        let Some(mut buffer_permit) = self.buffer_budget.reserve(length) else {
+            return Ok(BufferedBody { buffered: Bytes::new(), remaining: Some(body), buffer_permit: None });
         };
-        let mut held = BytesMut::new();
-        let is_complete = body.hold(&mut held).await.map_err(|e| match e.kind() {
+        let mut buffered = BytesMut::new();
+        let is_complete = body.read_into(&mut buffered).await.map_err(|e| match e.kind() {
             io::ErrorKind::TimedOut => status(StatusCode::REQUEST_TIMEOUT),
             _ => bad_request(),
         })?;
-        room.shrink(held.len());
-        Ok(BufferedBody { held: held.freeze(), rest: (!is_complete).then_some(body), room: Some(room) })
+        buffer_permit.shrink(buffered.len());
+        Ok(BufferedBody {
+            buffered: buffered.freeze(),
+            remaining: (!is_complete).then_some(body),
+            buffer_permit: Some(buffer_permit),
+        })
     }
 }
 
--- a/src/bin/proxy/engine/admit.rs
+++ b/src/bin/proxy/engine/admit.rs
@@ -6,7 +6,7 @@
 use super::clock::millis;
 use super::request::{AnswerState, CallerGuard, ParsedRequest, PendingRequest, RequestEnd, backstop};
 use super::state::hash;
-use crate::body::{Flow, Rest};
+use crate::body::{BodyState, RemainingBody};
 use crate::upstream::{DEADLINE_MARGIN, UpstreamRequest, deadline_margin};
 use load_balancer::interface::{Arrival, Event, Idempotency, RequestId};
 use load_balancer::replay::Ending;
@@ -23,7 +23,7 @@
     received_at: Instant,
     client_timeout: Duration,
     /// The part of its body that is still being received.
-    remaining_body: Option<Rc<Rest>>,
+    remaining_body: Option<Rc<RemainingBody>>,
 }
 
 /// A request that the module never had: too many are open, or the process stops and no time is left for an attempt.
@@ -35,13 +35,13 @@
     /// Hands a request to the module, unless it must not be admitted.
     pub fn admit(self: &Rc<Self>, request: ParsedRequest) -> Result<AdmittedRequest, NotAdmitted> {
         let ParsedRequest { call, class, tenant, key, received_at, client_timeout } = request;
-        // Guards against requests that are sent and then lost at the kill: with no time left for an attempt it is rejected,
-        // and the client may send it to another proxy without harm.
+        // Guards against requests that are sent and then lost at the SIGKILL by the platform: with no time left for an
+        // attempt it is rejected, and the client may send it to another proxy without harm.
         let too_late = |last: Instant| last.saturating_duration_since(received_at) <= DEADLINE_MARGIN;
         if self.last_answer_at.get().is_some_and(too_late) {
             return Err(NotAdmitted);
         }
-        let remaining_body = call.rest.clone();
+        let remaining_body = call.remaining_body.clone();
         let deadline_ms = match &remaining_body {
             // The client's time counts from the last byte, which has not arrived.
             Some(_) => f64::MAX,
@@ -71,12 +71,12 @@
         class: u16,
         answer: oneshot::Sender<RequestEnd>,
     ) -> Result<RequestId, NotAdmitted> {
-        let s = &mut *self.state.borrow_mut();
-        if s.requests.len() >= self.platform.site.max_open_requests {
+        let state = &mut *self.state.borrow_mut();
+        if state.requests.len() >= self.platform.site.max_open_requests {
             return Err(NotAdmitted);
         }
-        let id = s.next_request_id;
-        s.next_request_id += 1;
+        let id = state.next_request_id;
+        state.next_request_id += 1;
         let pending = PendingRequest {
             call: Rc::new(call),
             answer: AnswerState::Pending(answer),
@@ -84,7 +84,7 @@
             dedup_window: self.dedup_window(class),
             first_sent_at: None,
         };
-        s.requests.insert(id, pending);
+        state.requests.insert(id, pending);
         Ok(id)
     }
 
@@ -100,8 +100,8 @@
         self.clock.at(from + allowed - deadline_margin(allowed))
     }
 
-    /// For how long backends recognise repeats of a class by their key. One tick less than the settings say: the module
-    /// looks at its deadlines once a tick.
+    /// For how long backends recognise repeats of a class by their key. One clock step (`tick_ms`) less than the settings
+    /// say, as in the module's own rule (`balancer/retry.rs`).
     fn dedup_window(&self, class: u16) -> Option<Duration> {
         match self.platform.settings.classes[usize::from(class)].idempotency {
             Idempotency::Keyed { dedup_window_ms, .. } => {
@@ -118,12 +118,12 @@
         let engine = self.caller.engine.clone();
         let mut complete_at = self.received_at;
         if let Some(body) = self.remaining_body.take() {
-            let flow = tokio::select! {
+            let state = tokio::select! {
                 biased;
                 end = &mut self.end => return self.caller.note(end.unwrap_or(RequestEnd::UpstreamFailed)),
-                flow = body.settled() => flow,
+                state = body.settled() => state,
             };
-            let Flow::Whole(at) = flow else { return RequestEnd::ClientGone };
+            let BodyState::Complete(at) = state else { return RequestEnd::ClientGone };
             complete_at = at;
             let deadline_ms = engine.deadline_ms(at, self.client_timeout);
             engine.handle_event(Event::BodyComplete { request: self.caller.request, deadline_ms });
--- a/src/bin/proxy/engine/observe.rs
+++ b/src/bin/proxy/engine/observe.rs
@@ -1,6 +1,6 @@
 //! What the engine reports to the observer, where there is one, and the weights of the route table that come back.
 //!
-//! Acts at each arrival, send and end, and where a table or a list changes. Owns no state.
+//! Acts at each arrival, send and end, and where a table or a list changes.
 
 use super::Engine;
 use hyper::header::HeaderValue;
@@ -26,7 +26,7 @@
     }
 
     /// All backends in the list, each with the reason why it gets less traffic than its weight says.
-    pub fn left_out(&self) -> Vec<(BackendId, Option<ExclusionReason>)> {
+    pub fn exclusion_reasons(&self) -> Vec<(BackendId, Option<ExclusionReason>)> {
         let reason = |share| match share {
             TrafficShare::Full => None,
             TrafficShare::Ejected => Some(ExclusionReason::Ejected),
--- a/src/bin/proxy/engine/request.rs
+++ b/src/bin/proxy/engine/request.rs
@@ -1,6 +1,7 @@
 //! A request while it is in the engine, from its admission to its end.
 //!
-//! [`ParsedRequest`] is what the client asks for, [`PendingRequest`] what the engine keeps of it, [`RequestEnd`] how it ended.
+//! [`ParsedRequest`] is what the client asks for, [`PendingRequest`] what the engine keeps of it, [`RequestEnd`] how it
+//! ended.
 
 use super::Engine;
 use crate::upstream::{UpstreamRequest, UpstreamResponse};
@@ -26,7 +27,7 @@
 pub enum RequestEnd {
     /// With a backend's response.
     Served(UpstreamResponse),
-    /// Rejected before any backend ran it; the client may send it again without harm.
+    /// Rejected; another try by the client is harmless.
     Rejected {
         /// How long the client should wait before that, where the module says so.
         retry_after: Option<Duration>,
@@ -55,10 +56,11 @@
     pub client_timeout: Duration,
 }
 
-/// Whether the request has its one answer. The channel to the client is used up by it.
+/// Whether the request still awaits its one answer. The channel to the client is used up by it.
 pub(super) enum AnswerState {
     Pending(oneshot::Sender<RequestEnd>),
-    Sent,
+    /// Answered, or its client has gone.
+    Closed,
 }
 
 /// An attempt that has not ended.
@@ -85,8 +87,8 @@
         matches!(self.answer, AnswerState::Pending(_))
     }
 
-    /// Until when a further attempt may begin. Guards against a request that runs twice: past the window, backends no longer
-    /// recognise a repeat. It counts from the first attempt that may have run, and one in flight may.
+    /// Until when a further attempt may begin. Guards against a request that runs twice: past the window, backends no
+    /// longer recognise a repeat. It counts from the first attempt that may have run, and one in flight may.
     pub(super) fn begin_by(&self) -> Option<Instant> {
         let in_flight = self.attempts.iter().flatten().map(|attempt| attempt.sent_at);
         Some(in_flight.chain(self.first_sent_at).min()? + self.dedup_window?)
@@ -94,7 +96,7 @@
 
     /// Ends it towards the client, unless it has ended.
     pub(super) fn end(&mut self, end: RequestEnd) {
-        if let AnswerState::Pending(client) = std::mem::replace(&mut self.answer, AnswerState::Sent) {
+        if let AnswerState::Pending(client) = std::mem::replace(&mut self.answer, AnswerState::Closed) {
             // The receiver is gone when the client has just left; its `CallerGuard` reports that.
             let _ = client.send(end);
         }
@@ -102,8 +104,8 @@
 
     /// Its client has gone: what of its body was not written is never written.
     pub(super) fn abandon(&mut self) {
-        self.answer = AnswerState::Sent;
-        if let Some(body) = &self.call.rest {
+        self.answer = AnswerState::Closed;
+        if let Some(body) = &self.call.remaining_body {
             body.withdraw();
         }
     }
@@ -136,10 +138,10 @@
 
     /// Takes the request from its client; whether it was unanswered.
     fn abandon_unanswered(&self) -> bool {
-        let s = &mut *self.engine.state.borrow_mut();
-        let pending = s.requests.get_mut(&self.request).filter(|pending| pending.is_unanswered());
+        let state = &mut *self.engine.state.borrow_mut();
+        let pending = state.requests.get_mut(&self.request).filter(|pending| pending.is_unanswered());
         let was_unanswered = pending.map(PendingRequest::abandon).is_some();
-        s.remove_if_done(self.request);
+        state.remove_if_done(self.request);
         was_unanswered
     }
 }
--- a/src/bin/proxy/lifecycle.rs
+++ b/src/bin/proxy/lifecycle.rs
@@ -1,7 +1,7 @@
-//! Whether this process accepts clients: one state, changed by the ops address and by SIGTERM.
+//! Whether this process keeps clients or drains: one state, changed by the ops address and by SIGTERM.
 //!
-//! Watched by the listener and by each client's connection. Owns the phase of the process and the time of its stop; the times
-//! that the platform sets for a stop are the constants below.
+//! Watched by the listener and by each client's connection. Owns the phase of the process and the time of its stop; the
+//! times that the platform sets for a stop are the constants below.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -9,8 +9,8 @@
 use tokio::time::{Instant, sleep};
 
 /// New connections are accepted for so long after readiness says no, and an idle connection is kept for so long, for a last
-/// request whose response closes it. The platform sends new connections for 0.4 s at the most, and kills no sooner than 0.7 s
-/// after SIGTERM, whatever the deadlines.
+/// request whose response closes it. The platform sends new connections for 0.4 s at the most, and kills no sooner than 0.7
+/// s after SIGTERM, whatever the deadlines.
 pub const DRAIN_DELAY: Duration = Duration::from_millis(500);
 
 /// The platform kills 0.7 s after the longest client timeout from SIGTERM on, of which no more than this counts.
@@ -42,8 +42,9 @@
 }
 
 impl Phase {
-    /// Whether clients are accepted and their connections kept.
-    pub fn accepts_clients(self) -> bool {
+    /// Whether clients' connections are kept after a response, and readiness may say yes. New connections are accepted
+    /// while draining too, and for [`DRAIN_DELAY`] more when stopping.
+    pub fn keeps_connections(self) -> bool {
         self == Phase::Serving
     }
 
@@ -90,12 +91,12 @@
         self.change_to(Phase::Draining)
     }
 
-    /// Accepts clients again; whether it does so now.
+    /// Ends a drain; whether it serves now.
     pub fn resume(&self) -> bool {
         self.change_to(Phase::Serving)
     }
 
-    /// Stops accepting clients, for good.
+    /// Begins the stop, for good: new connections are accepted for [`DRAIN_DELAY`] more.
     pub fn stop(&self) {
         self.stopped_at.set(Some(Instant::now()));
         self.phase.send_replace(Phase::Stopping);
@@ -116,7 +117,7 @@
 
     /// Waits until the process has drained for [`DRAIN_DELAY`]: from then on an idle connection is to be closed. A resume
     /// before that starts the wait anew.
-    pub async fn released(&self) {
+    pub async fn drain_delay_over(&self) {
         let mut phase = self.phase.subscribe();
         loop {
             // An error would mean that the sender is gone; it is a field of this one.
--- a/src/bin/proxy/upstream/attempt.rs
+++ b/src/bin/proxy/upstream/attempt.rs
@@ -40,11 +40,11 @@
     /// Carries the attempt out and reports its end, once.
     pub async fn run(self, pool: Rc<Pool>, report: impl FnOnce(AttemptEnd)) {
         let Attempt { call, target, deadline, begin_by, cancelled } = self;
-        let mut early_end = pin!(given_up(&call, deadline, cancelled));
+        let mut cancel_or_timeout = pin!(cancelled_or_timed_out(&call, deadline, cancelled));
         let link = tokio::select! {
             biased;
-            // Given up in the very step in which the connection was established, nothing is written to it.
-            outcome = &mut early_end => return report(unanswered(&call, outcome)),
+            // Cancelled or timed out in the very step in which the connection was established, nothing is written to it.
+            outcome = &mut cancel_or_timeout => return report(end_without_response(&call, outcome)),
             link = connect(&pool, &call, &target) => link,
         };
         let link = match link {
@@ -61,21 +61,25 @@
         let outcome = tokio::select! {
             biased;
             end = &mut exchange => return report(end),
-            outcome = &mut early_end => outcome,
+            outcome = &mut cancel_or_timeout => outcome,
         };
-        let written = progress.whole();
+        let written = progress.is_written();
         if !written {
             progress.abandon();
         }
-        report(unanswered(&call, outcome));
+        report(end_without_response(&call, outcome));
         if written && pool.limits.may_duplicate {
             drain_superseded(&pool, exchange).await;
         }
     }
 }
 
-/// Waits until the attempt is given up, by its deadline or by the module.
-async fn given_up(call: &UpstreamRequest, deadline: Instant, cancelled: oneshot::Receiver<()>) -> Outcome {
+/// Waits until the attempt's deadline has passed or the module cancels it.
+async fn cancelled_or_timed_out(
+    call: &UpstreamRequest,
+    deadline: Instant,
+    cancelled: oneshot::Receiver<()>,
+) -> Outcome {
     let cancelled = async {
         if cancelled.await.is_err() {
             pending().await
@@ -88,10 +92,10 @@
     }
 }
 
-/// The end of an attempt that was given up. Without its last byte a request does not run, and how fast its client sends says
-/// nothing of the backend.
-fn unanswered(call: &UpstreamRequest, given_up: Outcome) -> AttemptEnd {
-    AttemptEnd::Failed(if call.is_complete() { given_up } else { Outcome::NotSent })
+/// The end of an attempt that was cancelled or timed out. Without its last byte a request does not run, and how fast its
+/// client sends says nothing of the backend.
+fn end_without_response(call: &UpstreamRequest, cause: Outcome) -> AttemptEnd {
+    AttemptEnd::Failed(if call.is_complete() { cause } else { Outcome::NotSent })
 }
 
 /// Awaits the response of an attempt that was given up, for its connection's sake: backends do not stop work that was given
@@ -122,7 +126,8 @@
     Ok(link)
 }
 
-/// Sends the request on a connection, awaits its response, and returns the connection to the pool where it can be used again.
+/// Sends the request on a connection, awaits its response, and returns the connection to the pool where it can be used
+/// again.
 async fn exchange(
     mut link: Link,
     pool: &Rc<Pool>,
@@ -157,7 +162,7 @@
         Ok(response) => Ok(response),
         Err(_) if !call.is_complete() && call.is_broken() => Err(Outcome::NotSent),
         // Only the connection knows whether the backend can have all of the request.
-        Err(_) if link.progress.whole() => Err(Outcome::Reset),
+        Err(_) if link.progress.is_written() => Err(Outcome::Reset),
         Err(_) => Err(Outcome::ConnectFailed),
     }
 }
@@ -173,12 +178,12 @@
     pool: &Rc<Pool>,
     call: &UpstreamRequest,
 ) -> Result<AttemptEnd, Outcome> {
-    let early = !link.progress.whole();
-    let end = read_response(response, &pool.room, call.client_deadline()).await;
+    let early = !link.progress.is_written();
+    let end = read_response(response, &pool.buffer_budget, call.client_deadline()).await;
     if !early || end.outcome() == Outcome::Rejected {
         return Ok(end);
     }
-    let may_have_run = link.progress.whole();
+    let may_have_run = link.progress.is_written();
     link.progress.abandon();
     Err(if may_have_run { Outcome::Reset } else { Outcome::ConnectFailed })
 }
--- a/src/bin/proxy/upstream/pool.rs
+++ b/src/bin/proxy/upstream/pool.rs
@@ -3,7 +3,7 @@
 //! Acts at each attempt, and once a second in `close_expired`. Owns the idle connections and the counts of the open ones.
 
 use super::Target;
-use crate::body::{self, Room};
+use crate::body::{self, BufferBudget};
 use crate::io::{Outgoing, Progress, Watched};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
@@ -30,9 +30,9 @@
     /// How many processes there are.
     pub processes: watch::Receiver<u32>,
     /// A connect that takes longer has failed.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Backends close connections idle for so long.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Nothing is sent later than this after the notice of a drain.
     pub drain_grace: Duration,
     /// Whether a superseded attempt may stay open while the next one is.
@@ -42,18 +42,18 @@
 /// The connections to all backends.
 pub struct Pool {
     pub(super) limits: Limits,
-    idle: RefCell<HashMap<SocketAddr, Vec<Idle>>>,
+    idle: RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>,
     open: Rc<Cell<usize>>,
     /// Connections on which the response of a superseded attempt is awaited.
     pub(super) superseded: Rc<Cell<usize>>,
     /// Attempts that were written completely.
     attempts: Rc<Cell<u64>>,
-    pub(super) room: Rc<Room>,
+    pub(super) buffer_budget: Rc<BufferBudget>,
 }
 
-struct Idle {
+struct IdleConnection {
     link: Link,
-    since: Instant,
+    idle_since: Instant,
 }
 
 /// A connection that carries one request at a time.
@@ -89,15 +89,16 @@
 }
 
 impl Pool {
-    /// An empty pool; attempts that it has written completely are counted in `attempts`, responses buffered in `room`.
-    pub fn new(limits: Limits, attempts: Rc<Cell<u64>>, room: Rc<Room>) -> Self {
+    /// An empty pool; attempts that it has written completely are counted in `attempts`, responses buffered in
+    /// `buffer_budget`.
+    pub fn new(limits: Limits, attempts: Rc<Cell<u64>>, buffer_budget: Rc<BufferBudget>) -> Self {
         Pool {
             limits,
             idle: RefCell::default(),
             open: Rc::default(),
             superseded: Rc::default(),
             attempts,
-            room,
+            buffer_budget,
         }
     }
 
@@ -109,24 +110,24 @@
     /// Closes connections that have been idle for long. Guards against a request that crosses the backend's own close of an
     /// idle connection: it would end as a reset, which may have run. Ours close clearly earlier.
     pub fn close_expired(&self) {
-        let max_age = self.limits.idle.mul_f64(MAX_IDLE_PART);
+        let max_age = self.limits.idle_timeout.mul_f64(MAX_IDLE_PART);
         // Over the limit once another process has started here: idle connections are closed first.
         for _ in self.limits.own_connections()..self.open.get() {
             self.close_oldest_idle();
         }
         self.idle.borrow_mut().retain(|_, links| {
-            links.retain(|i| !i.link.sender.is_closed() && i.since.elapsed() < max_age);
+            links.retain(|idle| !idle.link.sender.is_closed() && idle.idle_since.elapsed() < max_age);
             !links.is_empty()
         });
     }
 
     /// The most recently used idle connection that is still open: the others may then expire and be closed.
     pub(super) fn reuse(&self, address: SocketAddr) -> Option<Link> {
-        let max_age = self.limits.idle.mul_f64(MAX_IDLE_PART);
+        let max_age = self.limits.idle_timeout.mul_f64(MAX_IDLE_PART);
         let mut idle = self.idle.borrow_mut();
         let links = idle.get_mut(&address)?;
-        while let Some(Idle { link, since }) = links.pop() {
-            if link.sender.is_ready() && since.elapsed() < max_age {
+        while let Some(IdleConnection { link, idle_since }) = links.pop() {
+            if link.sender.is_ready() && idle_since.elapsed() < max_age {
                 return Some(link);
             }
         }
@@ -136,7 +137,7 @@
     /// Keeps a connection idle, unless its backend takes nothing new.
     pub(super) fn keep(&self, target: &Target, link: Link) {
         if target.drained_at.get().is_none() && !link.sender.is_closed() {
-            let idle = Idle { link, since: Instant::now() };
+            let idle = IdleConnection { link, idle_since: Instant::now() };
             self.idle.borrow_mut().entry(target.address).or_default().push(idle);
         }
     }
@@ -144,7 +145,8 @@
     /// Closes the connection that has been idle longest, to whichever backend.
     fn close_oldest_idle(&self) {
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle.iter().filter_map(|(address, links)| Some((links.first()?.since, *address))).min();
+        let oldest =
+            idle.iter().filter_map(|(address, links)| Some((links.first()?.idle_since, *address))).min();
         if let Some(links) = oldest.and_then(|(_, address)| idle.get_mut(&address)) {
             links.remove(0);
         }
@@ -161,7 +163,7 @@
         if self.open.get() >= most {
             self.close_oldest_idle();
         }
-        let stream = match timeout(self.limits.connect, TcpStream::connect(address)).await {
+        let stream = match timeout(self.limits.connect_timeout, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(e)) if out_of_descriptors(&e) => return Err(Outcome::NotSent),
             Ok(Err(_)) | Err(_) => return Err(Outcome::ConnectFailed),
--- a/src/bin/registry/route_table/pages.rs
+++ b/src/bin/registry/route_table/pages.rs
@@ -1,37 +1,26 @@
-//! Tables as bytes, made once for all that are meant to have the same: after a change a whole fleet asks.
+//! The pages that operators read, as JSON.
 
-use bytes::Bytes;
-use load_balancer::route_table::{Revision, Table, Weights};
+use load_balancer::route_table::{DriftPage, StatePage};
 use serde::Serialize;
+use serde_json::Value;
 
-/// Tables that are kept made into bytes: the one in force and the one that goes out, with one more each on a change.
-const MAX_PAGES: usize = 4;
-/// The table meant for a proxy.
+/// The page of the table's state. The order of fields is that of the JSON keys.
 #[derive(Serialize)]
-struct Meant<'a> {
-    revision: Revision,
-    weights: &'a Weights,
-    digest: &'a str,
-    newest: Revision,
+pub(crate) struct RoutesPage {
+    /// The state.
+    #[serde(flatten)]
+    pub(super) state: StatePage,
+    /// The present evaluation, if one runs.
+    #[serde(rename = "judging")]
+    pub(super) evaluation: Option<Value>,
 }
 
-/// The tables made of late, each with its revision and the newest one that it tells of.
-#[derive(Default)]
-pub struct Pages(Vec<(Revision, Revision, Bytes)>);
-
-impl Pages {
-    /// The answer to whoever is meant to have a table.
-    pub fn get(&mut self, table: &Table, newest: Revision) -> serde_json::Result<Bytes> {
-        let Table { revision, weights, digest, .. } = table;
-        if let Some((_, _, page)) = self.0.iter().find(|(r, n, _)| (*r, *n) == (*revision, newest)) {
-            return Ok(page.clone());
-        }
-        let page = serde_json::to_vec(&Meant { revision: *revision, weights, digest, newest })?;
-        let page = Bytes::from(page);
-        if self.0.len() >= MAX_PAGES {
-            self.0.remove(0);
-        }
-        self.0.push((*revision, newest, page.clone()));
-        Ok(page)
-    }
+/// The page of the findings. The order of fields is that of the JSON keys.
+#[derive(Serialize)]
+pub(crate) struct FindingsPage {
+    /// The version of the findings.
+    pub(super) version: u64,
+    /// The drift of the fleet.
+    #[serde(flatten)]
+    pub(super) drift: DriftPage,
 }
--- a/src/replay/runs.rs
+++ b/src/replay/runs.rs
@@ -2,8 +2,8 @@
 
 use super::Job;
 use super::model::Model;
-use super::play::Play;
-use super::records::Records;
+use super::recorded_traffic::RecordedTraffic;
+use super::simulation::Simulation;
 use super::tally::Tally;
 use crate::route_table::Weights;
 use std::sync::Mutex;
@@ -11,7 +11,7 @@
 
 pub(super) struct Runs<'a> {
     pub job: &'a Job,
-    pub records: &'a Records,
+    pub records: &'a RecordedTraffic,
     pub model: &'a Model,
     pub warm: f64,
     pub progress: &'a dyn Fn(f64),
@@ -32,7 +32,8 @@
             if i >= seeds || stopped.load(Relaxed) {
                 return;
             }
-            let played = Play::new(records, model, &weights, first.wrapping_add(i as u64), warm).run(stop);
+            let played =
+                Simulation::new(records, model, &weights, first.wrapping_add(i as u64), warm).run(stop);
             if let Ok(mut place) = done[i].lock() {
                 *place = played;
             }
--- a/src/route_table/proposal/lifecycle.rs
+++ b/src/route_table/proposal/lifecycle.rs
@@ -83,7 +83,7 @@
     }
 
     /// The next record of a proposal that awaits its verdict, or none while it waits.
-    pub(crate) fn decide_awaited(&mut self, now_ms: u64) -> Option<RouteRecord> {
+    pub(crate) fn decide_awaited(&self, now_ms: u64) -> Option<RouteRecord> {
         self.evaluate_for_changed_list(now_ms)
             .or_else(|| self.apply_verdict(now_ms))
             .or_else(|| self.lapse_without_verdict(now_ms))
@@ -93,7 +93,7 @@
     /// list.
     ///
     /// Failure: a verdict over backends that are gone would admit weights for a fleet that nobody replayed.
-    /// An empty list is passed over: it stands for a list that is not known yet.
+    /// An empty list is skipped: it means that the list is not known yet.
     fn evaluate_for_changed_list(&self, now_ms: u64) -> Option<RouteRecord> {
         let active = self.record.active.as_ref()?;
         let backends = &self.backends.list;
@@ -133,8 +133,8 @@
         Some(record)
     }
 
-    /// Ends the proposal if no verdict has come in `judge_ms`, counted from the start of the registry at the
-    /// earliest.
+    /// Ends the proposal if no verdict has come in [`Config::verdict_timeout_ms`](super::super::Config), counted
+    /// from the start of the registry at the earliest.
     fn lapse_without_verdict(&self, now_ms: u64) -> Option<RouteRecord> {
         let active = self.record.active.as_ref()?;
         let timeout_ms = self.config.verdict_timeout_ms;
@@ -161,7 +161,7 @@
     pub(crate) fn evaluation_request(&self) -> Option<Effect> {
         let awaiting = |active: &&ActiveProposal| active.admission == Admission::Awaited;
         let active = self.record.active.as_ref().filter(awaiting)?;
-        Some(Effect::Judge { table: active.table.clone(), in_force: self.record.in_force.clone() })
+        Some(Effect::Evaluate { table: active.table.clone(), in_force: self.record.in_force.clone() })
     }
 
     /// A revision above all that were ever issued, also by a registry whose state was lost: above the
--- a/src/route_table/rollout/review.rs
+++ b/src/route_table/rollout/review.rs
@@ -57,7 +57,10 @@
         StageReview { config, rollout, progress, elapsed_ms, live: fleet.proxies.len(), members, others }
     }
 
-    /// Waits, or stops the rollout once the stage has taken longer than `longest_ms`.
+    /// Waits, or stops the rollout once [`Config::stage_timeout_ms`] have passed since
+    /// [`StageProgress::since_ms`].
+    ///
+    /// That time starts again when the members change, after a pause and after a restart of the registry.
     ///
     /// Failure: a condition that never comes true would block every later proposal. It shows as `waits` on
     /// the state page.
@@ -135,7 +138,8 @@
     /// compare with: then more than a tenth of the members is too much.
     fn stop_if_drifting(&self) -> Option<RolloutStep> {
         let drifting = |side: &[&LiveProxy]| side.iter().filter(|proxy| proxy.drifting).count();
-        let (members, others) = (self.members.len(), self.others.len());
+        let members = self.members.len();
+        let others = self.others.len();
         let drifting_members = drifting(&self.members);
         let drifting_others = drifting(&self.others);
         let too_many = if others < members.div_ceil(10) {
@@ -161,9 +165,10 @@
         Some(self.wait_or_time_out(reason))
     }
 
-    /// Waits until the stage has lasted `stand_ms`. This is the one wait that cannot time out.
+    /// Waits until the stage has lasted [`Config::min_stage_ms`]. This is the one wait that cannot time out.
     fn wait_for_min_time(&self) -> Option<RolloutStep> {
-        let (elapsed_ms, least_ms) = (self.elapsed_ms, self.config.min_stage_ms);
+        let elapsed_ms = self.elapsed_ms;
+        let least_ms = self.config.min_stage_ms;
         let too_short = elapsed_ms < least_ms;
         too_short.then(|| RolloutStep::Wait { reason: format!("stands for {elapsed_ms} of {least_ms} ms") })
     }
