--- a/tests/compatibility/main.rs
+++ b/tests/compatibility/main.rs
@@ -5,6 +5,7 @@
 mod log_lines;
 mod membership_frame;
 mod operations;
+mod outer_names;
 mod platform_settings;
 mod proxy_config;
 mod proxy_golden;
