--- a/benches/data_path/proxy.rs
+++ b/benches/data_path/proxy.rs
@@ -79,7 +79,7 @@
     }
 
     fn processor(&self) -> Duration {
-        processor::of_process(self.proxy.id().expect("it runs"))
+        processor::of_process(self.proxy.pid().expect("it runs"))
     }
 
     /// The share of a core that it takes with nothing to do.
--- a/benches/routes.rs
+++ b/benches/routes.rs
@@ -46,10 +46,10 @@
 
 /// CPU in per cent of a core, and bytes a second, from now on.
 async fn taken(registry: &Registry) -> (f64, f64) {
-    let (before, bytes, began) = (cpu(registry), PASSED.load(Relaxed), Instant::now());
+    let (before, bytes, began) = (cpu(registry), TRANSFERRED_BYTES.load(Relaxed), Instant::now());
     sleep(MEASURED).await;
     let seconds = began.elapsed().as_secs_f64();
-    (100.0 * (cpu(registry) - before) / seconds, (PASSED.load(Relaxed) - bytes) as f64 / seconds)
+    (100.0 * (cpu(registry) - before) / seconds, (TRANSFERRED_BYTES.load(Relaxed) - bytes) as f64 / seconds)
 }
 
 async fn cost() {
@@ -59,7 +59,8 @@
     let (seq, at) = (registry.get("").await["seq"].as_u64().expect("seq"), registry.address);
     for _ in 0..PROXIES {
         lists.spawn(async move {
-            let (mut line, path) = (Line::default(), format!("/registry/instances?after={seq}&wait_ms=1000"));
+            let (mut line, path) =
+                (RegistryConnection::default(), format!("/registry/instances?after={seq}&wait_ms=1000"));
             loop {
                 let answer = line.call(at, "GET", &path, Vec::new()).await;
                 assert!(matches!(answer, Ok((200, _))), "{answer:?}");
@@ -151,7 +152,7 @@
     for _ in 0..WATCHES {
         let told = told.clone();
         watches.spawn(async move {
-            let (mut line, mut after) = (Line::default(), seq);
+            let (mut line, mut after) = (RegistryConnection::default(), seq);
             loop {
                 let path = format!("/registry/instances?after={after}&wait_ms=60000");
                 let (_, text) = line.call(at, "GET", &path, Vec::new()).await.expect("answered");
@@ -161,7 +162,7 @@
             }
         });
     }
-    let mut line = Line::default();
+    let mut line = RegistryConnection::default();
     for n in 0..WRITES {
         sleep(Duration::from_millis(10)).await;
         let mut changed = entry("s0", "127.0.0.1:9".parse().expect("address"), "SERVING");
--- a/benches/services.rs
+++ b/benches/services.rs
@@ -70,7 +70,7 @@
 /// A watch that goes on for ever; each answer's length is told.
 async fn follow(address: SocketAddr, query: String, told: UnboundedSender<usize>) {
     let sign = if query.is_empty() { '?' } else { '&' };
-    let (mut line, mut after) = (Line::default(), None);
+    let (mut line, mut after) = (RegistryConnection::default(), None);
     loop {
         let path = match after {
             None => format!("/registry/instances{query}"),
--- a/benches/spread.rs
+++ b/benches/spread.rs
@@ -63,7 +63,7 @@
     println!(
         "{} backends, exponential work of {:?}, Poisson clients, seed {}, {} plays\n",
         rows::BACKENDS,
-        fleet::backends::WORK,
+        fleet::backends::MEAN_WORK,
         args.seed,
         args.plays
     );
--- a/benches/spread/rows.rs
+++ b/benches/spread/rows.rs
@@ -1,9 +1,9 @@
 //! The cases, and how one of them is measured.
 
-use crate::fleet::{backends, clients, figures, processes};
+use crate::fleet::{backends, clients, processes, statistics};
 use crate::registry_rig::Registry;
-use figures::Spread;
 use serde_json::json;
+use statistics::Spread;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::Arc;
@@ -80,10 +80,10 @@
     pub async fn measure(&self, program: &Path, registry: &Registry, seed: u64, lasts: Duration) -> Measured {
         let backends = backends::start(BACKENDS, seed).await;
         if self.ill {
-            backends[SLOW].iter().for_each(|b| b.slow(TIMES_SLOWER));
-            backends[FAILING].iter().for_each(|b| b.state.fails.store(true, SeqCst));
+            backends[SLOW].iter().for_each(|b| b.slow_down(TIMES_SLOWER));
+            backends[FAILING].iter().for_each(|b| b.state.respond_500.store(true, SeqCst));
         }
-        registry.put(86_400_000, backends.iter().map(|b| b.line("SERVING")).collect()).await;
+        registry.put(86_400_000, backends.iter().map(|b| b.endpoint_entry("SERVING")).collect()).await;
         let configs = (0..self.proxies).map(|n| processes::config(n, self.proxies, registry.address, seed));
         let configs = configs.collect();
         let fleet = match self.members {
@@ -93,22 +93,22 @@
         let addresses: Vec<SocketAddr> = fleet.iter().map(|p| p.addr).collect();
         let tally = Arc::new(clients::Tally::default());
         clients::run(addresses, self.rates(), seed, lasts, tally.clone()).await;
-        let counts = figures::counts(&backends);
-        let ill = |of| self.ill.then(|| figures::part(&counts, of));
+        let counts = statistics::call_counts(&backends);
+        let ill = |of| self.ill.then(|| statistics::relative_share(&counts, of));
         let measured = Measured {
-            spread: figures::spread(&counts),
-            connections: figures::connections(&backends),
-            opened: backends.iter().map(|b| b.state.opened.load(SeqCst)).sum(),
+            spread: statistics::spread(&counts),
+            connections: statistics::open_connections(&backends),
+            opened: backends.iter().map(|b| b.state.connections_total.load(SeqCst)).sum(),
             refused: tally.share(&tally.refused),
             refused_early: tally.share(&tally.refused_early),
             failed: tally.share(&tally.failed),
             slow: ill(SLOW),
             failing: ill(FAILING),
-            peak: figures::peak(&backends),
+            peak: statistics::peak_interval_calls(&backends),
             memory: fleet.iter().map(processes::Process::peak_kb).max().unwrap_or(0),
         };
         drop(fleet);
-        registry.put(1000, backends.iter().map(|b| b.line("DELETED")).collect()).await;
+        registry.put(1000, backends.iter().map(|b| b.endpoint_entry("DELETED")).collect()).await;
         measured
     }
 }
--- a/tests/agent_rig/mod.rs
+++ b/tests/agent_rig/mod.rs
@@ -6,7 +6,7 @@
 
 pub use say::Say;
 
-use super::rig::soon;
+use super::rig::within_deadline;
 use serde_json::{Value, json};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -99,7 +99,7 @@
         let behind = |call: &&Call| call.after.is_none_or(|after| after > version);
         let mut calls = self.shared.calls.subscribe();
         let came = |calls: &Vec<Call>| calls[begun..].iter().any(|call| behind(&call));
-        let calls = soon(calls.wait_for(came)).await.expect("open");
+        let calls = within_deadline(calls.wait_for(came)).await.expect("open");
         calls[begun..].iter().find(behind).expect("it came").after
     }
 
@@ -129,14 +129,16 @@
 
     /// Waits until so many calls have come.
     pub async fn called(&self, n: usize) {
-        soon(self.shared.calls.subscribe().wait_for(|calls| calls.len() >= n)).await.expect("open");
+        within_deadline(self.shared.calls.subscribe().wait_for(|calls| calls.len() >= n))
+            .await
+            .expect("open");
     }
 
     /// Waits until a caller holds the present list.
     pub async fn held(&self) {
         let now = self.shared.list.borrow().0;
         let holds = |calls: &Vec<Call>| calls.iter().any(|c| c.after.is_some_and(|after| after >= now));
-        soon(self.shared.calls.subscribe().wait_for(holds)).await.expect("open");
+        within_deadline(self.shared.calls.subscribe().wait_for(holds)).await.expect("open");
     }
 }
 
--- a/tests/bad_settings.rs
+++ b/tests/bad_settings.rs
@@ -20,7 +20,7 @@
         .stderr(Stdio::piped())
         .kill_on_drop(true)
         .output();
-    let program = soon(program).await.expect("it starts");
+    let program = within_deadline(program).await.expect("it starts");
     (program.status, String::from_utf8(program.stderr).expect("text"))
 }
 
@@ -150,9 +150,9 @@
 /// Keys that are not known or are not needed, and values that are odd but have a meaning.
 #[tokio::test]
 async fn settings_that_are_odd_but_usable_serve_every_class() {
-    let orders = Arc::new(Orders::default());
-    let backend = Backend::start("a", &orders).await;
-    let discovery = Discovery::start(vec![backend.line("SERVING")]).await;
+    let orders = Arc::new(BackendControl::default());
+    let backend = TestBackend::start("a", &orders).await;
+    let discovery = TestDiscovery::start(vec![backend.endpoint_entry("SERVING")]).await;
     let mut served = tokio::task::JoinSet::new();
     for (path, value) in [
         ("settings.someNewKey", Some(json!({"deep": [1, null]}))),
@@ -189,18 +189,18 @@
         ("limits.memory_mb", Some(json!(0))),
         ("limits.memory_mb", Some(json!(1_000_000_000_000_u64))),
     ] {
-        let mut config = discovery.config(settings());
+        let mut config = discovery.proxy_config(settings());
         set(&mut config, path, value);
         served.spawn(async move {
-            let mut proxy = Proxy::start_as(&config, "exec \"$0\"").await;
-            while proxy.ready().await != 200 {
+            let mut proxy = ProxyProcess::start_with_command(&config, "exec \"$0\"").await;
+            while proxy.readiness_status().await != 200 {
                 tokio::task::yield_now().await;
             }
             for class in ["look", "keep", "once"] {
                 assert_eq!(proxy.call(class).await, (200, "a".to_string()), "{path}");
             }
             proxy.terminate().await;
-            assert!(proxy.ended().await.success(), "{path}");
+            assert!(proxy.wait_for_exit().await.success(), "{path}");
         });
     }
     served.join_all().await;
--- a/tests/bodies/main.rs
+++ b/tests/bodies/main.rs
@@ -18,15 +18,15 @@
 }
 
 /// Sends a body of so many bytes in chunks, its length not told; status and length of the answer.
-async fn chunked(s: &Scene, left: usize) -> (u16, usize) {
-    let stream = soon(TcpStream::connect(s.proxy.addr)).await.expect("it listens");
+async fn chunked(s: &ProxyFixture, len: usize) -> (u16, usize) {
+    let stream = within_deadline(TcpStream::connect(s.proxy.addr)).await.expect("it listens");
     let (mut sender, connection) = handshake(TokioIo::new(stream)).await.expect("nothing is sent yet");
     tokio::spawn(connection);
-    let body = Pieces { left, breaks_at: 0, told: false };
-    let answer = soon(sender.send_request(request("keep").body(body).expect("well formed"))).await;
+    let body = LongBody { remaining: len, fail_at: 0, known_length: false };
+    let answer = within_deadline(sender.send_request(request("keep").body(body).expect("well formed"))).await;
     let answer = answer.expect("an answer");
     let status = answer.status().as_u16();
-    (status, soon(answer.into_body().collect()).await.expect("a whole one").to_bytes().len())
+    (status, within_deadline(answer.into_body().collect()).await.expect("a whole one").to_bytes().len())
 }
 
 /// A request's head as it goes over the wire, but for its framing and its last line.
--- a/tests/client_crossing.rs
+++ b/tests/client_crossing.rs
@@ -38,26 +38,26 @@
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
-    soon(knows).await;
+    within_deadline(knows).await;
 }
 
 /// A backend by hand, and a proxy that lists it alone.
-async fn alone(listener: &TcpListener, settings: serde_json::Value) -> (Discovery, Proxy) {
+async fn alone(listener: &TcpListener, settings: serde_json::Value) -> (TestDiscovery, ProxyProcess) {
     let addr = listener.local_addr().expect("bound");
-    let discovery = Discovery::start(vec![line("c", addr, "SERVING")]).await;
-    let proxy = Proxy::settled(&discovery, settings).await;
+    let discovery = TestDiscovery::start(vec![endpoint_entry("c", addr, "SERVING")]).await;
+    let proxy = ProxyProcess::start_synced(&discovery, settings).await;
     (discovery, proxy)
 }
 
 /// The next connection; where none comes, the listener's lines in the system's table, with their timers, say why.
 async fn dialled(listener: &TcpListener) -> (TcpStream, SocketAddr) {
     let port = format!(":{:04X}", listener.local_addr().expect("bound").port());
-    match timeout(LONG, listener.accept()).await {
+    match timeout(TEST_DEADLINE, listener.accept()).await {
         Ok(accepted) => accepted.expect("a connection"),
         Err(_) => {
             let table = std::fs::read_to_string("/proc/net/tcp").expect("a table");
             let lines: Vec<_> = table.lines().filter(|line| line.contains(&port)).collect();
-            panic!("no dial came within {LONG:?}:\n{}", lines.join("\n"));
+            panic!("no dial came within {TEST_DEADLINE:?}:\n{}", lines.join("\n"));
         }
     }
 }
@@ -70,12 +70,12 @@
     #[values(true, false)] resets: bool,
     #[values("", "stray")] behind: &str,
 ) {
-    let (listener, held) = silent().await;
+    let (listener, held) = unresponsive_listener().await;
     let (_discovery, proxy) = alone(&listener, with_cap("connectTimeout", 30_000.into())).await;
-    let mut client = soon(TcpStream::connect(proxy.addr)).await.expect("it listens");
+    let mut client = within_deadline(TcpStream::connect(proxy.addr)).await.expect("it listens");
     client.write_all((text("look", "gone", "") + behind).as_bytes()).await.expect("open");
-    soon(connecting(listener.local_addr().expect("bound"))).await;
-    soon(proxy.stand_still()).await;
+    within_deadline(wait_for_connecting(listener.local_addr().expect("bound"))).await;
+    within_deadline(proxy.suspend()).await;
     let mut client = Some(client);
     if !dial_first {
         leave(client.take().expect("here"), resets).await;
@@ -93,7 +93,7 @@
     }
     proxy.send_signal("-CONT");
     let mut seen = Vec::new();
-    soon(late.read_to_end(&mut seen)).await.expect("closed");
+    within_deadline(late.read_to_end(&mut seen)).await.expect("closed");
     assert_eq!(String::from_utf8_lossy(&seen), "", "a request whose client had left was written");
 }
 
@@ -115,16 +115,16 @@
     let bind = || TcpListener::bind("127.0.0.1:0");
     let backends = [bind().await.expect("a port"), bind().await.expect("a port")];
     let at = |n: usize| backends[n].local_addr().expect("bound");
-    let lines = vec![line("a", at(0), "SERVING"), line("b", at(1), "SERVING")];
-    let discovery = Discovery::start(lines).await;
-    let proxy = Proxy::settled(&discovery, settings()).await;
-    let mut client = soon(TcpStream::connect(proxy.addr)).await.expect("it listens");
+    let lines = vec![endpoint_entry("a", at(0), "SERVING"), endpoint_entry("b", at(1), "SERVING")];
+    let discovery = TestDiscovery::start(lines).await;
+    let proxy = ProxyProcess::start_synced(&discovery, settings()).await;
+    let mut client = within_deadline(TcpStream::connect(proxy.addr)).await.expect("it listens");
     client.write_all((text("look", "gone", "") + behind).as_bytes()).await.expect("open");
-    let mut first = soon(accept(&backends)).await;
+    let mut first = within_deadline(accept(&backends)).await;
     let mut head = [0; 4096];
-    let n = soon(first.read(&mut head)).await.expect("open");
+    let n = within_deadline(first.read(&mut head)).await.expect("open");
     assert!(head[..n].windows(4).any(|w| w == b"gone"));
-    soon(proxy.stand_still()).await;
+    within_deadline(proxy.suspend()).await;
     let declined = b"HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
     if answer_first {
         first.write_all(declined).await.expect("open");
@@ -135,9 +135,9 @@
     }
     proxy.send_signal("-CONT");
     // Whatever the proxy sends next, wherever to, is the next client's.
-    let mut marker = soon(TcpStream::connect(proxy.addr)).await.expect("it listens");
+    let mut marker = within_deadline(TcpStream::connect(proxy.addr)).await.expect("it listens");
     marker.write_all(text("look", "next", "").as_bytes()).await.expect("open");
-    let seen = soon(async {
+    let seen = within_deadline(async {
         loop {
             let n = tokio::select! {
                 Ok(n @ 1..) = first.read(&mut head) => n,
@@ -161,22 +161,24 @@
     const PART: usize = 80_000;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let (_discovery, proxy) = alone(&listener, settings()).await;
-    let mut client = soon(TcpStream::connect(proxy.addr)).await.expect("it listens");
+    let mut client = within_deadline(TcpStream::connect(proxy.addr)).await.expect("it listens");
     let head = text("keep", "gone", &format!("Content-Length: {}\r\n", PART + PART / 4));
     client.write_all((head + &"x".repeat(PART)).as_bytes()).await.expect("open");
-    let (mut backend, _) = soon(listener.accept()).await.expect("the proxy's");
+    let (mut backend, _) = within_deadline(listener.accept()).await.expect("the proxy's");
     let (mut seen, mut part) = (Vec::new(), [0; 4096]);
     let body = |seen: &[u8]| seen.iter().filter(|b| **b == b'x').count();
     while body(&seen) < PART {
-        let n @ 1.. = soon(backend.read(&mut part)).await.expect("open") else { panic!("it goes on") };
+        let n @ 1.. = within_deadline(backend.read(&mut part)).await.expect("open") else {
+            panic!("it goes on")
+        };
         seen.extend_from_slice(&part[..n]);
     }
-    soon(proxy.stand_still()).await;
+    within_deadline(proxy.suspend()).await;
     client.write_all("x".repeat(PART / 4).as_bytes()).await.expect("open");
     leave(client, resets).await;
     proxy.send_signal("-CONT");
     // It ends by a close or by a reset.
-    let _ = soon(backend.read_to_end(&mut seen)).await;
+    let _ = within_deadline(backend.read_to_end(&mut seen)).await;
     assert!(body(&seen) < PART + PART / 4, "a backend has the whole body of a client that left");
 }
 
@@ -186,18 +188,18 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let (_discovery, proxy) = alone(&listener, settings()).await;
     const LONG_BODY: usize = 16 << 20;
-    let mut client = soon(TcpStream::connect(proxy.addr)).await.expect("it listens");
+    let mut client = within_deadline(TcpStream::connect(proxy.addr)).await.expect("it listens");
     let head = text("once", "gone", &format!("Content-Length: {LONG_BODY}\r\n"))
         .replace("Idempotency-Key: 5c\r\n", "");
     client.write_all(head.as_bytes()).await.expect("open");
-    let (mut backend, _) = soon(listener.accept()).await.expect("the proxy's");
+    let (mut backend, _) = within_deadline(listener.accept()).await.expect("the proxy's");
     // All that the buffers on the way take.
     let mut part = vec![b'x'; 64 << 10];
     while timeout(Duration::from_millis(500), client.write_all(&part)).await.is_ok() {}
     client.set_zero_linger().expect("open");
     drop(client);
     let mut came = 0;
-    while let Ok(n @ 1..) = soon(backend.read(&mut part)).await {
+    while let Ok(n @ 1..) = within_deadline(backend.read(&mut part)).await {
         came += n;
     }
     assert!(came < LONG_BODY, "{came} bytes of a request that was left half-way");
--- a/tests/client_leaks.rs
+++ b/tests/client_leaks.rs
@@ -33,7 +33,7 @@
 
 #[tokio::test]
 async fn ten_thousand_that_leave_abruptly_leave_nothing_behind() {
-    let s = scene_with(settings(), |config| config["ops"] = "127.0.0.1:0".into()).await;
+    let s = start_fixture_with(settings(), |config| config["ops"] = "127.0.0.1:0".into()).await;
     assert_eq!(s.proxy.call("look").await.0, 200);
     let before = s.proxy.descriptors();
     for round in 0..ALL / AT_ONCE {
@@ -41,9 +41,9 @@
         for n in round * AT_ONCE..(round + 1) * AT_ONCE {
             let addr = s.proxy.addr;
             clients.spawn(async move {
-                let mut stream = soon(TcpStream::connect(addr)).await.expect("it listens");
+                let mut stream = within_deadline(TcpStream::connect(addr)).await.expect("it listens");
                 // Turned away, it may be closed on while it writes.
-                let _ = soon(stream.write_all(&text(n))).await;
+                let _ = within_deadline(stream.write_all(&text(n))).await;
                 stream
             });
         }
@@ -55,9 +55,9 @@
         }
     }
     // Connections to the backends may be kept, as after any rush.
-    let kept = || *s.a.open.borrow() + *s.b.open.borrow();
+    let kept = || *s.a.open_connections.borrow() + *s.b.open_connections.borrow();
     let over = async {
-        while !s.proxy.tell("counters").await.contains("\"in_flight\":0,")
+        while !s.proxy.ops_call("counters").await.contains("\"in_flight\":0,")
             || s.proxy.descriptors() > before + kept()
         {
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -65,7 +65,7 @@
     };
     let what = || format!("{} descriptors, {before} before, {} kept", s.proxy.descriptors(), kept());
     if timeout(Duration::from_secs(20), over).await.is_err() {
-        panic!("{}: {}", what(), s.proxy.tell("counters").await);
+        panic!("{}: {}", what(), s.proxy.ops_call("counters").await);
     }
     // Every place at the backends is free again, and so is the room for bodies.
     for _ in 0..100 {
--- a/tests/client_leaves.rs
+++ b/tests/client_leaves.rs
@@ -32,22 +32,22 @@
 }
 
 /// A scene in which requests about a key are sent one at a time.
-async fn in_order() -> Scene {
+async fn in_order() -> ProxyFixture {
     let mut settings = settings();
     settings["classes"][1]["fifoByKey"] = true.into();
-    scene_with(settings, |config| config["ops"] = "127.0.0.1:0".into()).await
+    start_fixture_with(settings, |config| config["ops"] = "127.0.0.1:0".into()).await
 }
 
 /// Waits until the proxy has so many requests whole and unanswered.
-async fn in_flight(s: &Scene, n: usize) {
+async fn in_flight(s: &ProxyFixture, n: usize) {
     let said = format!("\"in_flight\":{n},");
-    timeout(Duration::from_secs(5), async { while !s.proxy.tell("counters").await.contains(&said) {} })
+    timeout(Duration::from_secs(5), async { while !s.proxy.ops_call("counters").await.contains(&said) {} })
         .await
         .expect("the proxy sees who comes and who leaves");
 }
 
 /// Waits until the proxy has no more descriptors than this.
-async fn descriptors(s: &Scene, most: usize) {
+async fn descriptors(s: &ProxyFixture, most: usize) {
     timeout(Duration::from_secs(5), async {
         while s.proxy.descriptors() > most {
             tokio::time::sleep(Duration::from_millis(5)).await;
@@ -84,15 +84,15 @@
 ) {
     let s = in_order().await;
     let first = Arc::new(Notify::new());
-    s.orders.give([Do::Hold(first.clone())]);
-    let mut caller = s.proxy.caller().await;
+    s.control.enqueue([BackendAction::ServeAfter(first.clone())]);
+    let mut caller = s.proxy.connect_client().await;
     let held = tokio::spawn(async move { caller.call("keep").await });
-    s.orders.came(1).await;
+    s.control.wait_for_requests(1).await;
     let before = s.proxy.descriptors();
-    let mut client = soon(TcpStream::connect(s.proxy.addr)).await.expect("it listens");
-    soon(client.write_all(&text)).await.expect("the systems' buffers take it");
+    let mut client = within_deadline(TcpStream::connect(s.proxy.addr)).await.expect("it listens");
+    within_deadline(client.write_all(&text)).await.expect("the systems' buffers take it");
     // It is taken before it leaves: nothing is ruled out of one that comes and goes in the same instant.
-    soon(async {
+    within_deadline(async {
         while s.proxy.descriptors() <= before {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
@@ -119,8 +119,8 @@
     assert_eq!(held.await.expect("no panic").0, 200);
     let next = request("keep").body(Full::default()).expect("well formed");
     let name = next.headers()["req-id"].clone();
-    assert_eq!(s.proxy.caller().await.send(next).await.0, 200);
-    let seen = s.orders.seen.borrow();
+    assert_eq!(s.proxy.connect_client().await.send(next).await.0, 200);
+    let seen = s.control.requests.borrow();
     assert_eq!(seen.len(), 2, "a backend has what was left");
     assert_eq!(seen[1].1.headers["req-id"], name);
 }
--- a/tests/compatibility/contract_names.rs
+++ b/tests/compatibility/contract_names.rs
@@ -6,24 +6,24 @@
 
 use crate::proxy_golden::same;
 use crate::proxy_program::{Running, exchange, file, masked_head, operate, proxy, refusal};
-use crate::rig::{Discovery, Proxy, line, settings};
-use crate::scripted::{Act, End, Script};
-use crate::waits::soon;
+use crate::rig::{ProxyProcess, TestDiscovery, endpoint_entry, settings};
+use crate::scripted::{ConnectionEnd, Script, ScriptedResponse};
+use crate::waits::within_deadline;
 use serde_json::{Value, json};
 use std::fs::File;
 use std::path::PathBuf;
 use std::sync::Arc;
 use tokio::net::TcpStream;
 
-async fn scene(script: &Arc<Script>, ops: bool) -> (Proxy, Discovery) {
-    let backend = script.backend().await;
-    let discovery = Discovery::start(vec![line("a", backend, "SERVING")]).await;
-    let mut config = discovery.config(settings());
+async fn scene(script: &Arc<Script>, ops: bool) -> (ProxyProcess, TestDiscovery) {
+    let backend = script.start_backend().await;
+    let discovery = TestDiscovery::start(vec![endpoint_entry("a", backend, "SERVING")]).await;
+    let mut config = discovery.proxy_config(settings());
     if ops {
         config["ops"] = "127.0.0.1:0".into();
     }
-    let proxy = Proxy::start_as(&config, "exec \"$0\"").await;
-    discovery.settled().await;
+    let proxy = ProxyProcess::start_with_command(&config, "exec \"$0\"").await;
+    discovery.wait_until_synced().await;
     (proxy, discovery)
 }
 
@@ -37,7 +37,7 @@
 async fn a_backend_gets_these_bytes() {
     let script = Arc::new(Script::default());
     let (proxy, _discovery) = scene(&script, false).await;
-    let mut stream = soon(TcpStream::connect(proxy.addr)).await.expect("it listens");
+    let mut stream = within_deadline(TcpStream::connect(proxy.addr)).await.expect("it listens");
     let hosted = format!("Host: origin.svc\r\nUser-Agent: x\r\n{WHO}");
     let keyed = format!("{hosted}Idempotency-Key: 5c0f\r\nContent-Length: 4\r\n");
     for request in [
@@ -48,7 +48,7 @@
     ] {
         assert!(exchange(&mut stream, &request).await.0.starts_with("HTTP/1.1 200 OK\r\n"));
     }
-    let heard = script.heard.borrow().clone();
+    let heard = script.requests.borrow().clone();
     let told = heard.iter().map(|(_, bytes)| {
         let text = String::from_utf8(bytes.clone()).expect("text");
         let (head, body) = text.split_once("\r\n\r\n").expect("a head");
@@ -66,7 +66,7 @@
     let mut all = String::new();
     let hosted = format!("Host: s\r\n{WHO}");
     let ask = async |what: &str, request: String| {
-        let mut stream = soon(TcpStream::connect(proxy.addr)).await.expect("it listens");
+        let mut stream = within_deadline(TcpStream::connect(proxy.addr)).await.expect("it listens");
         let (head, body) = exchange(&mut stream, &request).await;
         let body = String::from_utf8(body).expect("text");
         format!("# {what}\n{}{body}\n\n", masked_head(&head, &["date", "retry-after"]))
@@ -77,21 +77,29 @@
     all += &ask("no id", request("GET", "/look", "Host: s\r\n")).await;
     all += &ask("wrong method", request("POST", "/look", &hosted)).await;
     all += &ask("wrong method of a keyed class", request("GET", "/keep", &hosted)).await;
-    script.give([Act::says("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", End::Stay)]);
+    script.enqueue([ScriptedResponse::raw(
+        "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n",
+        ConnectionEnd::KeepOpen,
+    )]);
     all += &ask("failed", request("POST", "/once", &hosted)).await;
     let declined = "HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
-    script.give((0..20).map(|_| Act::says(declined, End::Stay)));
+    script.enqueue((0..20).map(|_| ScriptedResponse::raw(declined, ConnectionEnd::KeepOpen)));
     let short = hosted.replace("20000", "400");
     all += &ask("declined by the backend", request("POST", "/once", &short)).await;
     script.clear();
-    script.give([Act { hears: None, says: Vec::new(), repeats: None, end: End::Stay }]);
+    script.enqueue([ScriptedResponse {
+        read_len: None,
+        writes: Vec::new(),
+        repeat: None,
+        end: ConnectionEnd::KeepOpen,
+    }]);
     all += &ask("timed out", request("POST", "/once", &short)).await;
     script.clear();
-    proxy.tell("quiesce").await;
+    proxy.ops_call("quiesce").await;
     all += &ask("served while it drains", request("GET", "/look", &hosted)).await;
     all += &ask("ready while it drains", request("GET", "/health/ready", "Host: s\r\n")).await;
-    proxy.tell("resume").await;
-    discovery.tell(Vec::new()).await;
+    proxy.ops_call("resume").await;
+    discovery.publish(Vec::new()).await;
     all += &ask("refused without a backend", request("GET", "/look", &short)).await;
     same("client_answers.txt", &all);
 }
@@ -154,8 +162,8 @@
 /// What a variable says goes before the file.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_platforms_variables_have_these_names() {
-    let discovery = Discovery::start(Vec::new()).await;
-    let at = discovery.config(json!({}))["discovery"].as_str().expect("text").to_string();
+    let discovery = TestDiscovery::start(Vec::new()).await;
+    let at = discovery.proxy_config(json!({}))["discovery"].as_str().expect("text").to_string();
     let path =
         file("variables.json", &config("127.0.0.1:1", json!({"ops": "127.0.0.1:1"}))).display().to_string();
     let variables = [
@@ -169,7 +177,7 @@
     let ops = running.says_address("ops on ").await;
     let listens = running.says_address("listening on ").await;
     assert!(ops.port() > 1 && listens.port() > 1);
-    discovery.settled().await;
+    discovery.wait_until_synced().await;
     assert_eq!(operate(ops, b"health\n").await, "NAK no backend\n");
     let mut all = refusal(proxy(&[], &[]), "none").await + "\n";
     for key in ["listen", "discovery"] {
--- a/tests/compatibility/membership_frame.rs
+++ b/tests/compatibility/membership_frame.rs
@@ -4,8 +4,8 @@
 //! moves, or another magic or default cluster, splits the cluster or garbles its members' names without any error.
 
 use crate::proxy_golden::{golden_bytes, hex, same};
-use crate::rig::{Discovery, Proxy, settings};
-use crate::waits::soon;
+use crate::rig::{ProxyProcess, TestDiscovery, settings};
+use crate::waits::within_deadline;
 use load_balancer::client::membership::swim::{DropReason, MemberId, MemberState, Swim, Timing};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -125,18 +125,18 @@
     }
 }
 
-async fn proxy(membership: Value) -> (Proxy, Discovery) {
-    let discovery = Discovery::start(Vec::new()).await;
-    let mut config = discovery.config(settings());
+async fn proxy(membership: Value) -> (ProxyProcess, TestDiscovery) {
+    let discovery = TestDiscovery::start(Vec::new()).await;
+    let mut config = discovery.proxy_config(settings());
     config["ops"] = "127.0.0.1:0".into();
     config["membership"] = membership;
-    (Proxy::start_as(&config, "exec \"$0\"").await, discovery)
+    (ProxyProcess::start_with_command(&config, "exec \"$0\"").await, discovery)
 }
 
-async fn members(proxy: &Proxy, is: impl Fn(&Value) -> bool) -> Value {
-    soon(async {
+async fn members(proxy: &ProxyProcess, is: impl Fn(&Value) -> bool) -> Value {
+    within_deadline(async {
         loop {
-            let page = proxy.tell("members").await;
+            let page = proxy.ops_call("members").await;
             let page = serde_json::from_str(page.lines().next().expect("a page")).expect("JSON");
             if is(&page) {
                 return page;
@@ -155,7 +155,7 @@
     let (proxy, _discovery) =
         proxy(json!({"bind": "127.0.0.1:0", "name": "n0", "seeds": [at.to_string()]})).await;
     let mut datagram = [0; 2048];
-    let (n, from) = soon(old.recv_from(&mut datagram)).await.expect("a datagram");
+    let (n, from) = within_deadline(old.recv_from(&mut datagram)).await.expect("a datagram");
     let page = members(&proxy, |_| true).await;
     assert_eq!(page["addr"], from.to_string());
     let generation = page["generation"].as_u64().expect("a number");
--- a/tests/compatibility/operations.rs
+++ b/tests/compatibility/operations.rs
@@ -5,9 +5,9 @@
 
 use crate::proxy_golden::{masked, same, same_json};
 use crate::proxy_program::operate;
-use crate::rig::{Discovery, Do, Proxy, Scene, scene_with, settings};
+use crate::rig::{BackendAction, ProxyFixture, ProxyProcess, TestDiscovery, settings, start_fixture_with};
 use crate::table_rig::{Tables, table};
-use crate::waits::soon;
+use crate::waits::within_deadline;
 use serde_json::{Value, json};
 use std::fmt::Write;
 use std::sync::Arc;
@@ -17,8 +17,8 @@
 
 const LOOK: Duration = Duration::from_millis(20);
 
-async fn scene(change: impl FnOnce(&mut Value)) -> Scene {
-    scene_with(settings(), |config| {
+async fn scene(change: impl FnOnce(&mut Value)) -> ProxyFixture {
+    start_fixture_with(settings(), |config| {
         config["ops"] = "127.0.0.1:0".into();
         change(config);
     })
@@ -26,16 +26,16 @@
 }
 
 /// A page in its exact form: one line of JSON without spaces, then `--`.
-async fn page(proxy: &Proxy, call: &str) -> Value {
-    let answer = proxy.tell(call).await;
+async fn page(proxy: &ProxyProcess, call: &str) -> Value {
+    let answer = proxy.ops_call(call).await;
     let line = answer.strip_suffix("\n--\n").unwrap_or_else(|| panic!("{call}: {answer}"));
     let value: Value = serde_json::from_str(line).expect("JSON");
     assert_eq!(value.to_string(), line, "{call}: one line without spaces, its keys in order");
     value
 }
 
-async fn until(proxy: &Proxy, call: &str, is: impl Fn(&Value) -> bool) -> Value {
-    soon(async {
+async fn until(proxy: &ProxyProcess, call: &str, is: impl Fn(&Value) -> bool) -> Value {
+    within_deadline(async {
         loop {
             let page = page(proxy, call).await;
             if is(&page) {
@@ -54,21 +54,28 @@
     for class in ["look", "look", "keep"] {
         assert_eq!(scene.proxy.call(class).await.0, 200);
     }
-    scene.orders.give([Do::Answer(500)]);
+    scene.control.enqueue([BackendAction::Status(500)]);
     assert_eq!(scene.proxy.call("once").await.0, 502);
-    scene.orders.give([Do::Decline(503), Do::Decline(503), Do::Decline(503)]);
-    scene.discovery.tell(vec![scene.a.line("SERVING"), scene.b.line("DRAINING")]).await;
+    scene.control.enqueue([
+        BackendAction::Decline(503),
+        BackendAction::Decline(503),
+        BackendAction::Decline(503),
+    ]);
+    scene
+        .discovery
+        .publish(vec![scene.a.endpoint_entry("SERVING"), scene.b.endpoint_entry("DRAINING")])
+        .await;
     let release = Arc::new(Notify::new());
-    scene.orders.forget();
-    scene.orders.give([Do::Hold(release.clone())]);
-    let mut caller = scene.proxy.caller().await;
+    scene.control.clear();
+    scene.control.enqueue([BackendAction::ServeAfter(release.clone())]);
+    let mut caller = scene.proxy.connect_client().await;
     let held = tokio::spawn(async move { caller.call("look").await });
-    scene.orders.came(5).await;
+    scene.control.wait_for_requests(5).await;
     let during =
         until(&scene.proxy, "counters", |page| page["attempts"] == 5 && page["in_flight"] == 1).await;
     same_json("counters_after.json", &during);
     release.notify_one();
-    assert_eq!(soon(held).await.expect("it ran").0, 200);
+    assert_eq!(within_deadline(held).await.expect("it ran").0, 200);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -91,9 +98,9 @@
     let alone = page(&scene.proxy, "members").await;
     same_json("members_alone.json", &masked(alone.clone(), &masks));
     let join = async |name: &str| {
-        let mut config = scene.discovery.config(settings());
+        let mut config = scene.discovery.proxy_config(settings());
         config["membership"] = member(name, vec![alone["addr"].as_str().expect("text").to_string()]);
-        Proxy::start_as(&config, "exec \"$0\"").await
+        ProxyProcess::start_with_command(&config, "exec \"$0\"").await
     };
     let (alive, mut gone, suspect) = (join("n1").await, join("n2").await, join("n3").await);
     until(&scene.proxy, "members", |page| page["alive"] == 4).await;
@@ -132,35 +139,35 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn calls_are_answered_with_these_words() {
-    let empty = Discovery::start(Vec::new()).await;
-    let mut config = empty.config(settings());
+    let empty = TestDiscovery::start(Vec::new()).await;
+    let mut config = empty.proxy_config(settings());
     config["ops"] = "127.0.0.1:0".into();
-    let idle = Proxy::start_as(&config, "exec \"$0\"").await;
+    let idle = ProxyProcess::start_with_command(&config, "exec \"$0\"").await;
     let mut scene = scene(|_| {}).await;
     let mut all = String::new();
     let say = |all: &mut String, state: &str, call: &str, answer: &str| {
         writeln!(all, "{state}: {call:?} -> {answer:?}").expect("text");
     };
-    say(&mut all, "no backend", "health", &idle.tell("health").await);
+    say(&mut all, "no backend", "health", &idle.ops_call("health").await);
     let calls = ["health", "members", "routes", "record", "nonsense", ""];
     for call in calls.into_iter().chain(["quiesce", "quiesce", "health", "resume", "resume", "health"]) {
-        say(&mut all, "serving", call, &scene.proxy.tell(call).await);
+        say(&mut all, "serving", call, &scene.proxy.ops_call(call).await);
     }
     let ops = scene.proxy.ops.expect("it has one");
     say(&mut all, "serving", "bytes", &operate(ops, b"\xff\xfe\n").await);
     say(&mut all, "serving", "300 bytes", &operate(ops, &[b'x'; 300]).await);
     say(&mut all, "serving", "half", &operate(ops, b"heal").await);
     let release = Arc::new(Notify::new());
-    scene.orders.give([Do::Hold(release.clone())]);
-    let mut caller = scene.proxy.caller().await;
+    scene.control.enqueue([BackendAction::ServeAfter(release.clone())]);
+    let mut caller = scene.proxy.connect_client().await;
     let held = tokio::spawn(async move { caller.call("look").await });
-    scene.orders.came(1).await;
+    scene.control.wait_for_requests(1).await;
     scene.proxy.terminate().await;
     for call in ["health", "quiesce", "resume"] {
-        say(&mut all, "stopping", call, &scene.proxy.tell(call).await);
+        say(&mut all, "stopping", call, &scene.proxy.ops_call(call).await);
     }
     release.notify_one();
-    assert_eq!(soon(held).await.expect("it ran").0, 200);
-    assert!(scene.proxy.ended().await.success());
+    assert_eq!(within_deadline(held).await.expect("it ran").0, 200);
+    assert!(scene.proxy.wait_for_exit().await.success());
     same("calls.txt", &all);
 }
--- a/tests/compatibility/platform_settings.rs
+++ b/tests/compatibility/platform_settings.rs
@@ -6,8 +6,8 @@
 
 use crate::proxy_golden::{golden, same};
 use crate::proxy_program::{Running, exchange, file, proxy, refusal, without_types};
-use crate::rig::{Backend, Orders};
-use crate::waits::soon;
+use crate::rig::{BackendControl, TestBackend};
+use crate::waits::within_deadline;
 use load_balancer::client::list::{EndpointEntry, Health, ListPage, ParsedEntries};
 use load_balancer::interface::{DedupScope, Idempotency};
 use load_balancer::platform_settings::{PlatformSettings, parse};
@@ -158,7 +158,7 @@
     let mut said = child.stderr.take().expect("piped");
     // Either it ends, or it listens on the operators' address, which is after all that is read.
     let mut text = String::new();
-    let ended = soon(async {
+    let ended = within_deadline(async {
         use tokio::io::AsyncReadExt;
         let mut part = [0; 4096];
         loop {
@@ -174,10 +174,10 @@
     .await;
     if !ended {
         child.start_kill().expect("it runs");
-        soon(child.wait()).await.expect("it ran");
+        within_deadline(child.wait()).await.expect("it ran");
         return None;
     }
-    assert_eq!(soon(child.wait()).await.expect("it ran").code(), Some(1), "{text}");
+    assert_eq!(within_deadline(child.wait()).await.expect("it ran").code(), Some(1), "{text}");
     Some(refusal(proxy(&[], &[("RELAY_CONFIG", &path)]), &path).await)
 }
 
@@ -203,8 +203,8 @@
 /// Discovery is down: what serves is the list under `known`, whose entries have every key that an entry may have.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_file_with_every_key_starts_a_proxy_that_serves_by_the_list_it_was_given() {
-    let orders = Arc::new(Orders::default());
-    let backend = Backend::start("a", &orders).await;
+    let orders = Arc::new(BackendControl::default());
+    let backend = TestBackend::start("a", &orders).await;
     let mut config = config();
     config["known"]["hosts"][0]["dial"] = backend.addr.to_string().into();
     let path = file("every-key.json", &config.to_string()).display().to_string();
@@ -212,7 +212,7 @@
     running.says_address("membership on ").await;
     running.says_address("ops on ").await;
     let at = running.says_address("listening on ").await;
-    let mut stream = soon(TcpStream::connect(at)).await.expect("it listens");
+    let mut stream = within_deadline(TcpStream::connect(at)).await.expect("it listens");
     let request =
         "GET /look HTTP/1.1\r\nHost: s\r\nReq-Id: 1\r\nReq-Owner: bolt\r\nReq-Deadline-Ms: 20000\r\n\r\n";
     let (head, body) = exchange(&mut stream, request).await;
--- a/tests/compatibility/proxy_config.rs
+++ b/tests/compatibility/proxy_config.rs
@@ -5,8 +5,8 @@
 
 use crate::proxy_golden::{golden, same};
 use crate::proxy_program::{Running, file, proxy, refusal};
-use crate::rig::Discovery;
-use crate::waits::soon;
+use crate::rig::TestDiscovery;
+use crate::waits::within_deadline;
 use serde_json::json;
 use std::fmt::Write;
 
@@ -77,7 +77,7 @@
 /// The flags, and what they are called in a call without a value; the words that explain them are free.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_command_line_has_these_flags() {
-    let out = soon(proxy(&["--help"], &[]).output()).await.expect("it starts");
+    let out = within_deadline(proxy(&["--help"], &[]).output()).await.expect("it starts");
     let help = String::from_utf8(out.stdout).expect("text");
     assert!(out.status.success(), "{help}");
     let flag = |line: &str| {
@@ -90,14 +90,14 @@
 /// The flags go before the file, and `--service` reaches discovery's query.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn flags_go_before_the_file() {
-    let discovery = Discovery::start(Vec::new()).await;
-    let at = discovery.config(json!({}))["discovery"].as_str().expect("text").to_string();
+    let discovery = TestDiscovery::start(Vec::new()).await;
+    let at = discovery.proxy_config(json!({}))["discovery"].as_str().expect("text").to_string();
     let path = file("flags.toml", &golden("local.toml")).display().to_string();
     let flags = ["--config", &path, "--listen", "127.0.0.1:0", "--ops", "127.0.0.1:0", "--discovery", &at];
     let flags = [&flags[..], &["--service", "other"]].concat();
     let mut running = Running::start(proxy(&flags, &[("RELAY_LISTEN", "odd"), ("RELAY_DISCOVERY", "odd")]));
     running.says_address("ops on ").await;
     running.says_address("listening on ").await;
-    discovery.settled().await;
-    assert!(discovery.asked().iter().any(|path| path == "/registry/instances?service=other"));
+    discovery.wait_until_synced().await;
+    assert!(discovery.request_targets().iter().any(|path| path == "/registry/instances?service=other"));
 }
--- a/tests/compatibility/proxy_program.rs
+++ b/tests/compatibility/proxy_program.rs
@@ -1,7 +1,7 @@
 //! The proxy started with flags and variables of a test's own, its whole log, and one HTTP exchange as bytes.
 
 use crate::proxy_golden::LOG_PREFIX;
-use crate::waits::soon;
+use crate::waits::within_deadline;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::Stdio;
@@ -29,7 +29,7 @@
 
 /// Starts a program that must refuse to run: its only line, without the prefix, and with the file's path masked.
 pub async fn refusal(mut command: Command, file: &str) -> String {
-    let out = soon(command.output()).await.expect("it starts");
+    let out = within_deadline(command.output()).await.expect("it starts");
     let said = String::from_utf8(out.stderr).expect("text");
     assert_eq!(out.status.code(), Some(1), "{said}");
     let line = said.strip_suffix('\n').and_then(|line| line.strip_prefix(LOG_PREFIX));
@@ -70,7 +70,7 @@
     /// Waits for a line that contains the notice, and gives what follows it there.
     pub async fn says(&mut self, notice: &str) -> String {
         loop {
-            let line = soon(self.log.next_line()).await.expect("readable");
+            let line = within_deadline(self.log.next_line()).await.expect("readable");
             let line = line.unwrap_or_else(|| panic!("it ended: {:?}", self.said));
             self.said.push(line);
             if let Some((_, rest)) = self.said.last().and_then(|line| line.split_once(notice)) {
@@ -87,15 +87,15 @@
 
 /// Writes bytes on a connection; the head of the answer that comes, and its body, whose length must be told.
 pub async fn exchange(stream: &mut TcpStream, request: &str) -> (String, Vec<u8>) {
-    soon(stream.write_all(request.as_bytes())).await.expect("open");
+    within_deadline(stream.write_all(request.as_bytes())).await.expect("open");
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
-        head.push(soon(stream.read_u8()).await.expect("an answer"));
+        head.push(within_deadline(stream.read_u8()).await.expect("an answer"));
     }
     let head = String::from_utf8(head).expect("text");
     let length = head.lines().find_map(|line| line.strip_prefix("content-length: ")?.parse().ok());
     let mut body = vec![0; length.unwrap_or(0)];
-    soon(stream.read_exact(&mut body)).await.expect("the body");
+    within_deadline(stream.read_exact(&mut body)).await.expect("the body");
     (head, body)
 }
 
@@ -110,10 +110,10 @@
 
 /// One call to an operators' address: all that it answers.
 pub async fn operate(at: SocketAddr, call: &[u8]) -> String {
-    let mut stream = soon(TcpStream::connect(at)).await.expect("it listens");
-    soon(stream.write_all(call)).await.expect("open");
-    soon(stream.shutdown()).await.expect("open");
+    let mut stream = within_deadline(TcpStream::connect(at)).await.expect("it listens");
+    within_deadline(stream.write_all(call)).await.expect("open");
+    within_deadline(stream.shutdown()).await.expect("open");
     let mut answer = String::new();
-    soon(stream.read_to_string(&mut answer)).await.expect("text");
+    within_deadline(stream.read_to_string(&mut answer)).await.expect("text");
     answer
 }
--- a/tests/compatibility/proxy_traffic.rs
+++ b/tests/compatibility/proxy_traffic.rs
@@ -1,7 +1,7 @@
 //! A registry of the tests' own on a plain socket: it keeps every request as bytes and gives the list, the route table
 //! and an empty answer to all else.
 
-use crate::waits::soon;
+use crate::waits::within_deadline;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -45,7 +45,7 @@
 
     pub async fn first_that(&self, is: impl Fn(&Asked) -> bool) -> Asked {
         let mut asked = self.asked.subscribe();
-        let all = soon(asked.wait_for(|all| all.iter().any(&is))).await.expect("open");
+        let all = within_deadline(asked.wait_for(|all| all.iter().any(&is))).await.expect("open");
         all.iter().find(|asked| is(asked)).cloned().expect("it came")
     }
 }
--- a/tests/compatibility/registry_calls.rs
+++ b/tests/compatibility/registry_calls.rs
@@ -7,7 +7,7 @@
 use crate::proxy_golden::{golden, masked, same, same_json};
 use crate::proxy_program::masked_head;
 use crate::proxy_traffic::{Asked, Recorder};
-use crate::rig::{Backend, Do, Orders, Proxy, settings};
+use crate::rig::{BackendAction, BackendControl, ProxyProcess, TestBackend, settings};
 use crate::table_rig::table;
 use load_balancer::route_table::{ExclusionReason, Report, Witness};
 use serde_json::{Value, json};
@@ -16,15 +16,15 @@
 
 struct Scene {
     registry: Recorder,
-    orders: Arc<Orders>,
-    _a: Backend,
-    proxy: Proxy,
+    orders: Arc<BackendControl>,
+    _a: TestBackend,
+    proxy: ProxyProcess,
 }
 
 async fn scene() -> Scene {
-    let orders = Arc::new(Orders::default());
-    let a = Backend::start("a", &orders).await;
-    let registry = Recorder::start(json!([a.line("SERVING")]), table(3, &[("a", 0.5)])).await;
+    let orders = Arc::new(BackendControl::default());
+    let a = TestBackend::start("a", &orders).await;
+    let registry = Recorder::start(json!([a.endpoint_entry("SERVING")]), table(3, &[("a", 0.5)])).await;
     let at = registry.address.to_string();
     let config = json!({
         "name": "n0", "listen": "127.0.0.1:0", "discovery": at, "service": "search", "seed": "1", "ops": "127.0.0.1:0",
@@ -32,7 +32,7 @@
         "routes": {"report_ms": 200},
         "membership": {"bind": "127.0.0.1:0", "name": "n0", "registries": [at]},
     });
-    let proxy = Proxy::start_as(&config, "exec \"$0\"").await;
+    let proxy = ProxyProcess::start_with_command(&config, "exec \"$0\"").await;
     Scene { registry, orders, _a: a, proxy }
 }
 
@@ -78,7 +78,7 @@
     let scene = scene().await;
     scene.registry.first("GET /registry/instances?after").await;
     scene.registry.first_that(watch).await;
-    scene.orders.give([Do::Serve, Do::Answer(500)]);
+    scene.orders.enqueue([BackendAction::Serve, BackendAction::Status(500)]);
     scene.proxy.call("look").await;
     scene.proxy.call("once").await;
     let reports = |asked: &Asked, key: &str| {
--- a/tests/compatibility/registry_golden.rs
+++ b/tests/compatibility/registry_golden.rs
@@ -10,7 +10,7 @@
 //! Nothing here writes a golden file. What a run gave instead is left in the target directory, to be looked at.
 
 use crate::registry_rig::{Registry, data_dir};
-use crate::waits::{LONG, soon};
+use crate::waits::{TEST_DEADLINE, within_deadline};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -114,7 +114,7 @@
         body.len()
     );
     let mut bytes = Vec::new();
-    soon(async {
+    within_deadline(async {
         let mut stream = TcpStream::connect(at).await.expect("connects");
         stream.write_all(&[head.as_bytes(), body].concat()).await.expect("taken");
         stream.read_to_end(&mut bytes).await.expect("answered");
@@ -175,7 +175,7 @@
             continue;
         }
         let mut got = exchange(at, &method, &path, &body).await;
-        let repeated = tokio::time::timeout(LONG, async {
+        let repeated = tokio::time::timeout(TEST_DEADLINE, async {
             while !got.1.contains(until) {
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 got = exchange(at, &method, &path, &body).await;
@@ -185,7 +185,7 @@
         let (status, answer) = got;
         note(&mut numbers, &answer);
         if let Some((asked, call)) = waiting.take() {
-            let (status, answer) = soon(call).await.expect("answered");
+            let (status, answer) = within_deadline(call).await.expect("answered");
             actual += &format!("{asked}\n{}\n{}\n\n", status, mask(answer.trim_end()));
         }
         actual += &format!("{asked}\n{status}\n{}\n\n", mask(answer.trim_end()));
--- a/tests/compatibility/registry_settings.rs
+++ b/tests/compatibility/registry_settings.rs
@@ -3,7 +3,7 @@
 
 use crate::registry_golden::{compare, start, text};
 use crate::registry_rig::{Registry, data_dir};
-use crate::waits::soon;
+use crate::waits::within_deadline;
 use rstest::rstest;
 use std::process::Stdio;
 use tokio::process::Command;
@@ -12,7 +12,7 @@
 async fn run(args: &[&str]) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_registry"));
     command.args(args).stdin(Stdio::null()).kill_on_drop(true);
-    let done = soon(command.output()).await.expect("it runs");
+    let done = within_deadline(command.output()).await.expect("it runs");
     let said = [done.stdout, done.stderr].concat();
     format!("status {}\n{}", done.status.code().expect("a status"), String::from_utf8_lossy(&said))
 }
--- a/tests/customers.rs
+++ b/tests/customers.rs
@@ -17,29 +17,29 @@
 /// A proxy for a customer, and two backends in each of two of its zones, the proxy's own first.
 struct Shop {
     settings: Value,
-    orders: Arc<Orders>,
+    orders: Arc<BackendControl>,
     /// Keeps the list.
-    _discovery: Discovery,
-    proxy: Proxy,
+    _discovery: TestDiscovery,
+    proxy: ProxyProcess,
 }
 
 const NAMES: [&str; 4] = ["own-1", "own-2", "far-1", "far-2"];
 
 impl Shop {
     async fn open(settings: Value) -> Shop {
-        let orders = Arc::new(Orders::default());
+        let orders = Arc::new(BackendControl::default());
         let zones = settings["localities"].as_array().expect("zones");
         let own = settings["locality"].as_u64().expect("a place") as usize;
         let far = (own + 1) % zones.len();
         let mut lines = Vec::new();
         for (name, zone) in NAMES.into_iter().zip([own, own, far, far]) {
-            let backend = Backend::start(name, &orders).await;
-            let mut line = backend.line("SERVING");
+            let backend = TestBackend::start(name, &orders).await;
+            let mut line = backend.endpoint_entry("SERVING");
             (line["site"], line["block"]) = (zones[zone].clone(), zone.into());
             lines.push(line);
         }
-        let discovery = Discovery::start(lines).await;
-        let proxy = Proxy::settled(&discovery, settings.clone()).await;
+        let discovery = TestDiscovery::start(lines).await;
+        let proxy = ProxyProcess::start_synced(&discovery, settings.clone()).await;
         Shop { settings, orders, _discovery: discovery, proxy }
     }
 
@@ -58,12 +58,12 @@
     }
 
     async fn send(&self, request: Request<Full<bytes::Bytes>>) -> u16 {
-        self.proxy.caller().await.send(request).await.0
+        self.proxy.connect_client().await.send(request).await.0
     }
 
     /// How many attempts have reached a backend.
     fn came(&self) -> usize {
-        self.orders.seen.borrow().len()
+        self.orders.requests.borrow().len()
     }
 }
 
@@ -106,7 +106,7 @@
                 let request = proper(&class, &owner);
                 let (id, uri) = (request.headers()["req-id"].clone(), request.uri().clone());
                 assert_eq!(shop.send(request).await, 200, "{class} {owner}");
-                let seen = shop.orders.seen.borrow();
+                let seen = shop.orders.requests.borrow();
                 let (_, head, _) = seen.last().expect("it came");
                 assert_eq!((head.method.as_str(), &head.uri), (method(&class), &uri));
                 assert_eq!(head.headers["req-id"], id);
@@ -154,19 +154,20 @@
         let (owner, most) = (&shop.tenants()[0], shop.settings["caps"]["tryLimit"].as_u64());
         let most = most.expect("a number") as usize;
 
-        shop.orders.give((0..most).map(|_| Do::Break));
+        shop.orders.enqueue((0..most).map(|_| BackendAction::CloseConnection));
         assert_eq!(shop.send(proper(&shop.class_of("retryable"), owner)).await, 503);
         assert_eq!(shop.came(), most, "as often as the limit allows");
 
-        shop.orders.give([Do::Break]);
+        shop.orders.enqueue([BackendAction::CloseConnection]);
         assert_eq!(shop.send(proper(&shop.class_of("fragile"), owner)).await, 502);
         assert_eq!(shop.came(), most + 1, "it may have run");
 
-        shop.orders.give([Do::Break]);
+        shop.orders.enqueue([BackendAction::CloseConnection]);
         let keyed = shop.class_of("dedup");
         assert_eq!(shop.send(proper(&keyed, owner)).await, 200);
         assert_eq!(shop.came(), most + 3, "repeated under its key");
-        let zone = |at: usize| shop.orders.seen.borrow()[at].0.split('-').next().expect("a zone").to_string();
+        let zone =
+            |at: usize| shop.orders.requests.borrow()[at].0.split('-').next().expect("a zone").to_string();
         assert!(keyed["group"] == "all" || zone(most + 1) == zone(most + 2), "in its group");
     }
 }
@@ -178,7 +179,7 @@
         let classes = settings["classes"].as_array_mut().expect("classes");
         classes.iter_mut().for_each(|c| c["window"] = json!(0.0));
         let shop = Shop::open(settings).await;
-        shop.orders.give([Do::Break]);
+        shop.orders.enqueue([BackendAction::CloseConnection]);
         let keyed = shop.class_of("dedup");
         // No repeat is discarded any more, wherever it comes: a further try is not harmless.
         assert_eq!(shop.send(proper(&keyed, &shop.tenants()[0])).await, 502);
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -5,7 +5,9 @@
 mod waits;
 
 use agent_rig::Agent;
-use rig::{Backend, Orders, Proxy, in_queue, refusing, settings, soon};
+use rig::{
+    BackendControl, ProxyProcess, TestBackend, accept_queue_len, refusing_address, settings, within_deadline,
+};
 use rstest::rstest;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -33,25 +35,26 @@
     #[case] sockets: usize,
     #[case] allowed: usize,
 ) {
-    let orders = Arc::new(Orders::default());
-    let a = Backend::start("a", &orders).await;
-    let (place, there) = refusing();
+    let orders = Arc::new(BackendControl::default());
+    let a = TestBackend::start("a", &orders).await;
+    let (place, there) = refusing_address();
     let mut config = Agent::start(Vec::new()).await.config(settings());
     config["discovery"] = there.to_string().into();
     config["limits"]["sockets"] = sockets.into();
-    let mut proxy = Proxy::start_as(&config, &format!("ulimit -n {allowed}; exec \"$0\"")).await;
-    proxy.notes("Connection refused").await;
+    let mut proxy =
+        ProxyProcess::start_with_command(&config, &format!("ulimit -n {allowed}; exec \"$0\"")).await;
+    proxy.wait_for_log("Connection refused").await;
     let (mut resting, mut silent) = (Vec::new(), Vec::new());
     let ready = || hyper::Request::get("/health/ready").header("host", "p").body(Default::default());
     for _ in 0..allowed / 4 {
-        let mut caller = proxy.caller().await;
+        let mut caller = proxy.connect_client().await;
         assert_eq!(caller.send(ready().expect("well formed")).await.0, 503);
         resting.push(caller);
     }
-    soon(async {
-        while !proxy.takes_nobody() {
+    within_deadline(async {
+        while !proxy.has_stopped_accepting() {
             // Where nobody waits, some may have been closed for want of a word.
-            let come = if in_queue(proxy.addr) == 0 { allowed } else { 0 };
+            let come = if accept_queue_len(proxy.addr) == 0 { allowed } else { 0 };
             for _ in 0..come {
                 silent.push(TcpStream::connect(proxy.addr).await.expect("the queue takes it"));
             }
@@ -63,7 +66,7 @@
     let held = proxy.descriptors();
     assert!((allowed / 2..=allowed - allowed / 8 - DISCOVERY).contains(&held), "{held} descriptors");
     let back = Instant::now();
-    let agent = Agent::on(place.listen(64).expect("it listens"), vec![a.line("SERVING")]);
+    let agent = Agent::on(place.listen(64).expect("it listens"), vec![a.endpoint_entry("SERVING")]);
     // How soon it is asked, `paused::returns` judges on the program's own clock: no call may fail in another way first.
     agent.held().await;
     let log = proxy.log_until("answers, the whole list anew").await;
--- a/tests/discovery/losses.rs
+++ b/tests/discovery/losses.rs
@@ -2,8 +2,8 @@
 
 use super::{TTL, config, until_ready, until_served_by};
 use crate::fault_relay::Relay;
-use crate::registry_rig::{Registry, data_dir, names};
-use crate::rig::{Backend, Orders, Proxy, soon};
+use crate::registry_rig::{Registry, data_dir, host_names};
+use crate::rig::{BackendControl, ProxyProcess, TestBackend, within_deadline};
 use serde_json::{Value, json};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
@@ -13,12 +13,13 @@
     let data = data_dir("resume");
     let registry = Registry::start(&data, &[]).await;
     let relay = Relay::start(registry.address).await;
-    let orders = Arc::new(Orders::default());
-    let (a, b) = (Backend::start("a", &orders).await, Backend::start("b", &orders).await);
-    registry.put(TTL, vec![a.line("SERVING")]).await;
+    let orders = Arc::new(BackendControl::default());
+    let (a, b) = (TestBackend::start("a", &orders).await, TestBackend::start("b", &orders).await);
+    registry.put(TTL, vec![a.endpoint_entry("SERVING")]).await;
     let mut proxies = Vec::new();
     for _ in 0..3 {
-        let proxy = Proxy::start_as(&config(&relay.address.to_string()), "exec \"$0\"").await;
+        let proxy =
+            ProxyProcess::start_with_command(&config(&relay.address.to_string()), "exec \"$0\"").await;
         until_ready(&proxy).await;
         until_served_by(&proxy, "a").await;
         proxies.push(proxy);
@@ -34,7 +35,7 @@
                 let mut last = (String::new(), 0);
                 for k in 0.. {
                     let host = format!("w{writer}-{k}");
-                    let entry = crate::rig::line(&host, address, "DRAINING");
+                    let entry = crate::rig::endpoint_entry(&host, address, "DRAINING");
                     let body = json!({"ttl_ms": TTL, "hosts": [entry]}).to_string().into_bytes();
                     let answer = crate::registry_rig::call(address, "PUT", "/registry/instances", body).await;
                     let Ok((200, text)) = answer else { break };
@@ -46,7 +47,7 @@
             })
         })
         .collect();
-    soon(async {
+    within_deadline(async {
         while answered.load(SeqCst) < 200 {
             tokio::task::yield_now().await;
         }
@@ -55,7 +56,7 @@
     registry.kill().await;
     let mut last = Vec::new();
     for writer in writers {
-        last.push(soon(writer).await.expect("no panic"));
+        last.push(within_deadline(writer).await.expect("no panic"));
     }
     for proxy in &proxies {
         assert_eq!(proxy.call("look").await, (200, "a".into()), "served from the list that is held");
@@ -63,9 +64,9 @@
 
     let registry = Registry::start(&data, &[]).await;
     relay.lead_to(registry.address);
-    let listed = names(&registry.get("").await);
+    let listed = host_names(&registry.get("").await);
     assert!(last.iter().all(|(host, _)| listed.contains(host)), "answered writes are there");
-    let seq = registry.put(TTL, vec![a.line("DRAINING"), b.line("SERVING")]).await;
+    let seq = registry.put(TTL, vec![a.endpoint_entry("DRAINING"), b.endpoint_entry("SERVING")]).await;
     assert!(last.iter().all(|(_, answered)| seq > *answered), "versions go on");
     for proxy in &proxies {
         until_served_by(proxy, "b").await;
@@ -74,8 +75,8 @@
 }
 
 /// How many backends a proxy knows, and how many of them it avoids.
-async fn known(proxy: &Proxy) -> (u64, u64) {
-    let page = proxy.tell("counters").await;
+async fn known(proxy: &ProxyProcess) -> (u64, u64) {
+    let page = proxy.ops_call("counters").await;
     let page: Value = serde_json::from_str(page.lines().next().expect("a page")).expect("JSON");
     let of = |key: &str| page[key].as_u64().expect("a number");
     (of("backends_known"), of("backends_excluded"))
@@ -85,36 +86,36 @@
 async fn a_registry_that_comes_back_empty_takes_no_backend_away_at_once() {
     let registry = Registry::start(&data_dir("before-loss"), &[]).await;
     let relay = Relay::start(registry.address).await;
-    let orders = Arc::new(Orders::default());
-    let (a, b) = (Backend::start("a", &orders).await, Backend::start("b", &orders).await);
-    registry.put(TTL, vec![a.line("SERVING"), b.line("SERVING")]).await;
+    let orders = Arc::new(BackendControl::default());
+    let (a, b) = (TestBackend::start("a", &orders).await, TestBackend::start("b", &orders).await);
+    registry.put(TTL, vec![a.endpoint_entry("SERVING"), b.endpoint_entry("SERVING")]).await;
     let guarded = |hold_ms: u64| {
         let mut config = config(&relay.address.to_string());
         config["ops"] = "127.0.0.1:0".into();
         config["list_guard"] = json!({"panic_threshold": 0.1, "hold_ms": hold_ms});
         config
     };
-    let mut patient = Proxy::start_as(&guarded(600_000), "exec \"$0\"").await;
-    let mut hasty = Proxy::start_as(&guarded(500), "exec \"$0\"").await;
+    let mut patient = ProxyProcess::start_with_command(&guarded(600_000), "exec \"$0\"").await;
+    let mut hasty = ProxyProcess::start_with_command(&guarded(500), "exec \"$0\"").await;
     until_ready(&patient).await;
     until_ready(&hasty).await;
     registry.kill().await;
     let registry = Registry::start(&data_dir("after-loss"), &[]).await;
     relay.lead_to(registry.address);
     for proxy in [&mut patient, &mut hasty] {
-        proxy.notes("2 of 2 backends stay in service though the list lacks them").await;
+        proxy.wait_for_log("2 of 2 backends stay in service though the list lacks them").await;
     }
     // The hasty one believes the list once it has stood for its hold, as the whole list that it asks for says.
-    hasty.notes("the list is believed again, 0 backends").await;
-    assert_eq!(hasty.ready().await, 503);
+    hasty.wait_for_log("the list is believed again, 0 backends").await;
+    assert_eq!(hasty.readiness_status().await, 503);
     for _ in 0..30 {
         assert_eq!(patient.call("look").await.0, 200);
     }
     assert_eq!(known(&patient).await, (2, 0), "both are in service still");
     assert_eq!(known(&hasty).await, (0, 0));
     // What registers anew is taken at once, by either.
-    registry.put(TTL, vec![a.line("SERVING"), b.line("SERVING")]).await;
-    patient.notes("the list is believed again, 2 backends").await;
+    registry.put(TTL, vec![a.endpoint_entry("SERVING"), b.endpoint_entry("SERVING")]).await;
+    patient.wait_for_log("the list is believed again, 2 backends").await;
     until_ready(&hasty).await;
     until_served_by(&hasty, "a").await;
 }
@@ -125,12 +126,13 @@
     let flags = ["--header-timeout-ms", "2000"];
     let registry = Registry::start(&data, &flags).await;
     let relay = Relay::start(registry.address).await;
-    let orders = Arc::new(Orders::default());
-    let (a, b) = (Backend::start("a", &orders).await, Backend::start("b", &orders).await);
-    registry.put(TTL, vec![a.line("SERVING")]).await;
+    let orders = Arc::new(BackendControl::default());
+    let (a, b) = (TestBackend::start("a", &orders).await, TestBackend::start("b", &orders).await);
+    registry.put(TTL, vec![a.endpoint_entry("SERVING")]).await;
     let mut proxies = Vec::new();
     for _ in 0..2 {
-        let proxy = Proxy::start_as(&config(&relay.address.to_string()), "exec \"$0\"").await;
+        let proxy =
+            ProxyProcess::start_with_command(&config(&relay.address.to_string()), "exec \"$0\"").await;
         until_ready(&proxy).await;
         proxies.push(proxy);
     }
@@ -140,10 +142,10 @@
     let mut log = std::fs::OpenOptions::new().append(true).open(data.join("log")).expect("log");
     std::io::Write::write_all(&mut log, &garbage).expect("written");
     let mut registry = Registry::start(&data, &flags).await;
-    let cut = registry.logged("torn or spoilt tail cut off the log").await;
+    let cut = registry.wait_for_log("torn or spoilt tail cut off the log").await;
     assert_eq!(cut["bytes"], garbage.len() as u64);
     relay.lead_to(registry.address);
-    registry.put(TTL, vec![b.line("SERVING"), a.line("DRAINING")]).await;
+    registry.put(TTL, vec![b.endpoint_entry("SERVING"), a.endpoint_entry("DRAINING")]).await;
     for proxy in &proxies {
         until_served_by(proxy, "b").await;
     }
@@ -161,18 +163,18 @@
         tokio::io::AsyncWriteExt::write_all(&mut caller, says).await.expect("written");
         bad.push(caller);
     }
-    registry.put(TTL, vec![a.line("SERVING"), b.line("DRAINING")]).await;
+    registry.put(TTL, vec![a.endpoint_entry("SERVING"), b.endpoint_entry("DRAINING")]).await;
     for proxy in &proxies {
         until_served_by(proxy, "a").await;
     }
     for mut caller in bad {
         let mut answer = Vec::new();
         // It ends: with an answer, or without one.
-        let _ = soon(tokio::io::AsyncReadExt::read_to_end(&mut caller, &mut answer)).await;
+        let _ = within_deadline(tokio::io::AsyncReadExt::read_to_end(&mut caller, &mut answer)).await;
         let text = String::from_utf8_lossy(&answer);
         assert!(answer.is_empty() || text.starts_with("HTTP/1.1 4"), "{text}");
     }
-    soon(async {
+    within_deadline(async {
         while registry.descriptors() > idle {
             tokio::task::yield_now().await;
         }
--- a/tests/discovery/main.rs
+++ b/tests/discovery/main.rs
@@ -13,7 +13,7 @@
 #[path = "../waits/mod.rs"]
 mod waits;
 
-use crate::rig::{Proxy, settings, soon};
+use crate::rig::{ProxyProcess, settings, within_deadline};
 use serde_json::{Value, json};
 
 const TTL: u64 = 600_000;
@@ -24,13 +24,13 @@
            "limits": {"memory_mb": 192, "sockets": 256}, "settings": settings()})
 }
 
-async fn until_ready(proxy: &Proxy) {
-    soon(async { while proxy.ready().await != 200 {} }).await;
+async fn until_ready(proxy: &ProxyProcess) {
+    within_deadline(async { while proxy.readiness_status().await != 200 {} }).await;
 }
 
 /// Calls until a backend of this name answers; every call must be served.
-async fn until_served_by(proxy: &Proxy, name: &str) {
-    soon(async {
+async fn until_served_by(proxy: &ProxyProcess, name: &str) {
+    within_deadline(async {
         loop {
             let (status, by) = proxy.call("look").await;
             assert_eq!(status, 200, "{by}");
--- a/tests/discovery/replaced.rs
+++ b/tests/discovery/replaced.rs
@@ -22,15 +22,15 @@
 
 #[tokio::test]
 async fn backends_that_are_gone_for_good_leave_nothing_behind() {
-    let discovery = Discovery::start(hosts(0)).await;
-    let proxy = Proxy::settled(&discovery, settings()).await;
+    let discovery = TestDiscovery::start(hosts(0)).await;
+    let proxy = ProxyProcess::start_synced(&discovery, settings()).await;
     for list in 1..FIRST {
-        discovery.tell(hosts(list)).await;
+        discovery.publish(hosts(list)).await;
     }
-    let before = proxy.held_mb();
+    let before = proxy.current_memory_mb();
     for list in FIRST..FIRST + MORE {
-        discovery.tell(hosts(list)).await;
+        discovery.publish(hosts(list)).await;
     }
-    let after = proxy.held_mb();
+    let after = proxy.current_memory_mb();
     assert!(after <= before + MOST, "{before} MB after {FIRST} lists, {after} after {MORE} more");
 }
--- a/tests/discovery/sources.rs
+++ b/tests/discovery/sources.rs
@@ -2,7 +2,7 @@
 
 use super::{TTL, config, until_ready, until_served_by};
 use crate::registry_rig::{Registry, data_dir};
-use crate::rig::{Backend, Orders, Proxy, write_config};
+use crate::rig::{BackendControl, ProxyProcess, TestBackend, write_config};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::time::timeout;
@@ -22,22 +22,22 @@
         Registry::start(&data_dir("silent-1"), &[]).await,
         Registry::start(&data_dir("silent-2"), &[]).await,
     );
-    let orders = Arc::new(Orders::default());
-    let (a, b) = (Backend::start("a", &orders).await, Backend::start("b", &orders).await);
-    first.put(TTL, vec![a.line("SERVING")]).await;
-    second.put(TTL, vec![a.line("SERVING"), b.line("SERVING")]).await;
+    let orders = Arc::new(BackendControl::default());
+    let (a, b) = (TestBackend::start("a", &orders).await, TestBackend::start("b", &orders).await);
+    first.put(TTL, vec![a.endpoint_entry("SERVING")]).await;
+    second.put(TTL, vec![a.endpoint_entry("SERVING"), b.endpoint_entry("SERVING")]).await;
     let addresses = [first.address.to_string(), second.address.to_string()];
     let own = format!(
         "unset RELAY_CONFIG RELAY_DISCOVERY; exec \"$0\" --config {}",
         own_config(&addresses).display()
     );
-    let by_environment = Proxy::start_as(&config(&addresses.join(",")), "exec \"$0\"").await;
-    let by_file = Proxy::start_as(&config(""), &own).await;
+    let by_environment = ProxyProcess::start_with_command(&config(&addresses.join(",")), "exec \"$0\"").await;
+    let by_file = ProxyProcess::start_with_command(&config(""), &own).await;
     for proxy in [&by_environment, &by_file] {
         until_ready(proxy).await;
         assert_eq!(proxy.call("look").await, (200, "a".into()), "the first address is the preferred one");
     }
-    first.signal("STOP");
+    first.send_signal("STOP");
     let stopped = Instant::now();
     // A watch waits 1 s and 1 s more; then it moves. News counts as told after 6 s.
     let moved = async {
@@ -49,10 +49,10 @@
             assert_eq!(proxy.call("look").await.0, 200);
         }
     }
-    first.signal("CONT");
-    first.put(TTL, vec![a.line("DRAINING")]).await;
-    let c = Backend::start("c", &orders).await;
-    second.put(TTL, vec![c.line("SERVING")]).await;
+    first.send_signal("CONT");
+    first.put(TTL, vec![a.endpoint_entry("DRAINING")]).await;
+    let c = TestBackend::start("c", &orders).await;
+    second.put(TTL, vec![c.endpoint_entry("SERVING")]).await;
     for proxy in [&by_environment, &by_file] {
         until_served_by(proxy, "c").await;
         // What the first one says is heard no more.
@@ -64,14 +64,14 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_proxy_on_its_embedded_configuration_serves_what_registers() {
     let registry = Registry::start(&data_dir("local"), &[]).await;
-    let orders = Arc::new(Orders::default());
-    let a = Backend::start("a", &orders).await;
-    let mut line = a.line("SERVING");
+    let orders = Arc::new(BackendControl::default());
+    let a = TestBackend::start("a", &orders).await;
+    let mut line = a.endpoint_entry("SERVING");
     line["site"] = "local".into();
     registry.put(TTL, vec![line]).await;
     let command = format!("exec \"$0\" --local --listen 127.0.0.1:0 --discovery {}", registry.address);
-    let proxy = Proxy::start_as(&config(""), &command).await;
+    let proxy = ProxyProcess::start_with_command(&config(""), &command).await;
     until_ready(&proxy).await;
     let request = crate::rig::request("look").uri("/read").body(Default::default()).expect("well formed");
-    assert_eq!(proxy.caller().await.send(request).await, (200, "a".into()));
+    assert_eq!(proxy.connect_client().await.send(request).await, (200, "a".into()));
 }
--- a/tests/entries.rs
+++ b/tests/entries.rs
@@ -6,25 +6,25 @@
 mod waits;
 
 use agent_rig::Agent;
-use rig::{Backend, Orders, Proxy, settings};
+use rig::{BackendControl, ProxyProcess, TestBackend, settings};
 use rstest::rstest;
 use serde_json::json;
 use std::sync::Arc;
 
 struct Told {
-    orders: Arc<Orders>,
-    a: Backend,
-    b: Backend,
+    orders: Arc<BackendControl>,
+    a: TestBackend,
+    b: TestBackend,
     agent: Agent,
-    proxy: Proxy,
+    proxy: ProxyProcess,
 }
 
 /// A proxy that holds the list of two backends and is told changes to it, as text, and nothing else.
-async fn told(changes: impl FnOnce(&Backend, &Backend) -> String) -> Told {
-    let orders = Arc::new(Orders::default());
-    let (a, b) = (Backend::start("a", &orders).await, Backend::start("b", &orders).await);
-    let agent = Agent::start(vec![a.line("SERVING"), b.line("SERVING")]).await;
-    let proxy = Proxy::start_as(&agent.config(settings()), "exec \"$0\"").await;
+async fn told(changes: impl FnOnce(&TestBackend, &TestBackend) -> String) -> Told {
+    let orders = Arc::new(BackendControl::default());
+    let (a, b) = (TestBackend::start("a", &orders).await, TestBackend::start("b", &orders).await);
+    let agent = Agent::start(vec![a.endpoint_entry("SERVING"), b.endpoint_entry("SERVING")]).await;
+    let proxy = ProxyProcess::start_with_command(&agent.config(settings()), "exec \"$0\"").await;
     agent.held().await;
     let begun = agent.calls().len();
     let text = format!("{{\"seq\": 2, \"whole\": false, \"hosts\": [{}]}}", changes(&a, &b));
@@ -34,7 +34,7 @@
     Told { orders, a, b, agent, proxy }
 }
 
-async fn only(proxy: &Proxy, name: &str) {
+async fn only(proxy: &ProxyProcess, name: &str) {
     for _ in 0..6 {
         assert_eq!(proxy.call("look").await, (200, name.into()));
     }
@@ -55,7 +55,7 @@
 #[case::unknown_gone(r#"{"host": "x", "health": "DELETED"}"#)]
 #[tokio::test]
 async fn a_drain_is_heard_whatever_the_entries_beside_it(#[case] odd: &str) {
-    let s = told(|a, _| format!("{odd}, {}, {odd}", a.line("DRAINING"))).await;
+    let s = told(|a, _| format!("{odd}, {}, {odd}", a.endpoint_entry("DRAINING"))).await;
     only(&s.proxy, "b").await;
 }
 
@@ -81,7 +81,7 @@
     let calls = s.agent.calls();
     assert!(calls[1..].iter().any(|call| call.after.is_none()), "the whole list is asked for");
     s.agent.tell_instead(None);
-    s.agent.change(vec![s.a.line("SERVING"), s.b.line("DRAINING")]);
+    s.agent.change(vec![s.a.endpoint_entry("SERVING"), s.b.endpoint_entry("DRAINING")]);
     s.agent.held().await;
     only(&s.proxy, "a").await;
 }
@@ -89,9 +89,9 @@
 /// A number that is too large for any machine stands in the list for good: it costs its entry and no other.
 #[tokio::test]
 async fn a_number_that_no_machine_holds_spoils_no_other_entry() {
-    let s = told(|a, _| a.line("SERVING").to_string()).await;
+    let s = told(|a, _| a.endpoint_entry("SERVING").to_string()).await;
     let odd = r#"{"host": "x", "dial": "127.0.0.1:1", "site": "a", "health": "SERVING", "share": 1e999}"#;
-    let (a, b) = (s.a.line("DRAINING"), s.b.line("SERVING"));
+    let (a, b) = (s.a.endpoint_entry("DRAINING"), s.b.endpoint_entry("SERVING"));
     let whole = format!("{{\"seq\": 3, \"whole\": true, \"hosts\": [{odd}, {a}, {b}]}}");
     let begun = s.agent.calls().len();
     s.agent.tell_instead(Some(whole));
@@ -105,17 +105,20 @@
 #[tokio::test]
 async fn a_backend_that_drains_and_is_back_in_the_same_changes_serves_where_it_is_now() {
     let s = told(|a, b| {
-        let (mut back, mut huge, mut other) = (a.line("SERVING"), a.line("SERVING"), b.line("SERVING"));
+        let (mut back, mut huge, mut other) =
+            (a.endpoint_entry("SERVING"), a.endpoint_entry("SERVING"), b.endpoint_entry("SERVING"));
         (back["dial"], back["born_ms"]) = (b.addr.to_string().into(), json!(5.0));
         (huge["host"], huge["share"]) = ("c".into(), json!(1e308));
         (other["host"], other["share"]) = ("d".into(), json!(1e308));
-        [a.line("DRAINING"), back, b.line("DRAINING"), huge, other].map(|line| line.to_string()).join(", ")
+        [a.endpoint_entry("DRAINING"), back, b.endpoint_entry("DRAINING"), huge, other]
+            .map(|line| line.to_string())
+            .join(", ")
     })
     .await;
     s.agent.tell_instead(None);
     for _ in 0..40 {
         assert_eq!(s.proxy.call("look").await.0, 200);
     }
-    let (a, b) = (s.orders.by("a"), s.orders.by("b"));
+    let (a, b) = (s.orders.request_count("a"), s.orders.request_count("b"));
     assert!(a > 10 && b > 10, "{a} and {b} calls");
 }
--- a/tests/fleet/backends.rs
+++ b/tests/fleet/backends.rs
@@ -19,37 +19,37 @@
 use tokio::task::AbortHandle;
 
 /// Peaks are counted in spans of this.
-pub const SPAN: Duration = Duration::from_millis(100);
+pub const COUNT_INTERVAL: Duration = Duration::from_millis(100);
 /// Mean time of a call's work.
-pub const WORK: Duration = Duration::from_millis(50);
+pub const MEAN_WORK: Duration = Duration::from_millis(50);
 
 /// What a backend does and what it has seen.
-pub struct State {
+pub struct BackendState {
     /// Mean work of a call, in microseconds.
     pub work_us: AtomicU64,
     /// Answers 500 at once.
-    pub fails: AtomicBool,
+    pub respond_500: AtomicBool,
     /// Calls that came.
     pub calls: AtomicUsize,
     /// Connections open now.
-    pub open: AtomicUsize,
+    pub open_connections: AtomicUsize,
     /// Connections that ever came.
-    pub opened: AtomicUsize,
+    pub connections_total: AtomicUsize,
     /// Calls in work now.
-    pub working: AtomicUsize,
+    pub in_progress: AtomicUsize,
     /// Of the calls, those that came by each group of clients.
     pub by_group: [AtomicUsize; 2],
-    /// Calls in each span since the first backend of all started.
-    pub spans: Mutex<Vec<usize>>,
+    /// Calls in each current_interval since the first backend of all started.
+    pub interval_calls: Mutex<Vec<usize>>,
     /// Of the times of work.
-    chance: Mutex<StdRng>,
+    rng: Mutex<StdRng>,
 }
 
 /// A backend; it ends, connections and all, when this is dropped.
 pub struct Backend {
     pub name: String,
     pub addr: SocketAddr,
-    pub state: Arc<State>,
+    pub state: Arc<BackendState>,
     born_ms: u64,
     serving: AbortHandle,
 }
@@ -60,9 +60,9 @@
     }
 }
 
-struct Down<'a>(&'a AtomicUsize);
+struct DecrementOnDrop<'a>(&'a AtomicUsize);
 
-impl Drop for Down<'_> {
+impl Drop for DecrementOnDrop<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, SeqCst);
     }
@@ -73,16 +73,16 @@
     pub async fn start(name: String, seed: u64, born_ms: u64) -> Backend {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("bound");
-        let state = Arc::new(State {
-            work_us: AtomicU64::new(WORK.as_micros() as u64),
-            fails: AtomicBool::new(false),
+        let state = Arc::new(BackendState {
+            work_us: AtomicU64::new(MEAN_WORK.as_micros() as u64),
+            respond_500: AtomicBool::new(false),
             calls: AtomicUsize::new(0),
-            open: AtomicUsize::new(0),
-            opened: AtomicUsize::new(0),
-            working: AtomicUsize::new(0),
+            open_connections: AtomicUsize::new(0),
+            connections_total: AtomicUsize::new(0),
+            in_progress: AtomicUsize::new(0),
             by_group: Default::default(),
-            spans: Mutex::default(),
-            chance: Mutex::new(StdRng::seed_from_u64(seed)),
+            interval_calls: Mutex::default(),
+            rng: Mutex::new(StdRng::seed_from_u64(seed)),
         });
         let shared = state.clone();
         let serving = tokio::spawn(async move {
@@ -94,9 +94,9 @@
                 let _ = stream.set_nodelay(true);
                 let state = shared.clone();
                 connections.spawn(async move {
-                    state.open.fetch_add(1, SeqCst);
-                    state.opened.fetch_add(1, SeqCst);
-                    let _open = Down(&state.open);
+                    state.open_connections.fetch_add(1, SeqCst);
+                    state.connections_total.fetch_add(1, SeqCst);
+                    let _open = DecrementOnDrop(&state.open_connections);
                     let service = service_fn(|request| answer(&state, request));
                     let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
                 });
@@ -107,7 +107,7 @@
     }
 
     /// It as the list has it.
-    pub fn line(&self, health: &str) -> Value {
+    pub fn endpoint_entry(&self, health: &str) -> Value {
         json!({"host": self.name, "dial": self.addr.to_string(), "site": "local", "class": "m", "block": 1,
             "health": health, "share": 1.0, "born_ms": self.born_ms})
     }
@@ -118,35 +118,38 @@
     }
 
     /// Forgets what it has counted.
-    pub fn count_anew(&self) {
+    pub fn reset_counts(&self) {
         self.state.calls.store(0, SeqCst);
         self.state.by_group.iter().for_each(|calls| calls.store(0, SeqCst));
-        self.state.spans.lock().expect("sound").clear();
+        self.state.interval_calls.lock().expect("sound").clear();
     }
 
     /// Its work takes so many times as long as usual.
-    pub fn slow(&self, times: u64) {
-        self.state.work_us.store(WORK.as_micros() as u64 * times, SeqCst);
+    pub fn slow_down(&self, times: u64) {
+        self.state.work_us.store(MEAN_WORK.as_micros() as u64 * times, SeqCst);
     }
 }
 
-async fn answer(state: &State, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
+async fn answer(
+    state: &BackendState,
+    request: Request<Incoming>,
+) -> Result<Response<Full<Bytes>>, Infallible> {
     state.calls.fetch_add(1, SeqCst);
     let group = request.uri().query().and_then(|q| q.strip_prefix("group=")?.parse::<usize>().ok());
     if let Some(calls) = group.and_then(|g| state.by_group.get(g)) {
         calls.fetch_add(1, SeqCst);
     }
-    state.working.fetch_add(1, SeqCst);
-    let _working = Down(&state.working);
+    state.in_progress.fetch_add(1, SeqCst);
+    let _in_progress = DecrementOnDrop(&state.in_progress);
     {
-        let (mut spans, now) = (state.spans.lock().expect("sound"), span());
+        let (mut spans, now) = (state.interval_calls.lock().expect("sound"), current_interval());
         let length = spans.len().max(now + 1);
         spans.resize(length, 0);
         spans[now] += 1;
     }
-    let times: f64 = state.chance.lock().expect("sound").sample(Exp1);
+    let times: f64 = state.rng.lock().expect("sound").sample(Exp1);
     let mut reply = Response::new(Full::new(Bytes::from_static(b"done")));
-    if state.fails.load(SeqCst) {
+    if state.respond_500.load(SeqCst) {
         *reply.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
     } else {
         tokio::time::sleep(Duration::from_micros(state.work_us.load(SeqCst)).mul_f64(times)).await;
@@ -154,10 +157,10 @@
     Ok(reply)
 }
 
-/// The number of the present span.
-pub fn span() -> usize {
+/// The number of the present current_interval.
+pub fn current_interval() -> usize {
     static START: std::sync::OnceLock<Instant> = std::sync::OnceLock::new();
-    (START.get_or_init(Instant::now).elapsed().as_millis() / SPAN.as_millis()) as usize
+    (START.get_or_init(Instant::now).elapsed().as_millis() / COUNT_INTERVAL.as_millis()) as usize
 }
 
 /// So many backends of one zone, warm.
--- a/tests/fleet/clients.rs
+++ b/tests/fleet/clients.rs
@@ -17,9 +17,9 @@
 use tokio::time::{Instant, sleep_until, timeout};
 
 /// A client waits so long.
-const PATIENCE: Duration = Duration::from_millis(2000);
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(2000);
 /// Answers of this much of the beginning are told apart.
-pub const BEGINNING: Duration = Duration::from_secs(1);
+pub const EARLY_PERIOD: Duration = Duration::from_secs(1);
 
 /// What clients got.
 #[derive(Default)]
@@ -46,24 +46,31 @@
 
 /// Sends `rates[n]` requests a second to `proxies[n]` for a time, all arrivals drawn from the seed; returns once all
 /// are answered or given up.
-pub async fn run(proxies: Vec<SocketAddr>, rates: Vec<f64>, seed: u64, lasts: Duration, tally: Arc<Tally>) {
-    let begun = Instant::now();
+pub async fn run(
+    proxies: Vec<SocketAddr>,
+    rates: Vec<f64>,
+    seed: u64,
+    duration: Duration,
+    tally: Arc<Tally>,
+) {
+    let started = Instant::now();
     let mut clients = JoinSet::new();
     for (n, (proxy, rate)) in proxies.into_iter().zip(rates).enumerate() {
         let tally = tally.clone();
         clients.spawn(async move {
-            let mut chance = StdRng::seed_from_u64(seed.wrapping_mul(1_000_003) + n as u64);
-            let (mut next, mut calls, idle) = (begun, JoinSet::new(), Idle::default());
+            let mut rng = StdRng::seed_from_u64(seed.wrapping_mul(1_000_003) + n as u64);
+            let (mut next, mut calls, idle) = (started, JoinSet::new(), Idle::default());
             loop {
-                next += Duration::from_secs_f64(chance.sample::<f64, _>(Exp1) / rate);
-                if next >= begun + lasts {
+                next += Duration::from_secs_f64(rng.sample::<f64, _>(Exp1) / rate);
+                if next >= started + duration {
                     break;
                 }
                 sleep_until(next).await;
-                let (idle, tally, early) = (idle.clone(), tally.clone(), next < begun + BEGINNING);
+                let (idle, tally, early) = (idle.clone(), tally.clone(), next < started + EARLY_PERIOD);
                 calls.spawn(async move {
                     tally.sent.fetch_add(1, SeqCst);
-                    let status = timeout(PATIENCE * 2, call(proxy, tally.group, &idle)).await.ok().flatten();
+                    let status =
+                        timeout(CLIENT_TIMEOUT * 2, call(proxy, tally.group, &idle)).await.ok().flatten();
                     let count = match status {
                         Some(200) => &tally.served,
                         Some(429 | 503) => &tally.refused,
@@ -99,7 +106,7 @@
     let request = Request::get(format!("/read?group={group}"))
         .header("host", "spread")
         .header("req-id", format!("{:016x}", NEXT.fetch_add(1, SeqCst)))
-        .header("req-deadline-ms", PATIENCE.as_millis().to_string())
+        .header("req-deadline-ms", CLIENT_TIMEOUT.as_millis().to_string())
         .body(Empty::new())
         .expect("well formed");
     sender.ready().await.ok()?;
--- a/tests/fleet/scene.rs
+++ b/tests/fleet/fixture.rs
@@ -3,8 +3,8 @@
 use crate::fault_relay::Links;
 use crate::fleet::backends::{self, Backend};
 use crate::fleet::clients::{self, Tally};
-use crate::fleet::figures::{self, Spread, spread};
 use crate::fleet::processes::{self, Process};
+use crate::fleet::statistics::{self, Spread, spread};
 use crate::registry_rig::{Registry, data_dir};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -19,14 +19,14 @@
 pub const PROXIES: usize = 200;
 pub const BACKENDS: usize = 60;
 /// How the proxies are each other's members: quick, yet not so quick that a busy machine shows as deaths.
-pub const TIMING: [(&str, u64); 4] =
+pub const MEMBERSHIP_TIMING: [(&str, u64); 4] =
     [("probe_ms", 1000), ("rtt_ms", 500), ("suspicion_ms", 4000), ("forget_ms", 600_000)];
 
 /// One fleet at a time: a machine bears no more.
-static TURN: Mutex<()> = Mutex::const_new(());
+static FLEET_LOCK: Mutex<()> = Mutex::const_new(());
 
 /// All that a test plays with.
-pub struct Scene {
+pub struct FleetFixture {
     pub registry: Registry,
     pub backends: Vec<Backend>,
     pub fleet: Vec<Process>,
@@ -37,36 +37,36 @@
 
 /// How members reach each other, if they are members.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Members {
+pub enum MembershipMode {
     None,
     Direct,
     Relayed,
 }
 
 /// Clients that send until this is dropped.
-pub struct Load {
+pub struct RunningLoad {
     pub tally: Arc<Tally>,
     task: JoinHandle<()>,
 }
 
-impl Drop for Load {
+impl Drop for RunningLoad {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-impl Scene {
+impl FleetFixture {
     /// Starts one; `change` may change each proxy's configuration; it is told the registry's address.
     pub async fn start(
         name: &str,
-        members: Members,
+        members: MembershipMode,
         change: impl Fn(usize, &mut Value, SocketAddr),
-    ) -> Scene {
-        let turn = TURN.lock().await;
+    ) -> FleetFixture {
+        let turn = FLEET_LOCK.lock().await;
         let program = Path::new(env!("CARGO_BIN_EXE_proxy"));
         let registry = Registry::start(&data_dir(name), &[]).await;
         let backends = backends::start(BACKENDS, 1).await;
-        registry.put(86_400_000, backends.iter().map(|b| b.line("SERVING")).collect()).await;
+        registry.put(86_400_000, backends.iter().map(|b| b.endpoint_entry("SERVING")).collect()).await;
         let mut configs: Vec<Value> = (0..PROXIES)
             .map(|n| {
                 let mut config = processes::config(n, PROXIES, registry.address, 1);
@@ -74,12 +74,12 @@
                 config
             })
             .collect();
-        let timing = json!(std::collections::BTreeMap::from(TIMING));
+        let timing = json!(std::collections::BTreeMap::from(MEMBERSHIP_TIMING));
         let mut links = None;
         let fleet = match members {
-            Members::None => processes::start(program, configs).await,
-            Members::Direct => processes::start_members(program, configs, &timing).await,
-            Members::Relayed => {
+            MembershipMode::None => processes::start(program, configs).await,
+            MembershipMode::Direct => processes::start_members(program, configs, &timing).await,
+            MembershipMode::Relayed => {
                 let between = Links::start(PROXIES).await;
                 for (n, config) in configs.iter_mut().enumerate() {
                     processes::with_membership(config, n, &between.addresses[..3], &timing);
@@ -87,50 +87,51 @@
                 }
                 let fleet = processes::start(program, configs).await;
                 for (n, process) in fleet.iter().enumerate() {
-                    between.place(n, process.member.expect("a member"));
+                    between.place(n, process.membership_addr.expect("a member"));
                 }
-                processes::until_all_see(&fleet, PROXIES).await;
+                processes::wait_for_members(&fleet, PROXIES).await;
                 links = Some(between);
                 fleet
             }
         };
-        Scene { registry, backends, fleet, links, _turn: turn }
+        FleetFixture { registry, backends, fleet, links, _turn: turn }
     }
 
     /// So many requests a second in all for these proxies, from now on.
-    pub fn load(&self, of: Range<usize>, per_s: f64, group: usize) -> Load {
+    pub fn start_load(&self, of: Range<usize>, per_s: f64, group: usize) -> RunningLoad {
         let tally = Arc::new(Tally { group, ..Tally::default() });
         let addresses: Vec<SocketAddr> = self.fleet[of.clone()].iter().map(|p| p.addr).collect();
         let rates = vec![per_s / addresses.len() as f64; addresses.len()];
         let day = Duration::from_secs(86_400);
         let task = tokio::spawn(clients::run(addresses, rates, 1 + of.start as u64, day, tally.clone()));
-        Load { tally, task }
+        RunningLoad { tally, task }
     }
 
     /// Counts anew from now on.
-    pub fn count_anew(&self) {
-        self.backends.iter().for_each(Backend::count_anew);
+    pub fn reset_counts(&self) {
+        self.backends.iter().for_each(Backend::reset_counts);
     }
 
     pub fn spread(&self) -> Spread {
-        spread(&figures::counts(&self.backends))
+        spread(&statistics::call_counts(&self.backends))
     }
 
     /// Backends that this group of clients has not reached.
-    pub fn missed_by(&self, group: usize) -> usize {
+    pub fn unreached_backends(&self, group: usize) -> usize {
         let calls = |b: &&Backend| b.state.by_group[group].load(std::sync::atomic::Ordering::SeqCst) == 0;
         self.backends.iter().filter(calls).count()
     }
 
     /// Fails if a backend was run over, if by few calls at once.
-    pub fn no_herd(&self, when: &str) {
-        let (herd, peak) = (figures::herd(&self.backends), figures::peak(&self.backends));
+    pub fn assert_no_herd(&self, when: &str) {
+        let (herd, peak) =
+            (statistics::worst_herd_ratio(&self.backends), statistics::peak_interval_calls(&self.backends));
         println!("{when}: herd {herd:.2}, at most {peak} calls at one backend in 100 ms");
         assert!(herd < 1.0, "{when}: a herd of {peak} calls in 100 ms, {herd:.2} of the bound");
     }
 }
 
 /// What a counter says.
-pub fn read(counter: &AtomicUsize) -> usize {
+pub fn count(counter: &AtomicUsize) -> usize {
     counter.load(std::sync::atomic::Ordering::SeqCst)
 }
--- a/tests/fleet/processes.rs
+++ b/tests/fleet/processes.rs
@@ -14,8 +14,8 @@
 use tokio::time::{Instant, sleep, timeout};
 
 /// A fleet starts and finds itself within this on a busy machine.
-const START: Duration = Duration::from_secs(90);
-const LOOK: Duration = Duration::from_millis(100);
+const START_TIMEOUT: Duration = Duration::from_secs(90);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A started proxy; it is killed when this is dropped.
 pub struct Process {
@@ -23,7 +23,7 @@
     /// Where operators call, if anywhere.
     pub ops: Option<SocketAddr>,
     /// Where other members' datagrams come in, if it is a member.
-    pub member: Option<SocketAddr>,
+    pub membership_addr: Option<SocketAddr>,
     child: Child,
 }
 
@@ -49,7 +49,7 @@
 }
 
 impl Process {
-    /// Starts it and waits until it listens.
+    /// Starts it and waits poll_until it listens.
     pub async fn start(program: &Path, config: &Value) -> Process {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let name = format!("fleet-{}-{}.json", std::process::id(), NEXT.fetch_add(1, SeqCst));
@@ -78,7 +78,7 @@
                 }
             }
         };
-        timeout(START, listens).await.expect("it listens in time");
+        timeout(START_TIMEOUT, listens).await.expect("it listens in time");
         let _ = std::fs::remove_file(&path);
         // What it logs further on is taken from it, or it would wait.
         tokio::spawn(async move { while let Ok(Some(_)) = log.next_line().await {} });
@@ -86,7 +86,7 @@
         Process {
             addr: said("listening").expect("said"),
             ops: said("ops"),
-            member: said("membership"),
+            membership_addr: said("membership"),
             child,
         }
     }
@@ -97,7 +97,7 @@
     }
 
     /// Its process id; none once it has ended.
-    pub fn id(&self) -> Option<u32> {
+    pub fn pid(&self) -> Option<u32> {
         self.child.id()
     }
 
@@ -110,7 +110,7 @@
     }
 
     /// How many members it sees alive, itself included.
-    pub async fn alive(&self) -> Option<u64> {
+    pub async fn alive_members(&self) -> Option<u64> {
         let mut stream = TcpStream::connect(self.ops?).await.ok()?;
         stream.write_all(b"members\n").await.ok()?;
         let mut answer = String::new();
@@ -133,7 +133,7 @@
     text.split(|c: char| !c.is_ascii_digit() && c != '.' && c != ':').find_map(|part| part.parse().ok())
 }
 
-/// Starts one for each configuration, all at once, and waits until all are ready.
+/// Starts one for each configuration, all at once, and waits poll_until all are ready.
 pub async fn start(program: &Path, configs: Vec<Value>) -> Vec<Process> {
     let mut starting = JoinSet::new();
     for (n, config) in configs.into_iter().enumerate() {
@@ -141,7 +141,7 @@
         starting.spawn(async move {
             let process = Process::start(&program, &config).await;
             let new = &process;
-            until(|| new.ready()).await;
+            poll_until(|| new.ready()).await;
             (n, process)
         });
     }
@@ -155,7 +155,7 @@
     let (mut processes, size) = (Vec::<Process>::new(), configs.len());
     // The first alone, then two that ask it, then the rest, who ask these three.
     for count in [1, 2, size] {
-        let seeds: Vec<SocketAddr> = processes.iter().filter_map(|p| p.member).collect();
+        let seeds: Vec<SocketAddr> = processes.iter().filter_map(|p| p.membership_addr).collect();
         let from = processes.len();
         let mut group: Vec<Value> = configs.drain(..count.min(configs.len())).collect();
         for (n, config) in group.iter_mut().enumerate() {
@@ -163,22 +163,22 @@
         }
         processes.extend(start(program, group).await);
     }
-    until_all_see(&processes, size).await;
+    wait_for_members(&processes, size).await;
     processes
 }
 
-/// Waits until each sees so many alive, give or take a tenth: the news of the last few takes long among many.
-pub async fn until_all_see(processes: &[Process], alive: usize) {
+/// Waits poll_until each sees so many alive, give or take a tenth: the news of the last few takes long among many.
+pub async fn wait_for_members(processes: &[Process], alive: usize) {
     let near = |seen: u64| (seen as f64 - alive as f64).abs() <= 0.1 * alive as f64;
     for process in processes {
-        until(|| async { process.alive().await.is_some_and(near) }).await;
+        poll_until(|| async { process.alive_members().await.is_some_and(near) }).await;
     }
 }
 
-async fn until<F: Future<Output = bool>>(is: impl Fn() -> F) {
-    let begun = Instant::now();
+async fn poll_until<F: Future<Output = bool>>(is: impl Fn() -> F) {
+    let started_at = Instant::now();
     while !is().await {
-        assert!(begun.elapsed() < START, "the fleet stands within {START:?}");
-        sleep(LOOK).await;
+        assert!(started_at.elapsed() < START_TIMEOUT, "the fleet stands within {START_TIMEOUT:?}");
+        sleep(POLL_INTERVAL).await;
     }
 }
--- a/tests/fleet/figures.rs
+++ b/tests/fleet/statistics.rs
@@ -26,25 +26,26 @@
 }
 
 /// Calls so far.
-pub fn counts(backends: &[Backend]) -> Vec<usize> {
+pub fn call_counts(backends: &[Backend]) -> Vec<usize> {
     backends.iter().map(Backend::calls).collect()
 }
 
 /// Connections open now, all backends'.
-pub fn connections(backends: &[Backend]) -> usize {
-    backends.iter().map(|b| b.state.open.load(SeqCst)).sum()
+pub fn open_connections(backends: &[Backend]) -> usize {
+    backends.iter().map(|b| b.state.open_connections.load(SeqCst)).sum()
 }
 
 /// Most calls at one backend in a span.
-pub fn peak(backends: &[Backend]) -> usize {
-    let most = |b: &Backend| b.state.spans.lock().expect("sound").iter().copied().max();
+pub fn peak_interval_calls(backends: &[Backend]) -> usize {
+    let most = |b: &Backend| b.state.interval_calls.lock().expect("sound").iter().copied().max();
     backends.iter().filter_map(most).max().unwrap_or(0)
 }
 
 /// The worst span of a backend: its calls over `m + 6 sqrt(m) + 6`, where `m` is the mean of all in that span. Calls
-/// that fall by chance stay well under 1, however many come at once; a herd on one backend does not.
-pub fn herd(backends: &[Backend]) -> f64 {
-    let spans: Vec<_> = backends.iter().map(|b| b.state.spans.lock().expect("sound").clone()).collect();
+/// that fall by chance stay well under 1, however many come at once; a worst_herd_ratio on one backend does not.
+pub fn worst_herd_ratio(backends: &[Backend]) -> f64 {
+    let spans: Vec<_> =
+        backends.iter().map(|b| b.state.interval_calls.lock().expect("sound").clone()).collect();
     let in_span = |n: usize| spans.iter().map(move |s| s.get(n).copied().unwrap_or(0));
     let worst = |n: usize| {
         let mean = in_span(n).sum::<usize>() as f64 / spans.len() as f64;
@@ -53,8 +54,8 @@
     (0..spans.iter().map(Vec::len).max().unwrap_or(0)).map(worst).fold(0.0, f64::max)
 }
 
-/// Calls to some backends over the even part of as many.
-pub fn part(counts: &[usize], of: std::ops::Range<usize>) -> f64 {
+/// Calls to some backends over the even relative_share of as many.
+pub fn relative_share(counts: &[usize], of: std::ops::Range<usize>) -> f64 {
     let even = counts.iter().sum::<usize>() as f64 / counts.len() as f64 * of.len() as f64;
     counts[of].iter().sum::<usize>() as f64 / even
 }
--- a/tests/fleet_rig/mod.rs
+++ b/tests/fleet_rig/mod.rs
@@ -1,4 +1,4 @@
-//! A tier of real processes: a registry that hosts the route table, proxies that are each other's members and reach it
+//! A fleet of real processes: a registry that hosts the route table, proxies that are each other's members and reach it
 //! by a relay each, backends that work and may fail, and clients that keep calling.
 #![allow(dead_code)]
 
@@ -6,10 +6,10 @@
 
 use crate::fault_relay::{Links, Relay};
 use crate::registry_rig::{Registry, data_dir, entry};
-use crate::rig::{Proxy, settings};
+use crate::rig::{ProxyProcess, settings};
 use crate::routes_rig::{acquire, host, page, proposal, propose, until};
-use crate::waits::soon;
-use load::{Answers, Worker, call_on};
+use crate::waits::within_deadline;
+use load::{LimitedBackend, ResponseCounts, run_client};
 use serde_json::{Value, json};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::Relaxed;
@@ -18,8 +18,8 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// What a tier is made of.
-pub struct Plan<'a> {
+/// What a fleet is made of.
+pub struct FleetPlan<'a> {
     pub name: &'a str,
     pub proxies: usize,
     pub backends: usize,
@@ -28,7 +28,7 @@
     /// Mean work of a request, how many a backend works on at once, and how many it takes at all.
     pub work: Duration,
     pub slots: usize,
-    pub bears: usize,
+    pub capacity: usize,
     /// Class of the requests, and how many a second each proxy gets.
     pub class: &'static str,
     pub rate: f64,
@@ -36,18 +36,18 @@
     pub record: Value,
 }
 
-impl Default for Plan<'_> {
+impl Default for FleetPlan<'_> {
     fn default() -> Self {
         let work = Duration::from_millis(5);
         let rate = 60.0;
-        Plan {
+        FleetPlan {
             name: "",
             proxies: 6,
             backends: 4,
             keys: "",
             work,
             slots: 64,
-            bears: 1000,
+            capacity: 1000,
             class: "look",
             rate,
             record: Value::Null,
@@ -55,13 +55,13 @@
     }
 }
 
-/// The tier.
-pub struct Tier {
+/// The fleet.
+pub struct ProcessFleet {
     pub registry: Registry,
     pub relays: Vec<Relay>,
-    pub proxies: Vec<Proxy>,
-    pub workers: Vec<Worker>,
-    pub answers: Arc<Answers>,
+    pub proxies: Vec<ProxyProcess>,
+    pub backends: Vec<LimitedBackend>,
+    pub counts: Arc<ResponseCounts>,
     token: u64,
     links: Links,
     load: JoinSet<()>,
@@ -70,43 +70,44 @@
 /// How often a proxy reports, ms.
 pub const REPORT_MS: u64 = 500;
 
-impl Tier {
+impl ProcessFleet {
     /// All is up, every proxy reports, and the clients call.
-    pub async fn start(plan: Plan<'_>) -> Tier {
+    pub async fn start(plan: FleetPlan<'_>) -> ProcessFleet {
         let keys = format!("report_ms = {REPORT_MS}\n{}", plan.keys);
         let registry = host(&data_dir(plan.name), &keys).await;
-        let (mut workers, mut relays, mut proxies) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut backends, mut relays, mut proxies) = (Vec::new(), Vec::new(), Vec::new());
         for _ in 0..plan.backends {
-            workers.push(Worker::start(plan.work, plan.slots, plan.bears).await);
+            backends.push(LimitedBackend::start(plan.work, plan.slots, plan.capacity).await);
         }
-        let listed = |(n, worker): (usize, &Worker)| entry(&format!("s{n}"), worker.addr, "SERVING");
-        registry.put(86_400_000, workers.iter().enumerate().map(listed).collect()).await;
+        let listed =
+            |(n, backend): (usize, &LimitedBackend)| entry(&format!("s{n}"), backend.addr, "SERVING");
+        registry.put(86_400_000, backends.iter().enumerate().map(listed).collect()).await;
         let links = Links::start(plan.proxies).await;
-        let (answers, mut load) = (Arc::new(Answers::default()), JoinSet::new());
+        let (counts, mut load) = (Arc::new(ResponseCounts::default()), JoinSet::new());
         for n in 0..plan.proxies {
             let relay = Relay::start(registry.address).await;
-            let mut proxy = Proxy::spawn(&config(&plan, n, &relay, &links), "exec \"$0\"");
-            links.place(n, proxy.says("membership on ").await);
-            proxy.ops = Some(proxy.says("ops on ").await);
-            proxy.addr = proxy.says("listening on ").await;
+            let mut proxy = ProxyProcess::spawn(&config(&plan, n, &relay, &links), "exec \"$0\"");
+            links.place(n, proxy.wait_for_address("membership on ").await);
+            proxy.ops = Some(proxy.wait_for_address("ops on ").await);
+            proxy.addr = proxy.wait_for_address("listening on ").await;
             relays.push(relay);
-            for caller in 0..CALLERS {
-                let pause = Duration::from_secs_f64(CALLERS as f64 / plan.rate);
-                let seed = (n * CALLERS + caller) as u64;
-                load.spawn(call_on(proxy.addr, plan.class, pause, seed, answers.clone()));
+            for caller in 0..CLIENTS_PER_PROXY {
+                let pause = Duration::from_secs_f64(CLIENTS_PER_PROXY as f64 / plan.rate);
+                let seed = (n * CLIENTS_PER_PROXY + caller) as u64;
+                load.spawn(run_client(proxy.addr, plan.class, pause, seed, counts.clone()));
             }
             proxies.push(proxy);
         }
         let token = acquire(&registry, "operator").await;
-        let tier = Tier { registry, relays, proxies, workers, answers, token, links, load };
+        let fleet = ProcessFleet { registry, relays, proxies, backends, counts, token, links, load };
         let all = plan.proxies as u64;
-        tier.drift(|page| page["heard"] == all && page["quiet_ms"] == 0).await;
-        tier
+        fleet.wait_for_drift(|page| page["heard"] == all && page["quiet_ms"] == 0).await;
+        fleet
     }
 
     /// Proposes weights made from the newest table; status and answer.
     pub async fn try_propose(&self, weights: &[(&str, f64)], why: Option<&str>) -> (u16, Value) {
-        let newest = self.state(|_| true).await["newest"].as_u64().expect("a revision");
+        let newest = self.wait_for_routes(|_| true).await["newest"].as_u64().expect("a revision");
         let mut body = proposal(newest, weights, self.token);
         if let Some(why) = why {
             body["override"] = why.into();
@@ -122,30 +123,30 @@
     }
 
     /// Waits until a proposal is over; what is kept of it.
-    pub async fn over(&self, revision: u64) -> Value {
+    pub async fn wait_for_outcome(&self, revision: u64) -> Value {
         let of = |page: &Value| {
             let past = page["past"].as_array().expect("past");
             past.iter().find(|p| p["revision"] == revision).cloned()
         };
-        let page = self.state(|page| of(page).is_some()).await;
+        let page = self.wait_for_routes(|page| of(page).is_some()).await;
         of(&page).expect("there")
     }
 
-    pub async fn state(&self, so: impl Fn(&Value) -> bool) -> Value {
+    pub async fn wait_for_routes(&self, so: impl Fn(&Value) -> bool) -> Value {
         until(&self.registry, "/registry/routes", so).await
     }
 
-    pub async fn drift(&self, so: impl Fn(&Value) -> bool) -> Value {
+    pub async fn wait_for_drift(&self, so: impl Fn(&Value) -> bool) -> Value {
         until(&self.registry, "/registry/drift", so).await
     }
 
     /// What is raised now: kind, and the proxy if it is of one.
     pub async fn findings(&self) -> Vec<(String, Option<String>)> {
-        found(&page(&self.registry, "/registry/drift").await)
+        finding_kinds(&page(&self.registry, "/registry/drift").await)
     }
 
     /// All that was raised since the last time, by the log.
-    pub fn raised(&mut self) -> Vec<(String, Option<String>)> {
+    pub fn drain_raised(&mut self) -> Vec<(String, Option<String>)> {
         let mut all = Vec::new();
         while let Ok(line) = self.registry.logs.try_recv() {
             if line["message"] == "drift raised" {
@@ -156,16 +157,16 @@
     }
 
     /// A proxy's page of the route table.
-    pub async fn held(&self, n: usize) -> Value {
-        let page = self.proxies[n].tell("routes").await;
+    pub async fn route_page(&self, n: usize) -> Value {
+        let page = self.proxies[n].ops_call("routes").await;
         serde_json::from_str(page.lines().next().expect("a page")).expect("JSON")
     }
 
     /// Waits until a proxy's page says so.
-    pub async fn holds(&self, n: usize, so: impl Fn(&Value) -> bool) -> Value {
-        soon(async {
+    pub async fn wait_for_route_page(&self, n: usize, so: impl Fn(&Value) -> bool) -> Value {
+        within_deadline(async {
             loop {
-                let held = self.held(n).await;
+                let held = self.route_page(n).await;
                 if so(&held) {
                     return held;
                 }
@@ -176,20 +177,20 @@
     }
 
     /// Cuts a proxy off the registry, not off its peers.
-    pub async fn cut(&self, n: usize) {
+    pub async fn disconnect_registry(&self, n: usize) {
         let nobody = TcpListener::bind("127.0.0.1:0").await.expect("a port").local_addr().expect("bound");
         self.relays[n].lead_to(nobody);
     }
 
-    pub fn heal(&self, n: usize) {
+    pub fn reconnect_registry(&self, n: usize) {
         self.relays[n].lead_to(self.registry.address);
     }
 
     /// Each backend's share of the calls that come until there are so many more.
-    pub async fn shares(&self, calls: u64) -> Vec<f64> {
-        let now = || -> Vec<u64> { self.workers.iter().map(|w| w.calls.load(Relaxed)).collect() };
+    pub async fn measure_shares(&self, calls: u64) -> Vec<f64> {
+        let now = || -> Vec<u64> { self.backends.iter().map(|w| w.calls.load(Relaxed)).collect() };
         let before = now();
-        soon(async {
+        within_deadline(async {
             while now().iter().sum::<u64>() < before.iter().sum::<u64>() + calls {
                 sleep(Duration::from_millis(20)).await;
             }
@@ -200,9 +201,9 @@
     }
 }
 
-const CALLERS: usize = 8;
+const CLIENTS_PER_PROXY: usize = 8;
 
-pub fn found(drift: &Value) -> Vec<(String, Option<String>)> {
+pub fn finding_kinds(drift: &Value) -> Vec<(String, Option<String>)> {
     drift["findings"].as_array().expect("findings").iter().map(kind_and_proxy).collect()
 }
 
@@ -210,7 +211,7 @@
     (of["kind"].as_str().expect("a kind").into(), of["proxy"].as_str().map(Into::into))
 }
 
-fn config(plan: &Plan, n: usize, relay: &Relay, links: &Links) -> Value {
+fn config(plan: &FleetPlan, n: usize, relay: &Relay, links: &Links) -> Value {
     let seeds: Vec<String> = links.addresses.iter().take(2).map(ToString::to_string).collect();
     let mut settings = settings();
     settings["peersTotal"] = plan.proxies.into();
--- a/tests/leaks/backends.rs
+++ b/tests/leaks/backends.rs
@@ -1,6 +1,6 @@
 //! Ten thousand resets by a backend, of each kind, and ends of discovery's answers.
 
-use crate::rig::soon;
+use crate::rig::within_deadline;
 use crate::stage::{AT_ONCE, Stage, request};
 use std::sync::atomic::Ordering::SeqCst;
 use tokio::io::AsyncReadExt;
@@ -16,7 +16,7 @@
         }
         for mut stream in streams {
             // An answer, or an end: what broke off may end the client's connection before its first byte is out.
-            let _ = soon(stream.read_u8()).await;
+            let _ = within_deadline(stream.read_u8()).await;
         }
         stage.backend.resets.load(SeqCst) - before
     };
--- a/tests/leaks/clients.rs
+++ b/tests/leaks/clients.rs
@@ -1,6 +1,6 @@
 //! Ten thousand clients that reset their connections, of each kind.
 
-use crate::rig::soon;
+use crate::rig::within_deadline;
 use crate::stage::{AT_ONCE, Stage, request, reset};
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
@@ -71,7 +71,7 @@
                 sleep(Duration::from_millis(1)).await;
             }
         };
-        let (held, left) = soon(all).await;
+        let (held, left) = within_deadline(all).await;
         stage.backend.held.forget_permits(held);
         streams.into_iter().for_each(reset);
         stage.backend.freed.add_permits(held);
@@ -91,7 +91,7 @@
         }
         for stream in &mut streams {
             let mut start = [0; 12];
-            soon(stream.read_exact(&mut start)).await.expect("an answer begins");
+            within_deadline(stream.read_exact(&mut start)).await.expect("an answer begins");
             begun += usize::from(&start == b"HTTP/1.1 200");
         }
         streams.into_iter().for_each(reset);
--- a/tests/leaks/discovery.rs
+++ b/tests/leaks/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery that resets its calls at every point of an answer.
 
-use crate::rig::soon;
+use crate::rig::within_deadline;
 use crate::stage::Stage;
 use serde_json::{Value, json};
 use std::sync::Arc;
@@ -41,6 +41,6 @@
         Some(addr)
     })
     .await;
-    soon(ends.subscribe().wait_for(|n| *n >= ENDS)).await.expect("open");
+    within_deadline(ends.subscribe().wait_for(|n| *n >= ENDS)).await.expect("open");
     stage.back_to_the_start().await;
 }
--- a/tests/leaks/stage.rs
+++ b/tests/leaks/stage.rs
@@ -1,7 +1,7 @@
 //! A process, what it holds at the start, and the wait for it to hold no more.
 
 use crate::backend::Backend;
-use crate::rig::{Discovery, LONG, Proxy, line, soon, with_cap};
+use crate::rig::{ProxyProcess, TEST_DEADLINE, TestDiscovery, endpoint_entry, with_cap, within_deadline};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,9 +21,9 @@
 const GROWTH: usize = 4;
 
 pub struct Stage {
-    pub proxy: Proxy,
+    pub proxy: ProxyProcess,
     pub backend: Arc<Backend>,
-    _discovery: Discovery,
+    _discovery: TestDiscovery,
     base: usize,
 }
 
@@ -37,16 +37,16 @@
     pub async fn found_by(other: impl AsyncFnOnce(Vec<Value>) -> Option<SocketAddr>) -> Self {
         let backend = Backend::start(MEMBERS).await;
         let list = backend.addrs.iter().enumerate();
-        let list: Vec<_> = list.map(|(n, addr)| line(&format!("b{n}"), *addr, "SERVING")).collect();
-        let discovery = Discovery::start(list.clone()).await;
-        let mut config = discovery.config(with_cap("connIdle", 2000.0.into()));
+        let list: Vec<_> = list.map(|(n, addr)| endpoint_entry(&format!("b{n}"), *addr, "SERVING")).collect();
+        let discovery = TestDiscovery::start(list.clone()).await;
+        let mut config = discovery.proxy_config(with_cap("connIdle", 2000.0.into()));
         config["ops"] = "127.0.0.1:0".into();
         config["limits"]["memory_mb"] = 1.into();
         if let Some(other) = other(list).await {
             config["discovery"] = other.to_string().into();
         }
-        let proxy = Proxy::start_as(&config, "exec \"$0\"").await;
-        soon(async { while proxy.ready().await != 200 {} }).await;
+        let proxy = ProxyProcess::start_with_command(&config, "exec \"$0\"").await;
+        within_deadline(async { while proxy.readiness_status().await != 200 {} }).await;
         let mut stage = Stage { proxy, backend, _discovery: discovery, base: 0 };
         // Between two calls to discovery the process has one descriptor less: what it holds at the most counts.
         let begun = Instant::now();
@@ -59,7 +59,7 @@
 
     /// A connection on which this is written.
     pub async fn client(&self, text: &[u8]) -> TcpStream {
-        let mut stream = soon(TcpStream::connect(self.proxy.addr)).await.expect("it listens");
+        let mut stream = within_deadline(TcpStream::connect(self.proxy.addr)).await.expect("it listens");
         stream.write_all(text).await.expect("open");
         stream
     }
@@ -70,13 +70,13 @@
         while ends < ENDS {
             let made = batch().await;
             (ends, last) = (ends + made, if made > 0 { Instant::now() } else { last });
-            assert!(last.elapsed() < LONG, "after {ends} ends nothing gets as far as to end");
+            assert!(last.elapsed() < TEST_DEADLINE, "after {ends} ends nothing gets as far as to end");
             if ends >= ENDS / 10 {
-                early.get_or_insert_with(|| self.proxy.peak_mb());
+                early.get_or_insert_with(|| self.proxy.peak_memory_mb());
             }
         }
         self.back_to_the_start().await;
-        let grown = self.proxy.peak_mb() - early.expect("a tenth was passed");
+        let grown = self.proxy.peak_memory_mb() - early.expect("a tenth was passed");
         assert!(grown <= GROWTH, "{grown} MB more than after a tenth of the ends");
     }
 
@@ -90,8 +90,8 @@
     async fn at_rest(&self) {
         let mut last = String::new();
         let begun = Instant::now();
-        while begun.elapsed() < LONG {
-            let page = self.proxy.tell("counters").await;
+        while begun.elapsed() < TEST_DEADLINE {
+            let page = self.proxy.ops_call("counters").await;
             let page: Value = serde_json::from_str(page.lines().next().expect("a page")).expect("JSON");
             let (in_flight, open) = (page["in_flight"].clone(), self.backend.open.load(SeqCst));
             let descriptors = self.proxy.descriptors();
@@ -112,7 +112,8 @@
         let text = request("keep", "reset", 64 * 1024 - 1);
         let mut stream = self.client(text.as_bytes()).await;
         stream.write_all(&[b'x'; 64 * 1024 - 1]).await.expect("open");
-        let _answer = soon(tokio::io::AsyncReadExt::read_u8(&mut stream)).await.expect("an answer");
+        let _answer =
+            within_deadline(tokio::io::AsyncReadExt::read_u8(&mut stream)).await.expect("an answer");
         let tries = self.backend.resets.load(SeqCst) - resets;
         assert!(tries > 1, "{tries} attempts: no room was left to hold it");
     }
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -56,7 +56,7 @@
                 })
             })
             .collect();
-        soon(async {
+        within_deadline(async {
             while granted.load(SeqCst) < 100 {
                 tokio::task::yield_now().await;
             }
@@ -66,7 +66,7 @@
         over.store(true, SeqCst);
         let mut held = Vec::new();
         for holder in holders {
-            held.extend(soon(holder).await.expect("no panic"));
+            held.extend(within_deadline(holder).await.expect("no panic"));
         }
         for lease in &held {
             assert!(token(lease) > highest, "above all of the start before");
@@ -108,7 +108,7 @@
     let left = refused["left_ms"].as_u64().expect("a number");
     assert!((1..=1500).contains(&left), "the TTL of the renewal, whole from the start: {left}");
     // The holder says nothing more. Another takes the duty once it is over and not before.
-    let second = soon(async {
+    let second = within_deadline(async {
         loop {
             let (status, lease) = acquire(&registry, "trials", "b", 60_000).await;
             if status == 200 {
@@ -172,7 +172,7 @@
         .collect();
     let mut granted = 0;
     for asked in won {
-        let (status, _) = soon(asked).await.expect("no panic").expect("answered");
+        let (status, _) = within_deadline(asked).await.expect("no panic").expect("answered");
         assert!(matches!(status, 200 | 409), "{status}");
         granted += usize::from(status == 200);
     }
--- a/tests/membership/links.rs
+++ b/tests/membership/links.rs
@@ -99,14 +99,14 @@
     assert_eq!(view(&stranger).await.alive, 1, "it is nobody's member");
     stranger.kill().await;
     fleet.links.place(2, fleet.places[2]);
-    let before = fleet.proxies[0].peak_mb();
+    let before = fleet.proxies[0].peak_memory_mb();
     for _ in 0..200 {
         for _ in 0..200 {
             let _ = foe.try_send_to(&[7; 1200], place);
         }
         assert_eq!(fleet.proxies[0].call("look").await, (200, "a".into()), "calls go on");
     }
-    assert!(fleet.proxies[0].peak_mb() < before + 8, "a flood is not kept");
+    assert!(fleet.proxies[0].peak_memory_mb() < before + 8, "a flood is not kept");
     fleet.until_all_alive(JOINED).await;
-    assert!(fleet.orders.seen.borrow().len() >= 200);
+    assert!(fleet.orders.requests.borrow().len() >= 200);
 }
--- a/tests/membership/main.rs
+++ b/tests/membership/main.rs
@@ -12,7 +12,7 @@
 mod waits;
 
 use crate::fault_relay::Links;
-use crate::rig::{Backend, Discovery, Orders, Proxy, settings};
+use crate::rig::{BackendControl, ProxyProcess, TestBackend, TestDiscovery, settings};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -30,10 +30,10 @@
 /// Proxies that are each other's members.
 struct Fleet {
     links: Links,
-    discovery: Discovery,
-    orders: Arc<Orders>,
-    _backend: Backend,
-    proxies: Vec<Proxy>,
+    discovery: TestDiscovery,
+    orders: Arc<BackendControl>,
+    _backend: TestBackend,
+    proxies: Vec<ProxyProcess>,
     places: Vec<SocketAddr>,
     timing: Value,
     registry: Option<SocketAddr>,
@@ -46,9 +46,9 @@
 
     /// They find each other by a registry, or else by seeds.
     async fn found_by(size: usize, timing: Value, registry: Option<SocketAddr>) -> Fleet {
-        let orders = Arc::new(Orders::default());
-        let backend = Backend::start("a", &orders).await;
-        let discovery = Discovery::start(vec![backend.line("SERVING")]).await;
+        let orders = Arc::new(BackendControl::default());
+        let backend = TestBackend::start("a", &orders).await;
+        let discovery = TestDiscovery::start(vec![backend.endpoint_entry("SERVING")]).await;
         let links = Links::start(size).await;
         let (proxies, places) = (Vec::new(), Vec::new());
         let mut fleet =
@@ -61,8 +61,8 @@
         fleet
     }
 
-    async fn spawn(&self, n: usize, cluster: &str) -> (Proxy, SocketAddr) {
-        let mut config = self.discovery.config(settings());
+    async fn spawn(&self, n: usize, cluster: &str) -> (ProxyProcess, SocketAddr) {
+        let mut config = self.discovery.proxy_config(settings());
         let seeds: Vec<String> = self.links.addresses.iter().take(2).map(ToString::to_string).collect();
         config["ops"] = "127.0.0.1:0".into();
         config["settings"]["peersTotal"] = self.links.addresses.len().into();
@@ -72,11 +72,11 @@
             config["membership"]["seeds"] = json!([]);
             config["membership"]["registries"] = json!([registry.to_string()]);
         }
-        let mut proxy = Proxy::spawn(&config, "exec \"$0\"");
-        let place = proxy.says("membership on ").await;
+        let mut proxy = ProxyProcess::spawn(&config, "exec \"$0\"");
+        let place = proxy.wait_for_address("membership on ").await;
         self.links.place(n, place);
-        proxy.ops = Some(proxy.says("ops on ").await);
-        proxy.addr = proxy.says("listening on ").await;
+        proxy.ops = Some(proxy.wait_for_address("ops on ").await);
+        proxy.addr = proxy.wait_for_address("listening on ").await;
         (proxy, place)
     }
 
@@ -130,8 +130,8 @@
     }
 }
 
-async fn view(proxy: &Proxy) -> View {
-    let page = proxy.tell("members").await;
+async fn view(proxy: &ProxyProcess) -> View {
+    let page = proxy.ops_call("members").await;
     let page: Value = serde_json::from_str(page.lines().next().expect("a page")).expect("JSON");
     let members = page["members"].as_array().expect("members");
     let name = |m: &Value| m["name"].as_str().expect("a name").to_string();
--- a/tests/membership/members.rs
+++ b/tests/membership/members.rs
@@ -1,8 +1,8 @@
 //! Members that end, stop and are found.
 
 use super::{Fleet, JOINED, LOOK, PROBE, SUSPICION, detected_within, quick, view};
-use crate::registry_rig::{Registry, data_dir, entry, names};
-use crate::waits::soon;
+use crate::registry_rig::{Registry, data_dir, entry, host_names};
+use crate::waits::within_deadline;
 use std::time::Duration;
 use tokio::net::UdpSocket;
 use tokio::time::{Instant, sleep, timeout};
@@ -52,7 +52,7 @@
     // The first finds the others by being asked; a renewal is 12.5 s off at the most.
     fleet.until_all_alive(JOINED).await;
     let listed = async || {
-        let mut names = names(&registry.get("").await);
+        let mut names = host_names(&registry.get("").await);
         names.sort();
         names
     };
@@ -92,10 +92,10 @@
         }
         let mut fleet = Fleet::found_by(1, quick(), Some(registry.address)).await;
         if too_long {
-            fleet.proxies[0].notes("length limit").await;
+            fleet.proxies[0].wait_for_log("length limit").await;
         } else {
             let mut datagram = [0; 2048];
-            assert!(soon(place.recv_from(&mut datagram)).await.expect("a datagram").0 > 0);
+            assert!(within_deadline(place.recv_from(&mut datagram)).await.expect("a datagram").0 > 0);
         }
         assert_eq!(fleet.proxies[0].call("look").await, (200, "a".into()));
     }
--- a/tests/pieces.rs
+++ b/tests/pieces.rs
@@ -7,9 +7,12 @@
 mod waits;
 
 use registry_rig::{Registry, data_dir};
-use rig::{Backend, Discovery, Orders, Proxy, line, scene, settings, soon};
+use rig::{
+    BackendControl, ProxyProcess, TestBackend, TestDiscovery, endpoint_entry, settings, start_fixture,
+    within_deadline,
+};
 use rstest::rstest;
-use scripted::{Act, End, stage};
+use scripted::{ConnectionEnd, ScriptedResponse, start_scripted};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,7 +32,7 @@
 /// What comes up to the end of the connection.
 async fn to_the_end(mut stream: TcpStream) -> String {
     let mut text = String::new();
-    soon(stream.read_to_string(&mut text)).await.expect("closed, not reset");
+    within_deadline(stream.read_to_string(&mut text)).await.expect("closed, not reset");
     text
 }
 
@@ -79,12 +82,12 @@
     #[case] path: &str,
     #[case] body: &str,
 ) {
-    let s = scene(settings()).await;
-    let mut stream = soon(TcpStream::connect(s.proxy.addr)).await.expect("it listens");
+    let s = start_fixture(settings()).await;
+    let mut stream = within_deadline(TcpStream::connect(s.proxy.addr)).await.expect("it listens");
     in_pieces(&mut stream, &text.replace("{MUST}", MUST)).await;
     let answer = to_the_end(stream).await;
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
-    let seen = s.orders.seen.borrow();
+    let seen = s.control.requests.borrow();
     let [(_, head, came)] = &seen[..] else { panic!("it ran {} times", seen.len()) };
     assert_eq!(
         (head.uri.to_string().as_str(), &came[..], &head.headers["req-id"]),
@@ -97,8 +100,8 @@
 async fn many_requests_at_once_are_answered_in_their_order() {
     const MANY: usize = 40;
     for in_one_write in [true, false] {
-        let s = stage(settings()).await;
-        s.script.give((0..MANY).map(|n| Act::serves(&format!("<answer {n}>"))));
+        let s = start_scripted(settings()).await;
+        s.script.enqueue((0..MANY).map(|n| ScriptedResponse::ok(&format!("<answer {n}>"))));
         let mut text = String::new();
         for n in 0..MANY {
             let end = if n + 1 < MANY { "" } else { "Connection: close\r\n" };
@@ -106,7 +109,7 @@
                 "GET /look HTTP/1.1\r\nHost: o\r\nReq-Id: m{n}\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 60000\r\n{end}\r\n"
             );
         }
-        let mut stream = soon(TcpStream::connect(s.proxy.addr)).await.expect("it listens");
+        let mut stream = within_deadline(TcpStream::connect(s.proxy.addr)).await.expect("it listens");
         if in_one_write {
             stream.write_all(text.as_bytes()).await.expect("open");
         } else {
@@ -121,22 +124,28 @@
 
 /// A backend's answer may come byte by byte and in any form, too: it is passed on whole.
 #[rstest]
-#[case::any_case("HTTP/1.1 200 OK\r\ncontent-LENGTH:4\r\n\r\ngood", End::Stay)]
-#[case::no_reason("HTTP/1.1 200 \r\nContent-Length: \t4 \r\nX-Odd:\r\n\r\ngood", End::Stay)]
-#[case::other_reason("HTTP/1.1 200 Not Really (no: yes)\r\nContent-Length: 4\r\n\r\ngood", End::Stay)]
+#[case::any_case("HTTP/1.1 200 OK\r\ncontent-LENGTH:4\r\n\r\ngood", ConnectionEnd::KeepOpen)]
+#[case::no_reason("HTTP/1.1 200 \r\nContent-Length: \t4 \r\nX-Odd:\r\n\r\ngood", ConnectionEnd::KeepOpen)]
+#[case::other_reason(
+    "HTTP/1.1 200 Not Really (no: yes)\r\nContent-Length: 4\r\n\r\ngood",
+    ConnectionEnd::KeepOpen
+)]
 #[case::chunks(
     "HTTP/1.1 200 OK\r\nTransfer-Encoding:CHUNKED\r\n\r\n1;a=b\r\ng\r\n003\r\nood\r\n0\r\nT: u\r\n\r\n",
-    End::Stay
+    ConnectionEnd::KeepOpen
+)]
+#[case::says_close(
+    "HTTP/1.1 200 OK\r\nConnection: CLOSE\r\nContent-Length: 4\r\n\r\ngood",
+    ConnectionEnd::Close
 )]
-#[case::says_close("HTTP/1.1 200 OK\r\nConnection: CLOSE\r\nContent-Length: 4\r\n\r\ngood", End::Close)]
-#[case::without_length("HTTP/1.1 200 OK\r\n\r\ngood", End::Close)]
+#[case::without_length("HTTP/1.1 200 OK\r\n\r\ngood", ConnectionEnd::Close)]
 #[tokio::test]
-async fn an_answer_in_pieces_and_in_any_form_is_passed_on(#[case] text: &str, #[case] end: End) {
-    let s = stage(settings()).await;
-    let says = text.bytes().map(|byte| (None, vec![byte])).collect();
-    s.script.give([Act { hears: None, says, repeats: None, end }]);
+async fn an_answer_in_pieces_and_in_any_form_is_passed_on(#[case] text: &str, #[case] end: ConnectionEnd) {
+    let s = start_scripted(settings()).await;
+    let writes = text.bytes().map(|byte| (None, vec![byte])).collect();
+    s.script.enqueue([ScriptedResponse { read_len: None, writes, repeat: None, end }]);
     assert_eq!(s.proxy.call("once").await, (200, "good".into()));
-    assert_eq!(s.script.on().len(), 1, "one attempt");
+    assert_eq!(s.script.request_connections().len(), 1, "one attempt");
 }
 
 /// Bytes that wait unread on a connection that this process's system has taken for an address.
@@ -166,23 +175,23 @@
 ) {
     let killed = Registry::start(&data_dir(&format!("behind-{class}")), &[]).await;
     let addr = killed.address;
-    let orders = Arc::new(Orders::default());
-    let b = Backend::start("b", &orders).await;
-    let discovery = Discovery::start(vec![line("killed", addr, "SERVING")]).await;
-    let proxy = Proxy::settled(&discovery, settings()).await;
-    killed.signal("STOP");
-    let mut caller = proxy.caller().await;
+    let orders = Arc::new(BackendControl::default());
+    let b = TestBackend::start("b", &orders).await;
+    let discovery = TestDiscovery::start(vec![endpoint_entry("killed", addr, "SERVING")]).await;
+    let proxy = ProxyProcess::start_synced(&discovery, settings()).await;
+    killed.send_signal("STOP");
+    let mut caller = proxy.connect_client().await;
     let call = tokio::spawn(async move { caller.call(class).await });
-    soon(async {
+    within_deadline(async {
         while !unread(addr) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     })
     .await;
-    discovery.tell(vec![line("killed", addr, "SERVING"), b.line("SERVING")]).await;
+    discovery.publish(vec![endpoint_entry("killed", addr, "SERVING"), b.endpoint_entry("SERVING")]).await;
     killed.kill().await;
-    assert_eq!(soon(call).await.expect("no panic").0, status);
-    assert_eq!(orders.by("b"), elsewhere);
+    assert_eq!(within_deadline(call).await.expect("no panic").0, status);
+    assert_eq!(orders.request_count("b"), elsewhere);
     assert_eq!(proxy.call("once").await, (200, "b".into()), "the next one is served");
 }
 
@@ -190,30 +199,30 @@
 #[tokio::test]
 async fn a_further_attempt_tells_no_more_time_than_is_left() {
     const TOOK: Duration = Duration::from_millis(400);
-    let s = stage(settings()).await;
+    let s = start_scripted(settings()).await;
     let told = |n: usize| {
-        let heard = s.script.heard.borrow();
+        let heard = s.script.requests.borrow();
         let head = String::from_utf8_lossy(&heard[n].1).to_lowercase();
         let value =
             head.lines().find_map(|l| l.strip_prefix("req-deadline-ms:").map(str::trim)).expect("it is told");
         value.parse::<u128>().expect("a number")
     };
     for class in ["look", "keep", "once"] {
-        let (before, declines) = (s.script.on().len(), Arc::new(Notify::new()));
+        let (before, declines) = (s.script.request_connections().len(), Arc::new(Notify::new()));
         let declined = "HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
-        let act = Act {
-            hears: None,
-            says: vec![(Some(declines.clone()), declined.into())],
-            repeats: None,
-            end: End::Stay,
+        let act = ScriptedResponse {
+            read_len: None,
+            writes: vec![(Some(declines.clone()), declined.into())],
+            repeat: None,
+            end: ConnectionEnd::KeepOpen,
         };
-        s.script.give([act]);
-        let mut caller = s.proxy.caller().await;
+        s.script.enqueue([act]);
+        let mut caller = s.proxy.connect_client().await;
         let call = tokio::spawn(async move { caller.call(class).await });
-        s.script.heard(before + 1).await;
+        s.script.wait_for_requests(before + 1).await;
         tokio::time::sleep(TOOK).await;
         declines.notify_one();
-        assert_eq!(soon(call).await.expect("no panic"), (200, "served".into()));
+        assert_eq!(within_deadline(call).await.expect("no panic"), (200, "served".into()));
         let (first, further) = (told(before), told(before + 1));
         assert!(further > 0 && further + TOOK.as_millis() <= first, "{class}: {further} ms after {first} ms");
     }
--- a/tests/proxy/input.rs
+++ b/tests/proxy/input.rs
@@ -6,8 +6,8 @@
 
 #[tokio::test]
 async fn malformed_requests_are_turned_down_and_reach_no_backend() {
-    let s = scene(settings()).await;
-    let mut caller = s.proxy.caller().await;
+    let s = start_fixture(settings()).await;
+    let mut caller = s.proxy.connect_client().await;
     let without = |class: &str, name: &str| {
         let mut call = request(class).body(Full::<bytes::Bytes>::default()).expect("well formed");
         call.headers_mut().remove(name).expect("it was there");
@@ -32,16 +32,16 @@
     }
     let body = vec![b'x'; (32 << 20) + 1];
     let call = request("once").body(Full::from(body)).expect("well formed");
-    assert_eq!(s.proxy.caller().await.send(call).await.0, 413);
-    assert_eq!(s.orders.seen.borrow().len(), 0);
+    assert_eq!(s.proxy.connect_client().await.send(call).await.0, 413);
+    assert_eq!(s.control.requests.borrow().len(), 0);
     let call = request("once").body(Full::from(vec![b'x'; 64 * 1024])).expect("well formed");
-    assert_eq!(s.proxy.caller().await.send(call).await.0, 200);
+    assert_eq!(s.proxy.connect_client().await.send(call).await.0, 200);
 }
 
 #[tokio::test]
 async fn bad_input_ends_it_with_one_line() {
-    let discovery = Discovery::start(Vec::new()).await;
-    let good = discovery.config(settings());
+    let discovery = TestDiscovery::start(Vec::new()).await;
+    let good = discovery.proxy_config(settings());
     let mut no_class = good.clone();
     no_class["settings"]["classes"] = serde_json::json!([]);
     let mut bad_seed = good.clone();
@@ -68,10 +68,10 @@
 /// The operators' own TOML file: it does as it stands, and what is wrong in it is named.
 #[tokio::test]
 async fn a_toml_file_of_the_operators_is_read_as_strictly_as_it_is_written() {
-    let orders = Arc::new(Orders::default());
-    let a = Backend::start("a", &orders).await;
-    let discovery = Discovery::start(vec![a.line("SERVING")]).await;
-    let mut good = discovery.config(settings());
+    let orders = Arc::new(BackendControl::default());
+    let a = TestBackend::start("a", &orders).await;
+    let discovery = TestDiscovery::start(vec![a.endpoint_entry("SERVING")]).await;
+    let mut good = discovery.proxy_config(settings());
     for platforms in ["name", "seed"] {
         good.as_object_mut().expect("a table").remove(platforms);
     }
@@ -96,7 +96,7 @@
         assert!(log.contains(says), "{log}");
     }
     let own = format!("unset RELAY_CONFIG RELAY_DISCOVERY; exec \"$0\" --config {}", write(&good).display());
-    let proxy = Proxy::start_as(&good, &own).await;
-    discovery.settled().await;
+    let proxy = ProxyProcess::start_with_command(&good, &own).await;
+    discovery.wait_until_synced().await;
     assert_eq!(proxy.call("look").await, (200, "a".into()));
 }
--- a/tests/registry/durability.rs
+++ b/tests/registry/durability.rs
@@ -32,19 +32,19 @@
             }
         }));
     }
-    soon(enough.notified()).await;
+    within_deadline(enough.notified()).await;
     // A watcher's place before the kill: it must go on from there with changes only.
     let watched = registry.get("").await["seq"].as_u64().expect("seq");
     registry.kill().await;
     for writer in writers {
-        soon(writer).await.expect("no panic");
+        within_deadline(writer).await.expect("no panic");
     }
     let acked = acked.lock().expect("sound").clone();
     let last = *acked.values().max().expect("some were answered");
 
     let registry = Registry::start(&data, &[]).await;
     let whole = registry.get("").await;
-    let listed = names(&whole);
+    let listed = host_names(&whole);
     let lost: Vec<_> = acked.keys().filter(|h| !listed.contains(h)).collect();
     assert!(lost.is_empty(), "answered writes lost in the kill: {lost:?}");
     assert!(whole["seq"].as_u64().expect("seq") >= last, "the version went back below an answered one");
@@ -75,7 +75,7 @@
     std::fs::OpenOptions::new().append(true).open(&log).expect("log").write_all(&garbage).expect("written");
 
     let mut registry = Registry::start(&data, &[]).await;
-    let cut = registry.logged("torn or spoilt tail cut off the log").await;
+    let cut = registry.wait_for_log("torn or spoilt tail cut off the log").await;
     assert_eq!(cut["bytes"], garbage.len() as u64);
     let cut_back = std::fs::read(&log).expect("log");
     let (kept, start) = cut_back.split_at(whole.len());
@@ -83,7 +83,7 @@
         kept == whole && start[8..].starts_with(b"{\"start\":"),
         "back to whole records, and the new start"
     );
-    assert_eq!(names(&registry.get("").await).len(), 5);
+    assert_eq!(host_names(&registry.get("").await).len(), 5);
     let resumed = registry.get(&format!("?after={answered}")).await;
     assert_eq!((&resumed["whole"], &resumed["hosts"]), (&false.into(), &serde_json::json!([])));
     let spoilt = registry.put(600_000, vec![entry("h5", dial(), "SERVING")]).await;
@@ -96,9 +96,9 @@
     bytes[end] ^= 0xff;
     std::fs::write(&log, bytes).expect("written");
     let mut registry = Registry::start(&data, &[]).await;
-    registry.logged("torn or spoilt tail cut off the log").await;
+    registry.wait_for_log("torn or spoilt tail cut off the log").await;
     let whole = registry.get("").await;
-    assert_eq!(names(&whole), ["h0", "h1", "h2", "h3", "h4"]);
+    assert_eq!(host_names(&whole), ["h0", "h1", "h2", "h3", "h4"]);
     // The version of the lost record was answered: it is not given out again, and who holds it hears of the loss.
     assert!(whole["seq"].as_u64().expect("seq") > spoilt);
     assert_eq!(registry.get(&format!("?after={spoilt}")).await["whole"], true);
@@ -117,5 +117,5 @@
     let seq = after.put(600_000, vec![entry("new", dial(), "SERVING")]).await;
     assert!(seq > held, "no version of the old history is met again");
     let page = after.get(&format!("?after={held}")).await;
-    assert_eq!((&page["whole"], names(&page)), (&true.into(), vec!["new".to_string()]));
+    assert_eq!((&page["whole"], host_names(&page)), (&true.into(), vec!["new".to_string()]));
 }
--- a/tests/registry/limits.rs
+++ b/tests/registry/limits.rs
@@ -29,15 +29,15 @@
         (status, why.trim()),
         (400, "hosts: at most 10000 in one write; send the others in a further one")
     );
-    assert!(names(&registry.get("").await).is_empty(), "nothing of a refused write is stored");
+    assert!(host_names(&registry.get("").await).is_empty(), "nothing of a refused write is stored");
     let whole = body(&hosts[..MAX_ENTRIES]);
     assert!(whole.len() < MAX_BODY / 2, "the body's limit is far: {} bytes", whole.len());
     let (status, why) = registry.call("PUT", path, &whole).await;
     assert_eq!(status, 200, "{why}");
-    assert_eq!(names(&registry.get("").await).len(), MAX_ENTRIES);
+    assert_eq!(host_names(&registry.get("").await).len(), MAX_ENTRIES);
     // More than one write may have are listed, one write after the other.
     assert_eq!(registry.call("PUT", path, &body(&hosts[MAX_ENTRIES..])).await.0, 200);
-    assert_eq!(names(&registry.get("").await).len(), MAX_ENTRIES + 1);
+    assert_eq!(host_names(&registry.get("").await).len(), MAX_ENTRIES + 1);
 }
 
 #[tokio::test]
@@ -49,24 +49,24 @@
     let padded = |length: usize| format!("{whole}{}", " ".repeat(length - whole.len()));
     let (status, why) = registry.call("PUT", path, &padded(MAX_BODY + 1)).await;
     assert_eq!((status, why.trim()), (413, "at most 4194304 bytes; send less at once"));
-    assert!(names(&registry.get("").await).is_empty());
+    assert!(host_names(&registry.get("").await).is_empty());
     let (status, why) = registry.call("PUT", path, &padded(MAX_BODY)).await;
     assert_eq!(status, 200, "{why}");
-    assert_eq!(names(&registry.get("").await).len(), 3);
+    assert_eq!(host_names(&registry.get("").await).len(), 3);
 }
 
 /// Opens so many connections, all at rest.
 async fn open(registry: &Registry, count: usize) -> Vec<TcpStream> {
     let mut streams = Vec::new();
     for _ in 0..count {
-        streams.push(soon(TcpStream::connect(registry.address)).await.expect("connects"));
+        streams.push(within_deadline(TcpStream::connect(registry.address)).await.expect("connects"));
     }
     streams
 }
 
 /// Whether the registry has closed a connection that was at rest.
 async fn closed(mut stream: TcpStream) -> bool {
-    matches!(soon(stream.read(&mut [0])).await, Ok(0) | Err(_))
+    matches!(within_deadline(stream.read(&mut [0])).await, Ok(0) | Err(_))
 }
 
 /// It is started with fewer descriptors than it needs, and may have more.
@@ -76,7 +76,7 @@
     let registry = Registry::start_limited(&data, &["--max-connections", "300"], "-Sn 64").await;
     let before = registry.descriptors();
     let held = open(&registry, 250).await;
-    soon(async {
+    within_deadline(async {
         while registry.descriptors() < before + 250 {
             tokio::task::yield_now().await;
         }
@@ -93,11 +93,11 @@
     let flags = ["--snapshot-every", "1", "--header-timeout-ms", "600000"];
     let mut registry = Registry::start_limited(&data, &flags, "-n 100").await;
     let said = registry
-        .logged("the system allows fewer connections than configured, more are closed as they come; raise its limit (ulimit -n)")
+        .wait_for_log("the system allows fewer connections than configured, more are closed as they come; raise its limit (ulimit -n)")
         .await;
     let allowed = said["allowed"].as_u64().expect("a number") as usize;
     assert!((10..100).contains(&allowed), "{said}");
-    let (mut line, address) = (Line::default(), registry.address);
+    let (mut line, address) = (RegistryConnection::default(), registry.address);
     let write = |n: usize| body(&[entry(&format!("b{n}"), dial(), "SERVING")]).into_bytes();
     let path = "/registry/instances";
     assert_eq!(line.call(address, "PUT", path, write(0)).await.expect("answered").0, 200);
@@ -107,15 +107,15 @@
         assert!(closed(over).await, "one more is closed as it comes");
     }
     for n in 1..5 {
-        registry.logged("snapshot written, log compacted").await;
+        registry.wait_for_log("snapshot written, log compacted").await;
         assert_eq!(line.call(address, "PUT", path, write(n)).await.expect("answered").0, 200);
     }
     drop(resting);
-    soon(async {
+    within_deadline(async {
         while registry.descriptors() > 40 {
             tokio::task::yield_now().await;
         }
     })
     .await;
-    assert_eq!(names(&registry.get("").await).len(), 5);
+    assert_eq!(host_names(&registry.get("").await).len(), 5);
 }
--- a/tests/registry/service.rs
+++ b/tests/registry/service.rs
@@ -20,17 +20,17 @@
     registry.kill().await;
     let registry = Registry::start(&data, &[]).await;
     let mut held = registry.get(&format!("?after={seq}")).await["seq"].as_u64().expect("seq");
-    let lapse = soon(async {
+    let lapse = within_deadline(async {
         loop {
             let page = registry.get(&format!("?after={held}&wait_ms=20000")).await;
             held = page["seq"].as_u64().expect("seq");
-            if !names(&page).is_empty() {
+            if !host_names(&page).is_empty() {
                 return page;
             }
         }
     });
-    assert_eq!(names(&lapse.await), ["short"]);
-    assert_eq!(names(&registry.get("").await), ["long"]);
+    assert_eq!(host_names(&lapse.await), ["short"]);
+    assert_eq!(host_names(&registry.get("").await), ["long"]);
 }
 
 #[tokio::test]
@@ -38,7 +38,7 @@
     let mut registry = Registry::start(&data_dir("stall"), &[]).await;
     let renewed = || vec![entry("renews", dial(), "SERVING")];
     let seq = registry.put(1500, renewed()).await;
-    registry.signal("STOP");
+    registry.send_signal("STOP");
     // The renewal is written while nobody reads it, as everybody's is.
     let address = registry.address;
     let renewal = tokio::spawn(async move {
@@ -46,9 +46,9 @@
         call(address, "PUT", "/registry/instances", body).await
     });
     tokio::time::sleep(std::time::Duration::from_millis(2500)).await;
-    registry.signal("CONT");
-    registry.logged("the registry stood still: every TTL is longer by that").await;
-    let (status, text) = soon(renewal).await.expect("no panic").expect("answered");
+    registry.send_signal("CONT");
+    registry.wait_for_log("the registry stood still: every TTL is longer by that").await;
+    let (status, text) = within_deadline(renewal).await.expect("no panic").expect("answered");
     assert_eq!((status, text), (200, format!("{{\"seq\":{seq}}}")), "it was a renewal, not a return");
 }
 
@@ -68,7 +68,7 @@
     assert_eq!(delta["whole"], false);
     assert_eq!(delta["hosts"][0]["host"], "short");
     assert_eq!(delta["hosts"][0]["health"], "DELETED");
-    assert_eq!(names(&registry.get("").await), ["long"]);
+    assert_eq!(host_names(&registry.get("").await), ["long"]);
     let above = delta["seq"].as_u64().expect("seq") + 1000;
     let other_history = registry.get(&format!("?after={above}")).await;
     assert_eq!(other_history["whole"], true, "a version above the newest is another history");
@@ -106,10 +106,10 @@
     // Each silent connection is closed by the registry: at once past its places, the others when their head is late.
     for mut stream in silent {
         let mut byte = [0u8; 1];
-        let read = soon(stream.read(&mut byte)).await;
+        let read = within_deadline(stream.read(&mut byte)).await;
         assert!(matches!(read, Ok(0) | Err(_)), "a silent connection is closed");
     }
-    soon(async {
+    within_deadline(async {
         while registry.descriptors() > before + 2 {
             tokio::task::yield_now().await;
         }
@@ -126,7 +126,7 @@
     let mut refused = 0;
     for mut stream in slow {
         let mut text = vec![0; 512];
-        let n = soon(stream.read(&mut text)).await.expect("answered");
+        let n = within_deadline(stream.read(&mut text)).await.expect("answered");
         let text = String::from_utf8_lossy(&text[..n]).to_lowercase();
         let full = text.starts_with("http/1.1 503") && text.contains("retry-after: 1");
         assert!(full || text.starts_with("http/1.1 408"), "{text}");
@@ -139,12 +139,12 @@
     let mut deaf = TcpStream::connect(registry.address).await.expect("connects");
     let asks = "GET /registry/instances HTTP/1.1\r\nhost: r\r\n\r\n".repeat(200);
     deaf.write_all(asks.as_bytes()).await.expect("written");
-    soon(async {
+    within_deadline(async {
         while registry.descriptors() > before + 2 {
             tokio::task::yield_now().await;
         }
     })
     .await;
     drop(deaf);
-    assert!(names(&registry.get("").await).contains(&"kept".to_string()), "nothing stored is lost");
+    assert!(host_names(&registry.get("").await).contains(&"kept".to_string()), "nothing stored is lost");
 }
--- a/tests/registry_return/main.rs
+++ b/tests/registry_return/main.rs
@@ -14,7 +14,7 @@
 #[path = "../waits/mod.rs"]
 mod waits;
 
-use crate::rig::{Proxy, settings, soon};
+use crate::rig::{ProxyProcess, settings, within_deadline};
 use load_balancer::client::discovery::{PollBackoff, PollSchedule, Settings};
 use load_balancer::client::traffic::Traffic;
 use serde_json::{Value, json};
@@ -34,21 +34,21 @@
 }
 
 /// A proxy under the same backoff, which doubts a list that loses nearly all.
-async fn proxy(at: SocketAddr) -> Proxy {
+async fn proxy(at: SocketAddr) -> ProxyProcess {
     let config: Value = json!({
         "listen": "127.0.0.1:0", "ops": "127.0.0.1:0", "discovery": at.to_string(), "seed": "8c1f30d27a5be964",
         "limits": {"memory_mb": 192, "sockets": 256}, "settings": settings(),
         "discovery_backoff": {"max_ms": MAX_PAUSE.as_millis() as u64},
         "list_guard": {"panic_threshold": 0.1, "hold_ms": 600_000},
     });
-    let proxy = Proxy::start_as(&config, "exec \"$0\"").await;
-    soon(async { while proxy.ready().await != 200 {} }).await;
+    let proxy = ProxyProcess::start_with_command(&config, "exec \"$0\"").await;
+    within_deadline(async { while proxy.readiness_status().await != 200 {} }).await;
     proxy
 }
 
 /// Waits until all clients hold just these backends.
 async fn all_hold(clients: &[client_rig::Client], names: &[&str]) {
     for client in clients {
-        soon(client.holds(names)).await;
+        within_deadline(client.holds(names)).await;
     }
 }
--- a/tests/registry_return/outage.rs
+++ b/tests/registry_return/outage.rs
@@ -2,7 +2,7 @@
 
 use super::MAX_PAUSE;
 use crate::client_rig::Client;
-use crate::rig::soon;
+use crate::rig::within_deadline;
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
@@ -30,7 +30,7 @@
 
     /// Waits until it has lasted for some seconds, and each client has failed so often that its pauses are the longest.
     pub async fn has_lasted(&self, clients: &[Client]) {
-        soon(async {
+        within_deadline(async {
             let often = |(client, before): (&Client, &u64)| client.calls() >= before + CALLS;
             while self.begun.elapsed() < LASTS || !clients.iter().zip(&self.calls).all(often) {
                 sleep(LOOK).await;
@@ -88,7 +88,7 @@
 /// since a call that is due at one may be seen at the next only.
 pub async fn returns_spread(clients: &[Client], names: &[&str]) {
     let mut earlier = Look::now(clients, names);
-    soon(async {
+    within_deadline(async {
         sleep(LOOK).await;
         let mut last = Look::now(clients, names);
         while last.away.contains(&true) {
--- a/tests/registry_return/storm.rs
+++ b/tests/registry_return/storm.rs
@@ -4,7 +4,7 @@
 use super::{TTL, all_hold, clients, proxy};
 use crate::fault_relay::Relay;
 use crate::registry_rig::{Registry, data_dir};
-use crate::rig::{Backend, Orders, soon};
+use crate::rig::{BackendControl, TestBackend, within_deadline};
 use std::sync::Arc;
 use tokio::task::LocalSet;
 
@@ -19,9 +19,9 @@
     let data = data_dir("return-with-data");
     let registry = Registry::start(&data, &[]).await;
     let relay = Relay::start(registry.address).await;
-    let orders = Arc::new(Orders::default());
-    let (a, b) = (Backend::start("a", &orders).await, Backend::start("b", &orders).await);
-    registry.put(TTL, vec![a.line("SERVING")]).await;
+    let orders = Arc::new(BackendControl::default());
+    let (a, b) = (TestBackend::start("a", &orders).await, TestBackend::start("b", &orders).await);
+    registry.put(TTL, vec![a.endpoint_entry("SERVING")]).await;
     let clients = clients(CLIENTS, relay.address);
     let proxies = [proxy(relay.address).await, proxy(relay.address).await];
     all_hold(&clients, &["a"]).await;
@@ -37,11 +37,11 @@
     }
 
     let registry = Registry::start(&data, &[]).await;
-    registry.put(TTL, vec![b.line("SERVING")]).await;
+    registry.put(TTL, vec![b.endpoint_entry("SERVING")]).await;
     relay.lead_to(registry.address);
     returns_spread(&clients, &["a", "b"]).await;
     for proxy in &proxies {
-        soon(async { while proxy.call("look").await != (200, "b".into()) {} }).await;
+        within_deadline(async { while proxy.call("look").await != (200, "b".into()) {} }).await;
     }
     assert_eq!(relay.calls().0, whole, "everybody went on from the version that it held");
     assert!(clients.iter().all(|client| client.whole_lists() == 1 && !client.went_back()));
--- a/tests/registry_rig/mod.rs
+++ b/tests/registry_rig/mod.rs
@@ -31,24 +31,24 @@
     pub child: Child,
     pub address: SocketAddr,
     pub logs: mpsc::UnboundedReceiver<Value>,
-    /// Lines logged before it listened.
+    /// Lines wait_for_log before it listened.
     early: Vec<Value>,
 }
 
 impl Registry {
     /// Starts one on port 0 over `data`, with more flags.
     pub async fn start(data: &Path, flags: &[&str]) -> Registry {
-        Registry::start_by(Command::new(env!("CARGO_BIN_EXE_registry")), data, flags).await
+        Registry::start_command(Command::new(env!("CARGO_BIN_EXE_registry")), data, flags).await
     }
 
     /// The same, under a limit of descriptors that a shell's `ulimit` sets by these words.
     pub async fn start_limited(data: &Path, flags: &[&str], limit: &str) -> Registry {
         let mut command = Command::new("/bin/sh");
         command.args(["-c", &format!("ulimit {limit}; exec \"$0\" \"$@\""), env!("CARGO_BIN_EXE_registry")]);
-        Registry::start_by(command, data, flags).await
+        Registry::start_command(command, data, flags).await
     }
 
-    async fn start_by(mut command: Command, data: &Path, flags: &[&str]) -> Registry {
+    async fn start_command(mut command: Command, data: &Path, flags: &[&str]) -> Registry {
         command.args(["--listen", "127.0.0.1:0", "--log-json", "--data"]).arg(data).args(flags);
         command.env("RUST_LOG", "info").stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
         let mut child = command.kill_on_drop(true).spawn().expect("the registry starts");
@@ -60,7 +60,7 @@
             }
         });
         let mut early = Vec::new();
-        let said = soon(async {
+        let said = within_deadline(async {
             loop {
                 let line = logs.recv().await.expect("the registry says where it listens");
                 if line["message"] == "listening" {
@@ -74,12 +74,12 @@
         Registry { child, address, logs, early }
     }
 
-    /// The next logged line with this message, passing over others.
-    pub async fn logged(&mut self, message: &str) -> Value {
+    /// The next wait_for_log line with this message, passing over others.
+    pub async fn wait_for_log(&mut self, message: &str) -> Value {
         if let Some(at) = self.early.iter().position(|line| line["message"] == message) {
             return self.early.remove(at);
         }
-        soon(async {
+        within_deadline(async {
             loop {
                 let line = self.logs.recv().await.expect("the registry logs");
                 if line["message"] == message {
@@ -93,11 +93,11 @@
     /// SIGKILL, and waits for the end.
     pub async fn kill(mut self) {
         self.child.start_kill().expect("kill");
-        soon(self.child.wait()).await.expect("it ends");
+        within_deadline(self.child.wait()).await.expect("it ends");
     }
 
     /// Sends a signal by name, as `kill` does.
-    pub fn signal(&self, name: &str) {
+    pub fn send_signal(&self, name: &str) {
         let pid = self.child.id().expect("running").to_string();
         let done = std::process::Command::new("kill").args(["-s", name, &pid]).status().expect("kill runs");
         assert!(done.success());
@@ -137,17 +137,19 @@
     path: &str,
     body: Vec<u8>,
 ) -> Result<(u16, String), String> {
-    Line::default().call(address, method, path, body).await
+    RegistryConnection::default().call(address, method, path, body).await
 }
 
 /// Bytes of calls and answers, as far as they show in them.
-pub static PASSED: AtomicU64 = AtomicU64::new(0);
+pub static TRANSFERRED_BYTES: AtomicU64 = AtomicU64::new(0);
 
 /// A connection that is kept between calls, and made anew where it broke or leads elsewhere.
 #[derive(Default)]
-pub struct Line(Option<(SocketAddr, SendRequest<Full<Bytes>>)>);
+pub struct RegistryConnection {
+    open: Option<(SocketAddr, SendRequest<Full<Bytes>>)>,
+}
 
-impl Line {
+impl RegistryConnection {
     /// One call; an error where the connection fails.
     pub async fn call(
         &mut self,
@@ -156,7 +158,7 @@
         path: &str,
         body: Vec<u8>,
     ) -> Result<(u16, String), String> {
-        let open = self.0.take().filter(|(to, sender)| *to == address && !sender.is_closed());
+        let open = self.open.take().filter(|(to, sender)| *to == address && !sender.is_closed());
         let mut sender = match open {
             Some((_, sender)) => sender,
             None => {
@@ -176,8 +178,8 @@
         let head: usize =
             answer.headers().iter().map(|(name, value)| name.as_str().len() + value.len() + 4).sum();
         let body = answer.into_body().collect().await.map_err(|e| e.to_string())?.to_bytes();
-        PASSED.fetch_add((asked + head + 19 + body.len()) as u64, Ordering::Relaxed);
-        self.0 = Some((address, sender));
+        TRANSFERRED_BYTES.fetch_add((asked + head + 19 + body.len()) as u64, Ordering::Relaxed);
+        self.open = Some((address, sender));
         Ok((status, String::from_utf8_lossy(&body).into_owned()))
     }
 }
@@ -189,7 +191,7 @@
 }
 
 /// The names in a list.
-pub fn names(page: &Value) -> Vec<String> {
+pub fn host_names(page: &Value) -> Vec<String> {
     let hosts = page["hosts"].as_array().expect("hosts");
     hosts.iter().map(|h| h["host"].as_str().expect("host").to_string()).collect()
 }
--- a/tests/reloads.rs
+++ b/tests/reloads.rs
@@ -5,7 +5,7 @@
 mod waits;
 
 use agent_rig::{Agent, Say};
-use rig::{Backend, Orders, Proxy, refusing, settings, soon};
+use rig::{BackendControl, ProxyProcess, TestBackend, refusing_address, settings, within_deadline};
 use rstest::rstest;
 use serde_json::{Value, json};
 use std::sync::Arc;
@@ -16,20 +16,22 @@
 /// So long after the signal what discovery has counts as told.
 const TOLD: Duration = Duration::from_secs(4);
 struct Moving {
-    a: Backend,
-    b: Backend,
+    a: TestBackend,
+    b: TestBackend,
     old: Agent,
     new: Agent,
-    proxy: Proxy,
+    proxy: ProxyProcess,
 }
 
 /// A proxy that holds the list of its discovery, and another discovery that lists another backend.
 async fn moving(form: &str) -> Moving {
-    let orders = Arc::new(Orders::default());
-    let (a, b) = (Backend::start("a", &orders).await, Backend::start("b", &orders).await);
-    let (old, new) =
-        (Agent::start(vec![a.line("SERVING")]).await, Agent::start(vec![b.line("SERVING")]).await);
-    let proxy = Proxy::start_as(&old.config(formed(form)), "exec \"$0\"").await;
+    let orders = Arc::new(BackendControl::default());
+    let (a, b) = (TestBackend::start("a", &orders).await, TestBackend::start("b", &orders).await);
+    let (old, new) = (
+        Agent::start(vec![a.endpoint_entry("SERVING")]).await,
+        Agent::start(vec![b.endpoint_entry("SERVING")]).await,
+    );
+    let proxy = ProxyProcess::start_with_command(&old.config(formed(form)), "exec \"$0\"").await;
     old.held().await;
     Moving { a, b, old, new, proxy }
 }
@@ -49,11 +51,11 @@
         self.proxy.reload(&text, "reloaded").await;
         self.new.held().await;
         assert!(signalled.elapsed() < TOLD, "held only after {:?}", signalled.elapsed());
-        self.old.change(vec![self.a.line("SERVING"), self.b.line("DRAINING")]);
+        self.old.change(vec![self.a.endpoint_entry("SERVING"), self.b.endpoint_entry("DRAINING")]);
         if let Some(late) = late {
             late.notify_one();
         }
-        soon(async {
+        within_deadline(async {
             while self.old.open() > 0 {
                 tokio::task::yield_now().await;
             }
@@ -129,11 +131,11 @@
 #[tokio::test]
 async fn of_signals_that_come_together_the_last_file_holds() {
     let mut s = moving("automatic").await;
-    let between = Agent::start(vec![s.a.line("SERVING")]).await;
+    let between = Agent::start(vec![s.a.endpoint_entry("SERVING")]).await;
     for _ in 0..5 {
-        s.proxy.rewrite(&between.config(Value::Null).to_string());
+        s.proxy.replace_config(&between.config(Value::Null).to_string());
         s.proxy.send_signal("-HUP");
-        s.proxy.rewrite(&s.new.config(Value::Null).to_string());
+        s.proxy.replace_config(&s.new.config(Value::Null).to_string());
         s.proxy.send_signal("-HUP");
     }
     s.moves_on().await;
@@ -147,7 +149,7 @@
         self.proxy.send_signal("-HUP");
         self.new.called(self.new.calls().len() + 2).await;
         assert_eq!(self.proxy.call("look").await, (200, "b".into()));
-        soon(async {
+        within_deadline(async {
             while self.old.open() > 0 {
                 tokio::task::yield_now().await;
             }
@@ -160,11 +162,11 @@
 #[tokio::test]
 async fn an_address_that_comes_up_after_the_reload_is_asked_at_once() {
     let mut s = moving("automatic").await;
-    let (place, there) = refusing();
+    let (place, there) = refusing_address();
     s.proxy.reload(&json!({"discovery": there.to_string()}).to_string(), "reloaded").await;
-    s.proxy.notes("Connection refused").await;
+    s.proxy.wait_for_log("Connection refused").await;
     let up = Instant::now();
-    let late = Agent::on(place.listen(64).expect("it listens"), vec![s.b.line("SERVING")]);
+    let late = Agent::on(place.listen(64).expect("it listens"), vec![s.b.endpoint_entry("SERVING")]);
     timeout(Duration::from_millis(550), late.held()).await.expect("asked within the grace");
     assert!(up.elapsed() < TOLD);
     assert_eq!(s.proxy.call("look").await, (200, "b".into()));
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -14,9 +14,9 @@
 const READY: Duration = Duration::from_secs(10);
 
 /// Waits until the proxy can be put to use.
-async fn ready(proxy: &Proxy) {
-    soon(async {
-        while proxy.ready().await != 200 {
+async fn ready(proxy: &ProxyProcess) {
+    within_deadline(async {
+        while proxy.readiness_status().await != 200 {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     })
@@ -26,7 +26,7 @@
 /// How long a start takes until it is ready and has served a call.
 async fn start(config: &Value) -> Duration {
     let begun = Instant::now();
-    let proxy = Proxy::start_as(config, "exec \"$0\"").await;
+    let proxy = ProxyProcess::start_with_command(config, "exec \"$0\"").await;
     ready(&proxy).await;
     let took = begun.elapsed();
     assert_eq!(proxy.call("look").await.0, 200);
@@ -34,14 +34,14 @@
 }
 
 /// A configuration per way to be told the list, with an address for operators and without.
-fn kinds(discovery: &Discovery, ask_within: f64) -> Vec<Value> {
+fn kinds(discovery: &TestDiscovery, ask_within: f64) -> Vec<Value> {
     let mut kinds = Vec::new();
     for (told, ops) in [("automatic", false), ("automatic", true), ("subscribe", false), ("subscribe", true)]
     {
         let mut settings = settings();
         settings["discovery"] = told.into();
         settings["guarantees"]["askWithin"] = json!(ask_within);
-        let mut config = discovery.config(settings);
+        let mut config = discovery.proxy_config(settings);
         if ops {
             config["ops"] = "127.0.0.1:0".into();
         }
@@ -53,9 +53,9 @@
 /// With an old list a start is ready, and serves, however discovery is: silent, refusing, ending each call.
 #[tokio::test]
 async fn with_an_old_list_a_start_is_ready_whatever_discovery_does() {
-    let orders = Arc::new(Orders::default());
-    let a = Backend::start("a", &orders).await;
-    let discovery = Discovery::start(Vec::new()).await;
+    let orders = Arc::new(BackendControl::default());
+    let a = TestBackend::start("a", &orders).await;
+    let discovery = TestDiscovery::start(Vec::new()).await;
     let mute = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let refusing = TcpListener::bind("127.0.0.1:0").await.expect("a port").local_addr().expect("bound");
     let ending = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -63,7 +63,7 @@
     let ends = ending.local_addr().expect("bound");
     tokio::spawn(async move { while ending.accept().await.is_ok() {} });
     for mut config in kinds(&discovery, 10_000.0) {
-        config["known"] = json!({"seq": 1, "whole": true, "hosts": [a.line("SERVING")]});
+        config["known"] = json!({"seq": 1, "whole": true, "hosts": [a.endpoint_entry("SERVING")]});
         for address in [silent, refusing, ends] {
             config["discovery"] = address.to_string().into();
             let took = start(&config).await;
@@ -76,9 +76,9 @@
 /// left unasked for later.
 #[tokio::test]
 async fn without_a_list_a_start_asks_for_one_at_once() {
-    let orders = Arc::new(Orders::default());
-    let a = Backend::start("a", &orders).await;
-    let discovery = Discovery::start(vec![a.line("SERVING")]).await;
+    let orders = Arc::new(BackendControl::default());
+    let a = TestBackend::start("a", &orders).await;
+    let discovery = TestDiscovery::start(vec![a.endpoint_entry("SERVING")]).await;
     for config in kinds(&discovery, 120_000.0) {
         let took = start(&config).await;
         assert!(took < READY, "{took:?}: {config}");
--- a/tests/rig/caller.rs
+++ b/tests/rig/client.rs
@@ -1,6 +1,6 @@
 //! Callers, and connections that go nowhere.
 
-use super::soon;
+use super::within_deadline;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::Request;
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 
 pub async fn connect(addr: SocketAddr) -> SendRequest<Full<Bytes>> {
-    let stream = soon(TcpStream::connect(addr)).await.expect("it listens");
+    let stream = within_deadline(TcpStream::connect(addr)).await.expect("it listens");
     let (sender, connection) = handshake(TokioIo::new(stream)).await.expect("nothing is sent yet");
     tokio::spawn(connection);
     sender
@@ -32,14 +32,14 @@
     if class == "keep" { request.header("idempotency-key", "5c0f6e1a") } else { request }
 }
 
-pub struct Caller(pub SendRequest<Full<Bytes>>);
+pub struct TestClient(pub SendRequest<Full<Bytes>>);
 
-impl Caller {
+impl TestClient {
     pub async fn send(&mut self, request: Request<Full<Bytes>>) -> (u16, String) {
-        soon(self.0.ready()).await.expect("open");
-        let answer = soon(self.0.send_request(request)).await.expect("an answer");
+        within_deadline(self.0.ready()).await.expect("open");
+        let answer = within_deadline(self.0.send_request(request)).await.expect("an answer");
         let status = answer.status().as_u16();
-        let body = soon(answer.into_body().collect()).await.expect("a whole one").to_bytes();
+        let body = within_deadline(answer.into_body().collect()).await.expect("a whole one").to_bytes();
         (status, String::from_utf8(body.to_vec()).expect("text"))
     }
 
@@ -49,7 +49,7 @@
 }
 
 /// A listener whose queue is full: connects to it neither succeed nor fail. The streams hold the queue.
-pub async fn silent() -> (TcpListener, Vec<TcpStream>) {
+pub async fn unresponsive_listener() -> (TcpListener, Vec<TcpStream>) {
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let listener = socket.listen(1).expect("it listens");
@@ -63,7 +63,7 @@
 }
 
 /// A place that refuses connects until it listens; nobody else gets its port meanwhile.
-pub fn refusing() -> (tokio::net::TcpSocket, SocketAddr) {
+pub fn refusing_address() -> (tokio::net::TcpSocket, SocketAddr) {
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let addr = socket.local_addr().expect("bound");
--- a/tests/rig/discovery.rs
+++ b/tests/rig/discovery.rs
@@ -1,7 +1,7 @@
-//! Discovery that tests change, silence and break off.
+//! TestDiscovery that tests change, silence and break off.
 
-use super::backend::Broken;
-use super::soon;
+use super::backend::BrokenBody;
+use super::within_deadline;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -17,8 +17,8 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Discovery with a list that tests change, and the version that the proxy is known to hold.
-pub struct Discovery {
+/// TestDiscovery with a list that tests change, and the version that the proxy is known to hold.
+pub struct TestDiscovery {
     addr: SocketAddr,
     list: Arc<watch::Sender<(u64, Vec<Value>)>>,
     held: Arc<watch::Sender<u64>>,
@@ -27,10 +27,10 @@
     /// So many of the next answers break off.
     cut: Arc<AtomicUsize>,
     /// The paths of all calls, with their queries.
-    asked: Arc<Mutex<Vec<String>>>,
+    request_targets: Arc<Mutex<Vec<String>>>,
 }
 
-impl Discovery {
+impl TestDiscovery {
     pub async fn start(hosts: Vec<Value>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("bound");
@@ -38,8 +38,8 @@
         let held = Arc::new(watch::Sender::new(0));
         let (silenced, cut) = (Arc::<AtomicUsize>::default(), Arc::<AtomicUsize>::default());
         let (lists, holds, silence, cuts) = (list.clone(), held.clone(), silenced.clone(), cut.clone());
-        let asked: Arc<Mutex<Vec<String>>> = Arc::default();
-        let paths = asked.clone();
+        let request_targets: Arc<Mutex<Vec<String>>> = Arc::default();
+        let paths = request_targets.clone();
         tokio::spawn(async move {
             loop {
                 let (stream, _) = listener.accept().await.expect("a connection");
@@ -62,7 +62,7 @@
                         let (seq, hosts) = list.borrow().clone();
                         let text = json!({"seq": seq, "whole": true, "hosts": hosts}).to_string();
                         if cuts.fetch_update(SeqCst, SeqCst, |n| n.checked_sub(1)).is_ok() {
-                            return Ok(Response::new(Broken(false).boxed()));
+                            return Ok(Response::new(BrokenBody::default().boxed()));
                         }
                         let whole = Full::new(Bytes::from(text)).map_err(|e| match e {});
                         Ok::<_, io::Error>(Response::new(whole.boxed()))
@@ -71,40 +71,40 @@
                 tokio::spawn(http1::Builder::new().serve_connection(TokioIo::new(stream), service));
             }
         });
-        Discovery { addr, list, held, silenced, cut, asked }
+        TestDiscovery { addr, list, held, silenced, cut, request_targets }
     }
 
     /// The configuration of a proxy that asks here.
-    pub fn config(&self, settings: Value) -> Value {
+    pub fn proxy_config(&self, settings: Value) -> Value {
         json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": self.addr.to_string(),
                "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
                "settings": settings})
     }
 
     /// Waits until the proxy holds the present list.
-    pub async fn settled(&self) {
+    pub async fn wait_until_synced(&self) {
         let now = self.list.borrow().0;
-        soon(self.held.subscribe().wait_for(|held| *held >= now)).await.expect("open");
+        within_deadline(self.held.subscribe().wait_for(|held| *held >= now)).await.expect("open");
     }
 
     /// The paths of all calls so far, with their queries.
-    pub fn asked(&self) -> Vec<String> {
-        self.asked.lock().expect("sound").clone()
+    pub fn request_targets(&self) -> Vec<String> {
+        self.request_targets.lock().expect("sound").clone()
     }
 
     /// The watches that wait now get no answer any more.
-    pub fn silence(&self) {
+    pub fn stall_watches(&self) {
         self.silenced.fetch_add(1, SeqCst);
     }
 
     /// So many of the next answers end half-way.
-    pub fn cut(&self, answers: usize) {
+    pub fn truncate_next_responses(&self, answers: usize) {
         self.cut.store(answers, SeqCst);
     }
 
     /// Changes the list and waits until the proxy holds it.
-    pub async fn tell(&self, hosts: Vec<Value>) {
+    pub async fn publish(&self, hosts: Vec<Value>) {
         self.list.send_modify(|(seq, list)| (*seq, *list) = (*seq + 1, hosts));
-        self.settled().await;
+        self.wait_until_synced().await;
     }
 }
--- a/tests/rig/mod.rs
+++ b/tests/rig/mod.rs
@@ -3,44 +3,45 @@
 #![allow(dead_code, unused_imports)]
 
 mod backend;
-mod caller;
+mod client;
 mod discovery;
 mod proxy;
 mod settings;
 mod sockets;
 
 pub use crate::waits::*;
-pub use backend::{Backend, Do, Orders, Pieces, line};
-pub use caller::{Caller, connect, refusing, request, silent};
-pub use discovery::Discovery;
-pub use proxy::{Proxy, write_config};
+pub use backend::{BackendAction, BackendControl, LongBody, TestBackend, endpoint_entry};
+pub use client::{TestClient, connect, refusing_address, request, unresponsive_listener};
+pub use discovery::TestDiscovery;
+pub use proxy::{ProxyProcess, write_config};
 pub use settings::{settings, with_cap};
-pub use sockets::{connecting, end_arrived, in_queue};
+pub use sockets::{accept_queue_len, wait_for_connecting, wait_for_peer_close};
 
 use serde_json::Value;
 use std::sync::Arc;
 
-/// Two backends with common orders, discovery that lists them, and a proxy that holds the list.
-pub struct Scene {
-    pub orders: Arc<Orders>,
-    pub a: Backend,
-    pub b: Backend,
-    pub discovery: Discovery,
-    pub proxy: Proxy,
+/// Two backends with common control, discovery that lists them, and a proxy that holds the list.
+pub struct ProxyFixture {
+    pub control: Arc<BackendControl>,
+    pub a: TestBackend,
+    pub b: TestBackend,
+    pub discovery: TestDiscovery,
+    pub proxy: ProxyProcess,
 }
 
-pub async fn scene(settings: Value) -> Scene {
-    scene_with(settings, |_| {}).await
+pub async fn start_fixture(settings: Value) -> ProxyFixture {
+    start_fixture_with(settings, |_| {}).await
 }
 
-/// A scene whose proxy has a configuration of its own.
-pub async fn scene_with(settings: Value, change: impl FnOnce(&mut Value)) -> Scene {
-    let orders = Arc::new(Orders::default());
-    let (a, b) = (Backend::start("a", &orders).await, Backend::start("b", &orders).await);
-    let discovery = Discovery::start(vec![a.line("SERVING"), b.line("SERVING")]).await;
-    let mut config = discovery.config(settings);
+/// A start_fixture whose proxy has a configuration of its own.
+pub async fn start_fixture_with(settings: Value, change: impl FnOnce(&mut Value)) -> ProxyFixture {
+    let control = Arc::new(BackendControl::default());
+    let (a, b) = (TestBackend::start("a", &control).await, TestBackend::start("b", &control).await);
+    let discovery =
+        TestDiscovery::start(vec![a.endpoint_entry("SERVING"), b.endpoint_entry("SERVING")]).await;
+    let mut config = discovery.proxy_config(settings);
     change(&mut config);
-    let proxy = Proxy::start_as(&config, "exec \"$0\"").await;
-    discovery.settled().await;
-    Scene { orders, a, b, discovery, proxy }
+    let proxy = ProxyProcess::start_with_command(&config, "exec \"$0\"").await;
+    discovery.wait_until_synced().await;
+    ProxyFixture { control, a, b, discovery, proxy }
 }
--- a/tests/rig/proxy.rs
+++ b/tests/rig/proxy.rs
@@ -1,6 +1,6 @@
 //! The program as a started process.
 
-use super::{Caller, Discovery, connect, in_queue, soon};
+use super::{TestClient, TestDiscovery, accept_queue_len, connect, within_deadline};
 use http_body_util::Full;
 use hyper::Request;
 use serde_json::Value;
@@ -13,7 +13,7 @@
 use tokio::process::{Child, ChildStderr, Command};
 use tokio::time::timeout;
 
-pub struct Proxy {
+pub struct ProxyProcess {
     pub addr: SocketAddr,
     /// Where operators call, if anywhere.
     pub ops: Option<SocketAddr>,
@@ -31,7 +31,7 @@
     path
 }
 
-impl Drop for Proxy {
+impl Drop for ProxyProcess {
     /// Waits for the program's end: one that outlived its test would ask for its list, with a request that has no id, at
     /// ports that are another test's by then.
     fn drop(&mut self) {
@@ -43,18 +43,18 @@
     }
 }
 
-impl Proxy {
-    pub async fn start(discovery: &Discovery, settings: Value) -> Self {
-        Proxy::start_as(&discovery.config(settings), "exec \"$0\"").await
+impl ProxyProcess {
+    pub async fn start(discovery: &TestDiscovery, settings: Value) -> Self {
+        ProxyProcess::start_with_command(&discovery.proxy_config(settings), "exec \"$0\"").await
     }
 
     /// Starts the program by a shell command in which it is `$0`, and waits until it listens.
-    pub async fn start_as(config: &Value, command: &str) -> Self {
-        let mut proxy = Proxy::spawn(config, command);
+    pub async fn start_with_command(config: &Value, command: &str) -> Self {
+        let mut proxy = ProxyProcess::spawn(config, command);
         if config["ops"].is_string() {
-            proxy.ops = Some(proxy.says("ops on ").await);
+            proxy.ops = Some(proxy.wait_for_address("ops on ").await);
         }
-        proxy.addr = proxy.says("listening on ").await;
+        proxy.addr = proxy.wait_for_address("listening on ").await;
         proxy
     }
 
@@ -72,13 +72,13 @@
             .spawn()
             .expect("it starts");
         let log = BufReader::new(child.stderr.take().expect("piped")).lines();
-        Proxy { addr: SocketAddr::from(([0; 4], 0)), ops: None, config: path, child, log }
+        ProxyProcess { addr: SocketAddr::from(([0; 4], 0)), ops: None, config: path, child, log }
     }
 
     /// Waits until the program names an address in its log.
-    pub async fn says(&mut self, what: &str) -> SocketAddr {
+    pub async fn wait_for_address(&mut self, what: &str) -> SocketAddr {
         loop {
-            let line = soon(self.log.next_line()).await.expect("readable").expect("it goes on");
+            let line = within_deadline(self.log.next_line()).await.expect("readable").expect("it goes on");
             if let Some((_, addr)) = line.split_once(what) {
                 return addr.parse().expect("an address");
             }
@@ -86,14 +86,14 @@
     }
 
     /// A connection to the operators' address.
-    pub async fn operator(&self) -> TcpStream {
-        soon(TcpStream::connect(self.ops.expect("it has one"))).await.expect("it listens")
+    pub async fn connect_ops(&self) -> TcpStream {
+        within_deadline(TcpStream::connect(self.ops.expect("it has one"))).await.expect("it listens")
     }
 
     /// One call to the operators' address: all that it answers, which must come in time.
-    pub async fn tell(&self, call: &str) -> String {
+    pub async fn ops_call(&self, call: &str) -> String {
         let answer = async {
-            let mut stream = self.operator().await;
+            let mut stream = self.connect_ops().await;
             stream.write_all(format!("{call}\n").as_bytes()).await.expect("open");
             let mut answer = String::new();
             stream.read_to_string(&mut answer).await.expect("text");
@@ -103,15 +103,15 @@
     }
 
     /// What `/health/ready` says.
-    pub async fn ready(&self) -> u16 {
+    pub async fn readiness_status(&self) -> u16 {
         let request = Request::get("/health/ready").header("host", "p").body(Full::default());
-        self.caller().await.send(request.expect("well formed")).await.0
+        self.connect_client().await.send(request.expect("well formed")).await.0
     }
 
     /// The proxy, once it holds discovery's list.
-    pub async fn settled(discovery: &Discovery, settings: Value) -> Self {
-        let proxy = Proxy::start(discovery, settings).await;
-        discovery.settled().await;
+    pub async fn start_synced(discovery: &TestDiscovery, settings: Value) -> Self {
+        let proxy = ProxyProcess::start(discovery, settings).await;
+        discovery.wait_until_synced().await;
         proxy
     }
 
@@ -122,17 +122,17 @@
 
     /// Replaces the configuration, sends SIGHUP and waits until the program says `notice`.
     pub async fn reload(&mut self, text: &str, notice: &str) {
-        self.rewrite(text);
+        self.replace_config(text);
         self.signal("-HUP", notice).await;
     }
 
     /// Replaces the configuration and says nothing of it.
-    pub fn rewrite(&self, text: &str) {
+    pub fn replace_config(&self, text: &str) {
         std::fs::write(&self.config, text).expect("the folder for tests takes a file");
     }
 
     /// The system's directory on the program; there as long as the program is, or is not waited for.
-    pub fn process(&self) -> std::path::PathBuf {
+    pub fn proc_dir(&self) -> std::path::PathBuf {
         format!("/proc/{}", self.child.id().expect("it runs")).into()
     }
 
@@ -144,7 +144,7 @@
 
     async fn signal(&mut self, name: &str, notice: &str) {
         self.send_signal(name);
-        self.notes(notice).await;
+        self.wait_for_log(notice).await;
     }
 
     /// Sends a signal by name, as `kill` does.
@@ -155,32 +155,37 @@
     }
 
     /// Waits until the program logs `notice`.
-    pub async fn notes(&mut self, notice: &str) {
-        while !soon(self.log.next_line()).await.expect("readable").expect("it goes on").contains(notice) {}
+    pub async fn wait_for_log(&mut self, notice: &str) {
+        while !within_deadline(self.log.next_line())
+            .await
+            .expect("readable")
+            .expect("it goes on")
+            .contains(notice)
+        {}
     }
 
     /// What the program logs up to `notice`, and that line.
     pub async fn log_until(&mut self, notice: &str) -> Vec<String> {
         let mut lines = Vec::new();
         while !lines.last().is_some_and(|line: &String| line.contains(notice)) {
-            lines.push(soon(self.log.next_line()).await.expect("readable").expect("it goes on"));
+            lines.push(within_deadline(self.log.next_line()).await.expect("readable").expect("it goes on"));
         }
         lines
     }
 
     /// Whether the program rests while somebody waits in its listener's queue: it takes nobody more. Nobody may connect
     /// meanwhile.
-    pub fn takes_nobody(&self) -> bool {
-        let waiting = in_queue(self.addr);
+    pub fn has_stopped_accepting(&self) -> bool {
+        let waiting = accept_queue_len(self.addr);
         let id = self.child.id().expect("it runs");
         let rests = std::fs::read_to_string(format!("/proc/{id}/stat")).expect("it runs").contains(") S ");
-        rests && waiting > 0 && in_queue(self.addr) == waiting
+        rests && waiting > 0 && accept_queue_len(self.addr) == waiting
     }
 
     /// What the program has yet to say, up to its end.
-    pub async fn rest_of_log(&mut self) -> Vec<String> {
+    pub async fn remaining_log(&mut self) -> Vec<String> {
         let mut lines = Vec::new();
-        while let Some(line) = soon(self.log.next_line()).await.expect("readable") {
+        while let Some(line) = within_deadline(self.log.next_line()).await.expect("readable") {
             lines.push(line);
         }
         lines
@@ -188,16 +193,16 @@
 
     /// Kills the program and waits until it is gone.
     pub async fn kill(mut self) {
-        soon(self.child.kill()).await.expect("it ran");
+        within_deadline(self.child.kill()).await.expect("it ran");
     }
 
     /// The most memory that the program has held so far, in MB.
-    pub fn peak_mb(&self) -> usize {
+    pub fn peak_memory_mb(&self) -> usize {
         self.memory_mb("VmHWM:")
     }
 
     /// The memory that the program holds now, in MB.
-    pub fn held_mb(&self) -> usize {
+    pub fn current_memory_mb(&self) -> usize {
         self.memory_mb("VmRSS:")
     }
 
@@ -209,7 +214,7 @@
     }
 
     /// Stops the program where it is until it is sent `-CONT`, and waits until it stands still.
-    pub async fn stand_still(&self) {
+    pub async fn suspend(&self) {
         self.send_signal("-STOP");
         let id = self.child.id().expect("it runs");
         let stands = || std::fs::read_to_string(format!("/proc/{id}/stat")).is_ok_and(|s| s.contains(") T "));
@@ -218,16 +223,16 @@
         }
     }
 
-    pub async fn ended(&mut self) -> ExitStatus {
-        soon(self.child.wait()).await.expect("it ran")
+    pub async fn wait_for_exit(&mut self) -> ExitStatus {
+        within_deadline(self.child.wait()).await.expect("it ran")
     }
 
-    pub async fn caller(&self) -> Caller {
-        Caller(connect(self.addr).await)
+    pub async fn connect_client(&self) -> TestClient {
+        TestClient(connect(self.addr).await)
     }
 
     /// One call on a connection of its own: status and body.
     pub async fn call(&self, class: &str) -> (u16, String) {
-        self.caller().await.call(class).await
+        self.connect_client().await.call(class).await
     }
 }
--- a/tests/rig/sockets.rs
+++ b/tests/rig/sockets.rs
@@ -1,6 +1,6 @@
 //! The system's table of connections: what has arrived where, whoever has read it or not.
 
-use super::soon;
+use super::within_deadline;
 use std::fs::File;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -33,16 +33,16 @@
 }
 
 /// Waits until somebody's connect to an address is under way.
-pub async fn connecting(addr: SocketAddr) {
+pub async fn wait_for_connecting(addr: SocketAddr) {
     while !sockets().iter().any(|s| s.remote == addr.port() && s.state == SYN_SENT) {
         sleep(Duration::from_millis(10)).await;
     }
 }
 
 /// Waits until one end of a connection has heard that the other end has closed or reset it.
-pub async fn end_arrived(at: SocketAddr, from: SocketAddr) {
+pub async fn wait_for_peer_close(at: SocketAddr, from: SocketAddr) {
     let open = |s: &Socket| s.local == at.port() && s.remote == from.port() && s.state == ESTABLISHED;
-    soon(async {
+    within_deadline(async {
         while sockets().iter().any(open) {
             sleep(Duration::from_millis(1)).await;
         }
@@ -51,7 +51,7 @@
 }
 
 /// How many wait in a listener's queue.
-pub fn in_queue(listener: SocketAddr) -> usize {
+pub fn accept_queue_len(listener: SocketAddr) -> usize {
     // Listeners stand before all connections, of which there may be thousands.
     let table = BufReader::new(File::open("/proc/net/tcp").expect("a table"));
     let listens = |s: &Socket| s.local == listener.port() && s.state == LISTENING;
--- a/tests/room.rs
+++ b/tests/room.rs
@@ -12,11 +12,13 @@
 /// The longest body that is held. A process with 1 MB has room for four of them.
 const LONGEST: usize = 64 * 1024;
 
-async fn with_room_for_four() -> Scene {
-    let s = scene_with(settings(), |config| config["limits"]["memory_mb"] = 1.into()).await;
+async fn with_room_for_four() -> ProxyFixture {
+    let s = start_fixture_with(settings(), |config| config["limits"]["memory_mb"] = 1.into()).await;
     // A new process takes twice as many calls as it has members.
-    let more = ["c", "d", "e", "f"].map(|name| line(name, s.a.addr, "SERVING"));
-    s.discovery.tell([vec![s.a.line("SERVING"), s.b.line("SERVING")], more.to_vec()].concat()).await;
+    let more = ["c", "d", "e", "f"].map(|name| endpoint_entry(name, s.a.addr, "SERVING"));
+    s.discovery
+        .publish([vec![s.a.endpoint_entry("SERVING"), s.b.endpoint_entry("SERVING")], more.to_vec()].concat())
+        .await;
     s
 }
 
@@ -25,24 +27,24 @@
 }
 
 /// Four requests that are with a backend and take all the room.
-async fn full(s: &Scene, release: &Arc<Notify>) -> Vec<JoinHandle<u16>> {
+async fn full(s: &ProxyFixture, release: &Arc<Notify>) -> Vec<JoinHandle<u16>> {
     let mut held = Vec::new();
     for _ in 0..4 {
-        let came = s.orders.seen.borrow().len();
-        s.orders.give([Do::Hold(release.clone())]);
-        let mut caller = s.proxy.caller().await;
+        let came = s.control.requests.borrow().len();
+        s.control.enqueue([BackendAction::ServeAfter(release.clone())]);
+        let mut caller = s.proxy.connect_client().await;
         held.push(tokio::spawn(async move { caller.send(body("keep")).await.0 }));
-        s.orders.came(came + 1).await;
+        s.control.wait_for_requests(came + 1).await;
     }
     held
 }
 
 /// Whether a body is held: then its request is sent again after a broken attempt, else it is not.
-async fn is_held(s: &Scene) -> bool {
-    s.orders.give([Do::Break]);
-    let came = s.orders.seen.borrow().len();
-    let (status, _) = s.proxy.caller().await.send(body("keep")).await;
-    let tries = s.orders.seen.borrow().len() - came;
+async fn is_held(s: &ProxyFixture) -> bool {
+    s.control.enqueue([BackendAction::CloseConnection]);
+    let came = s.control.requests.borrow().len();
+    let (status, _) = s.proxy.connect_client().await.send(body("keep")).await;
+    let tries = s.control.requests.borrow().len() - came;
     assert!((status, tries) == (200, 2) || status == 503 && tries == 1, "{status} in {tries}");
     status == 200
 }
@@ -55,17 +57,17 @@
         let release = Arc::new(Notify::new());
         let held = full(&s, &release).await;
         assert!(!is_held(&s).await, "and for no more");
-        assert_eq!(s.proxy.caller().await.send(body("once")).await.0, 200, "it flows, unchanged");
-        assert_eq!(s.orders.seen.borrow().last().expect("it came").2.len(), LONGEST);
+        assert_eq!(s.proxy.connect_client().await.send(body("once")).await.0, 200, "it flows, unchanged");
+        assert_eq!(s.control.requests.borrow().last().expect("it came").2.len(), LONGEST);
         // One is over: there is room for one.
         release.notify_one();
-        soon(async {
+        within_deadline(async {
             while !held.iter().any(JoinHandle::is_finished) {
                 tokio::task::yield_now().await;
             }
         })
         .await;
-        soon(async { while !is_held(&s).await {} }).await;
+        within_deadline(async { while !is_held(&s).await {} }).await;
         (0..3).for_each(|_| release.notify_one());
         for call in held {
             assert_eq!(call.await.expect("no panic"), 200);
@@ -80,5 +82,5 @@
     let held = full(&s, &Arc::new(Notify::new())).await;
     assert!(!is_held(&s).await, "there is no more room");
     held.iter().for_each(JoinHandle::abort);
-    soon(async { while !is_held(&s).await {} }).await;
+    within_deadline(async { while !is_held(&s).await {} }).await;
 }
--- a/tests/routes_judged.rs
+++ b/tests/routes_judged.rs
@@ -41,7 +41,7 @@
     assert_eq!(page["judging"]["failed"], false);
     // Overtaken: that judging ends, the next one begins.
     let next = take(&registry, proposal(revision, &[("s1", 0.9)], token)).await;
-    registry.logged("judging ended: overtaken").await;
+    registry.wait_for_log("judging ended: overtaken").await;
     let page = until(&registry, "/registry/routes", |page| page["judging"]["revision"] == next).await;
     assert_eq!(
         (&page["past"][0]["revision"], &page["past"][0]["end"]["end"]),
@@ -210,5 +210,5 @@
     let registry = host(data, keys).await;
     let after = until(&registry, path, |page| page["loaded"] == true).await;
     assert_eq!((&after["left_out"]["spoilt"], &after["segments"]), (&json!(1), &json!(files.len() - 1)));
-    assert_eq!(names(&registry.get("").await).len(), 8, "nothing stored is lost");
+    assert_eq!(host_names(&registry.get("").await).len(), 8, "nothing stored is lost");
 }
