--- a/tests/routes_proxy.rs
+++ b/tests/routes_proxy.rs
@@ -18,21 +18,21 @@
 
 const LOOK: Duration = Duration::from_millis(20);
 
-async fn watching(registry: SocketAddr) -> Scene {
-    scene_with(settings(), |config| {
+async fn watching(registry: SocketAddr) -> ProxyFixture {
+    start_fixture_with(settings(), |config| {
         config["ops"] = "127.0.0.1:0".into();
         config["routes"] = json!({"registries": [registry.to_string()], "name": "n0", "report_ms": 200});
     })
     .await
 }
 
-async fn page(proxy: &Proxy) -> Value {
-    let page = proxy.tell("routes").await;
+async fn page(proxy: &ProxyProcess) -> Value {
+    let page = proxy.ops_call("routes").await;
     serde_json::from_str(page.lines().next().expect("a page")).expect("JSON")
 }
 
-async fn until(proxy: &Proxy, is: impl Fn(&Value) -> bool) -> Value {
-    soon(async {
+async fn until(proxy: &ProxyProcess, is: impl Fn(&Value) -> bool) -> Value {
+    within_deadline(async {
         loop {
             let page = page(proxy).await;
             if is(&page) {
@@ -55,18 +55,18 @@
     let first = tables.report(|r| r["revision"] == 3).await;
     assert_eq!(first["digest"], empty["digest"]);
     assert_eq!((&first["name"], &first["zone"], &first["alive"]), (&json!("n0"), &json!("a"), &json!(0)));
-    let mut caller = scene.proxy.caller().await;
+    let mut caller = scene.proxy.connect_client().await;
     for _ in 0..200 {
         assert_eq!(caller.call("look").await.0, 200);
     }
-    assert_eq!((scene.orders.by("a"), scene.orders.by("b")), (0, 200));
-    scene.orders.give([Do::Answer(500)]);
+    assert_eq!((scene.control.request_count("a"), scene.control.request_count("b")), (0, 200));
+    scene.control.enqueue([BackendAction::Status(500)]);
     caller.call("once").await;
     // What the windows tell adds up to what the backends saw.
     let sum = |key: &str, name: &str| -> u64 {
         tables.reports().iter().filter_map(|r| r[key][name].as_u64()).sum()
     };
-    soon(async {
+    within_deadline(async {
         let requests = || tables.reports().iter().filter_map(|r| r["requests"].as_u64()).sum::<u64>();
         while (sum("calls", "b"), sum("errors", "b"), requests()) != (201, 1, 201) {
             sleep(LOOK).await;
@@ -85,8 +85,15 @@
     let weights = Weights { classes: [("m".to_string(), 0.5)].into(), ..Weights::default() };
     tables.give(json!({"revision": 4, "newest": 4, "digest": weights.digest(), "weights": weights}));
     until(&scene.proxy, |page| page["weights"] == json!({"a": 0.5, "b": 0.5})).await;
-    let c = Backend::start("c", &scene.orders).await;
-    scene.discovery.tell(vec![scene.a.line("SERVING"), scene.b.line("DRAINING"), c.line("SERVING")]).await;
+    let c = TestBackend::start("c", &scene.control).await;
+    scene
+        .discovery
+        .publish(vec![
+            scene.a.endpoint_entry("SERVING"),
+            scene.b.endpoint_entry("DRAINING"),
+            c.endpoint_entry("SERVING"),
+        ])
+        .await;
     let held = until(&scene.proxy, |page| page["weights"]["c"].is_number()).await;
     assert_eq!(held["weights"], json!({"a": 0.5, "c": 0.5}));
     assert_eq!(held["left_out"]["b"], "draining");
@@ -108,7 +115,7 @@
     tables.give(bad);
     let held = until(&scene.proxy, |page| page["error"].as_str().is_some_and(|e| e.contains(why))).await;
     assert_eq!((&held["revision"], &held["weights"]["a"]), (&json!(3), &json!(0.25)));
-    scene.proxy.notes(why).await;
+    scene.proxy.wait_for_log(why).await;
     assert_eq!(scene.proxy.call("look").await.0, 200);
     tables.report(|r| r["number"].as_u64() > Some(1) && r["revision"] == 3).await;
     tables.give(table(5, &[("a", 2.0)]));
@@ -159,7 +166,7 @@
     let lost = "reports are taken again";
     until(&scene.proxy, |page| page["reports"]["error"].is_null()).await;
     let mut proxy = scene.proxy;
-    proxy.notes(lost).await;
+    proxy.wait_for_log(lost).await;
 }
 
 /// An address at which nobody listens.
@@ -176,14 +183,14 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn what_is_recorded_comes_in_segments_that_tell_what_happened() {
     let tables = Tables::start(&table(0, &[])).await;
-    let scene = scene_with(settings(), |config| {
+    let scene = start_fixture_with(settings(), |config| {
         config["ops"] = "127.0.0.1:0".into();
         config["routes"] = json!({"registries": [tables.address.to_string()], "name": "n0"});
         config["record"] = json!({"sampled": 1.0, "segment_ms": 1000});
     })
     .await;
-    scene.orders.give([Do::Answer(500)]);
-    let mut caller = scene.proxy.caller().await;
+    scene.control.enqueue([BackendAction::Status(500)]);
+    let mut caller = scene.proxy.connect_client().await;
     for _ in 0..20 {
         assert_eq!(caller.call("look").await.0, 200);
     }
@@ -213,16 +220,16 @@
             "the module can be started by them"
         );
     }
-    let page = scene.proxy.tell("record").await;
+    let page = scene.proxy.ops_call("record").await;
     assert!(page.contains("\"lost\":0"), "{page}");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn without_configuration_there_is_no_table_and_nobody_is_asked() {
     let tables = Tables::start(&table(3, &[])).await;
-    let scene = scene_with(settings(), |config| config["ops"] = "127.0.0.1:0".into()).await;
-    assert_eq!(scene.proxy.tell("routes").await, "NAK no routes\n");
-    assert_eq!(scene.proxy.tell("record").await, "NAK no record\n");
+    let scene = start_fixture_with(settings(), |config| config["ops"] = "127.0.0.1:0".into()).await;
+    assert_eq!(scene.proxy.ops_call("routes").await, "NAK no routes\n");
+    assert_eq!(scene.proxy.ops_call("record").await, "NAK no record\n");
     assert!(tables.asked().is_empty());
 }
 
@@ -232,10 +239,10 @@
 #[case(json!({"registry": "x"}), "unknown field `registry`")]
 #[tokio::test]
 async fn a_slip_in_the_configuration_ends_the_start(#[case] routes: Value, #[case] why: &str) {
-    let discovery = Discovery::start(Vec::new()).await;
-    let mut config = discovery.config(settings());
+    let discovery = TestDiscovery::start(Vec::new()).await;
+    let mut config = discovery.proxy_config(settings());
     config["routes"] = routes;
-    let mut proxy = Proxy::spawn(&config, "exec \"$0\"");
-    proxy.notes(why).await;
-    assert!(!proxy.ended().await.success());
+    let mut proxy = ProxyProcess::spawn(&config, "exec \"$0\"");
+    proxy.wait_for_log(why).await;
+    assert!(!proxy.wait_for_exit().await.success());
 }
--- a/tests/routes_registry.rs
+++ b/tests/routes_registry.rs
@@ -96,7 +96,7 @@
         (&drift["findings"][0]["proxies"], &drift["revisions"]),
         (&json!(6), &json!({second.to_string(): 6}))
     );
-    assert_eq!(registry.logged("drift raised").await["kind"], "ahead");
+    assert_eq!(registry.wait_for_log("drift raised").await["kind"], "ahead");
     // Neither a proposal that knows nothing of it nor time takes anybody back.
     let (status, why) = propose(&registry, &proposal(first, &[("s1", 0.3)], token)).await;
     assert!(status == 409 && why.to_string().contains("lost state"), "{status}: {why}");
@@ -108,7 +108,7 @@
     fleet.all_hold(third).await;
     let cleared = |page: &Value| page["findings"].as_array().expect("findings").is_empty();
     until(&registry, "/registry/drift", cleared).await;
-    registry.logged("drift cleared").await;
+    registry.wait_for_log("drift cleared").await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
--- a/tests/routes_rig/mod.rs
+++ b/tests/routes_rig/mod.rs
@@ -7,8 +7,8 @@
 #[allow(unused_imports)]
 pub use records::{recorded, shifted};
 
-use crate::registry_rig::{Line, Registry, entry};
-use crate::waits::soon;
+use crate::registry_rig::{Registry, RegistryConnection, entry};
+use crate::waits::within_deadline;
 use load_balancer::route_table::{Report, Weights, Witness};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -102,7 +102,7 @@
             sleep(Duration::from_millis(20)).await;
         }
     };
-    if tokio::time::timeout(crate::waits::LONG, wait).await.is_err() {
+    if tokio::time::timeout(crate::waits::TEST_DEADLINE, wait).await.is_err() {
         panic!("{path} stays at {last:#}");
     }
     last
@@ -162,7 +162,7 @@
 
     /// Waits until all hold a revision.
     pub async fn all_hold(&self, revision: u64) {
-        soon(async {
+        within_deadline(async {
             while self.holders(revision) < self.held.len() {
                 sleep(Duration::from_millis(20)).await;
             }
@@ -176,7 +176,7 @@
 }
 
 async fn follow(n: usize, held: Arc<Mutex<Held>>, at: watch::Receiver<SocketAddr>, older: Arc<AtomicU64>) {
-    let mut line = Line::default();
+    let mut line = RegistryConnection::default();
     loop {
         let mut path = format!("/registry/routes?name={}&generation=1", name(n));
         if let Some(held) = Some(lock(&held)).filter(|held| held.any) {
@@ -207,7 +207,7 @@
     at: watch::Receiver<SocketAddr>,
     taken: Arc<AtomicU64>,
 ) {
-    let mut line = Line::default();
+    let mut line = RegistryConnection::default();
     sleep(every.mul_f64(n as f64 / proxies as f64)).await;
     let mut ticks = tokio::time::interval(every);
     for number in 1.. {
--- a/tests/scale/fleet.rs
+++ b/tests/scale/fleet.rs
@@ -54,7 +54,7 @@
     // Until both have reported of the same list.
     let reports = |one: &Compared| one.of != Kind::Report || (one.real.answers > 3 && one.hollow.answers > 3);
     let last = compare::look(&stage.fleet).expect("counted");
-    crate::waits::soon(async {
+    crate::waits::within_deadline(async {
         while !compare::compare(&stage.fleet, &last).iter().all(reports) {
             tokio::time::sleep(std::time::Duration::from_millis(50)).await;
         }
--- a/tests/scripted/mod.rs
+++ b/tests/scripted/mod.rs
@@ -4,34 +4,36 @@
 
 mod script;
 
-use crate::rig::{Discovery, Proxy, line};
-use crate::waits::soon;
-pub use script::{Act, End, Script, whole};
+use crate::rig::{ProxyProcess, TestDiscovery, endpoint_entry};
+use crate::waits::within_deadline;
+pub use script::{ConnectionEnd, Script, ScriptedResponse, ok_response};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 /// A proxy before two backends, `a` and `b`, that follow one script.
-pub struct Stage {
+pub struct ScriptedFixture {
     pub script: Arc<Script>,
     pub backends: [SocketAddr; 2],
-    pub discovery: Discovery,
-    pub proxy: Proxy,
+    pub discovery: TestDiscovery,
+    pub proxy: ProxyProcess,
 }
 
-pub async fn stage(settings: Value) -> Stage {
-    stage_with(settings, |_| {}).await
+pub async fn start_scripted(settings: Value) -> ScriptedFixture {
+    start_scripted_with(settings, |_| {}).await
 }
 
 /// The same, the proxy with a configuration of its own.
-pub async fn stage_with(settings: Value, change: impl FnOnce(&mut Value)) -> Stage {
+pub async fn start_scripted_with(settings: Value, change: impl FnOnce(&mut Value)) -> ScriptedFixture {
     let script = Arc::new(Script::default());
-    let backends = [script.backend().await, script.backend().await];
+    let backends = [script.start_backend().await, script.start_backend().await];
     let [a, b] = backends;
-    let discovery = Discovery::start(vec![line("a", a, "SERVING"), line("b", b, "SERVING")]).await;
-    let mut config = discovery.config(settings);
+    let discovery =
+        TestDiscovery::start(vec![endpoint_entry("a", a, "SERVING"), endpoint_entry("b", b, "SERVING")])
+            .await;
+    let mut config = discovery.proxy_config(settings);
     change(&mut config);
-    let proxy = Proxy::start_as(&config, "exec \"$0\"").await;
-    discovery.settled().await;
-    Stage { script, backends, discovery, proxy }
+    let proxy = ProxyProcess::start_with_command(&config, "exec \"$0\"").await;
+    discovery.wait_until_synced().await;
+    ScriptedFixture { script, backends, discovery, proxy }
 }
--- a/tests/scripted/script.rs
+++ b/tests/scripted/script.rs
@@ -1,6 +1,6 @@
 //! The script that backends follow, to the byte, and the backends that follow it.
 
-use super::soon;
+use super::within_deadline;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -10,78 +10,78 @@
 
 /// What becomes of a connection once all is said.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum End {
-    Stay,
+pub enum ConnectionEnd {
+    KeepOpen,
     Close,
     Reset,
 }
 
 /// What is done with one request.
-pub struct Act {
+pub struct ScriptedResponse {
     /// Bytes of it that are read; all, where it says nothing.
-    pub hears: Option<usize>,
+    pub read_len: Option<usize>,
     /// What is said, each part once it is released.
-    pub says: Vec<(Option<Arc<Notify>>, Vec<u8>)>,
+    pub writes: Vec<(Option<Arc<Notify>>, Vec<u8>)>,
     /// What is said behind that, each time it is released, for as long as somebody listens.
-    pub repeats: Option<(Arc<Notify>, Vec<u8>)>,
-    pub end: End,
+    pub repeat: Option<(Arc<Notify>, Vec<u8>)>,
+    pub end: ConnectionEnd,
 }
 
-impl Act {
-    pub fn says(text: &str, end: End) -> Self {
-        Act { hears: None, says: vec![(None, text.into())], repeats: None, end }
+impl ScriptedResponse {
+    pub fn raw(text: &str, end: ConnectionEnd) -> Self {
+        ScriptedResponse { read_len: None, writes: vec![(None, text.into())], repeat: None, end }
     }
-    /// An answer of its own, whole.
-    pub fn serves(body: &str) -> Self {
-        Act::says(&whole(body), End::Stay)
+    /// An answer of its own, ok_response.
+    pub fn ok(body: &str) -> Self {
+        ScriptedResponse::raw(&ok_response(body), ConnectionEnd::KeepOpen)
     }
     /// Says more once it is released.
-    pub fn then(mut self, release: &Arc<Notify>, text: &str) -> Self {
-        self.says.push((Some(release.clone()), text.into()));
+    pub fn then_write(mut self, release: &Arc<Notify>, text: &str) -> Self {
+        self.writes.push((Some(release.clone()), text.into()));
         self
     }
 }
 
 /// An answer with this body.
-pub fn whole(body: &str) -> String {
+pub fn ok_response(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
 /// What scripted backends have in common.
 #[derive(Default)]
 pub struct Script {
-    acts: Mutex<VecDeque<Act>>,
+    responses: Mutex<VecDeque<ScriptedResponse>>,
     /// Both ends of each connection: its backend's, and the other one.
     connections: Mutex<Vec<(SocketAddr, SocketAddr)>>,
     /// Requests that were heard as far as the script says, each with its connection's number.
-    pub heard: watch::Sender<Vec<(usize, Vec<u8>)>>,
+    pub requests: watch::Sender<Vec<(usize, Vec<u8>)>>,
     /// Connections that are over.
-    pub over: watch::Sender<Vec<usize>>,
+    pub closed: watch::Sender<Vec<usize>>,
 }
 
 impl Script {
-    pub fn give(&self, acts: impl IntoIterator<Item = Act>) {
-        self.acts.lock().expect("sound").extend(acts);
+    pub fn enqueue(&self, responses: impl IntoIterator<Item = ScriptedResponse>) {
+        self.responses.lock().expect("sound").extend(responses);
     }
     /// Forgets what no request has come for.
     pub fn clear(&self) {
-        self.acts.lock().expect("sound").clear();
+        self.responses.lock().expect("sound").clear();
     }
     /// Waits until so many requests were heard.
-    pub async fn heard(&self, n: usize) {
-        soon(self.heard.subscribe().wait_for(|h| h.len() >= n)).await.expect("open");
+    pub async fn wait_for_requests(&self, n: usize) {
+        within_deadline(self.requests.subscribe().wait_for(|h| h.len() >= n)).await.expect("open");
     }
     /// The connections on which requests came, in their order.
-    pub fn on(&self) -> Vec<usize> {
-        self.heard.borrow().iter().map(|(n, _)| *n).collect()
+    pub fn request_connections(&self) -> Vec<usize> {
+        self.requests.borrow().iter().map(|(n, _)| *n).collect()
     }
     /// Waits until a connection is over.
-    pub async fn ended(&self, connection: usize) {
-        soon(self.over.subscribe().wait_for(|o| o.contains(&connection))).await.expect("open");
+    pub async fn wait_for_close(&self, connection: usize) {
+        within_deadline(self.closed.subscribe().wait_for(|o| o.contains(&connection))).await.expect("open");
     }
 
     /// Both ends of a connection: its backend's, and the other one.
-    pub fn ends_of(&self, connection: usize) -> (SocketAddr, SocketAddr) {
+    pub fn connection_addrs(&self, connection: usize) -> (SocketAddr, SocketAddr) {
         self.connections.lock().expect("sound")[connection]
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// A backend that follows the script.
-    pub async fn backend(self: &Arc<Self>) -> SocketAddr {
+    pub async fn start_backend(self: &Arc<Self>) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("bound");
         let script = self.clone();
@@ -104,7 +104,7 @@
                 tokio::spawn(async move {
                     // Its end, whatever it is, is what tests wait for.
                     let _ = script.follow(stream, number).await;
-                    script.over.send_modify(|o| o.push(number));
+                    script.closed.send_modify(|o| o.push(number));
                 });
             }
         });
@@ -117,30 +117,30 @@
             if stream.read_buf(&mut read).await? == 0 {
                 return Ok(());
             }
-            let act = self.acts.lock().expect("sound").pop_front();
-            let act = act.unwrap_or_else(|| Act::serves("served"));
-            while act.hears.map_or(!is_whole(&read), |n| read.len() < n) {
+            let response = self.responses.lock().expect("sound").pop_front();
+            let response = response.unwrap_or_else(|| ScriptedResponse::ok("served"));
+            while response.read_len.map_or(!is_whole(&read), |n| read.len() < n) {
                 if stream.read_buf(&mut read).await? == 0 {
                     return Ok(());
                 }
             }
-            self.heard.send_modify(|h| h.push((number, std::mem::take(&mut read))));
-            for (release, text) in act.says {
+            self.requests.send_modify(|h| h.push((number, std::mem::take(&mut read))));
+            for (release, text) in response.writes {
                 if let Some(release) = release {
                     release.notified().await;
                 }
                 stream.write_all(&text).await?;
             }
-            if let Some((release, text)) = act.repeats {
+            if let Some((release, text)) = response.repeat {
                 loop {
                     release.notified().await;
                     stream.write_all(&text).await?;
                 }
             }
-            match act.end {
-                End::Stay => {}
-                End::Close => return stream.shutdown().await,
-                End::Reset => return stream.set_zero_linger(),
+            match response.end {
+                ConnectionEnd::KeepOpen => {}
+                ConnectionEnd::Close => return stream.shutdown().await,
+                ConnectionEnd::Reset => return stream.set_zero_linger(),
             }
         }
     }
--- a/tests/service/drains.rs
+++ b/tests/service/drains.rs
@@ -12,22 +12,22 @@
 #[tokio::test]
 async fn a_drain_says_no_serves_who_still_comes_and_closes_what_is_at_rest() {
     let s = in_service().await;
-    assert!(s.proxy.tell("health").await.starts_with("ACK"));
+    assert!(s.proxy.ops_call("health").await.starts_with("ACK"));
     for _ in 0..2 {
-        let (mut rests, mut busy) = (s.proxy.caller().await, s.proxy.caller().await);
+        let (mut rests, mut busy) = (s.proxy.connect_client().await, s.proxy.connect_client().await);
         assert_eq!(rests.call("look").await.0, 200);
         let release = Arc::new(Notify::new());
-        s.orders.give([Do::Hold(release.clone())]);
-        let seen = s.orders.seen.borrow().len();
+        s.control.enqueue([BackendAction::ServeAfter(release.clone())]);
+        let seen = s.control.requests.borrow().len();
         let held = tokio::spawn(async move { (busy.call("once").await, busy) });
-        s.orders.came(seen + 1).await;
-        assert!(s.proxy.tell("quiesce").await.starts_with("ACK"));
+        s.control.wait_for_requests(seen + 1).await;
+        assert!(s.proxy.ops_call("quiesce").await.starts_with("ACK"));
         let told = Instant::now();
-        assert_eq!(s.proxy.ready().await, 503);
-        let mut late = s.proxy.caller().await;
+        assert_eq!(s.proxy.readiness_status().await, 503);
+        let mut late = s.proxy.connect_client().await;
         assert_eq!(late.call("once").await.0, 200, "who still comes is served");
-        assert!(soon(late.0.ready()).await.is_err(), "and is let go with the answer");
-        soon(async {
+        assert!(within_deadline(late.0.ready()).await.is_err(), "and is let go with the answer");
+        within_deadline(async {
             while rests.0.ready().await.is_ok() {
                 tokio::task::yield_now().await
             }
@@ -37,10 +37,10 @@
         release.notify_one();
         let ((status, _), mut busy) = held.await.expect("no panic");
         assert_eq!(status, 200, "what was taken is answered");
-        assert!(soon(busy.0.ready()).await.is_err(), "its connection goes too");
-        assert!(s.proxy.tell("resume").await.starts_with("ACK"));
-        assert_eq!(s.proxy.ready().await, 200);
-        let mut kept = s.proxy.caller().await;
+        assert!(within_deadline(busy.0.ready()).await.is_err(), "its connection goes too");
+        assert!(s.proxy.ops_call("resume").await.starts_with("ACK"));
+        assert_eq!(s.proxy.readiness_status().await, 200);
+        let mut kept = s.proxy.connect_client().await;
         assert_eq!(kept.call("once").await.0, 200);
         assert_eq!(kept.call("once").await.0, 200, "connections are kept again");
     }
@@ -51,14 +51,14 @@
 async fn a_request_that_is_on_its_way_into_a_drain_is_answered() {
     let s = in_service().await;
     let mut slow = TcpStream::connect(s.proxy.addr).await.expect("it listens");
-    assert!(s.proxy.tell("quiesce").await.starts_with("ACK"));
+    assert!(s.proxy.ops_call("quiesce").await.starts_with("ACK"));
     tokio::time::sleep(Duration::from_millis(800)).await;
     let head = "GET /look HTTP/1.1\r\nHost: o\r\nReq-Id: 77\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 60000\r\n";
     slow.write_all(head.as_bytes()).await.expect("open");
     tokio::time::sleep(Duration::from_millis(800)).await;
     slow.write_all(b"\r\n").await.expect("open");
     let mut answer = String::new();
-    soon(slow.read_to_string(&mut answer)).await.expect("closed, not reset");
+    within_deadline(slow.read_to_string(&mut answer)).await.expect("closed, not reset");
     assert!(answer.starts_with("HTTP/1.1 200") && answer.contains("connection: close"), "{answer}");
 }
 
@@ -66,28 +66,28 @@
 async fn a_stop_during_a_drain_ends_it_and_is_not_undone() {
     let mut s = in_service().await;
     let release = Arc::new(Notify::new());
-    s.orders.give([Do::Hold(release.clone())]);
-    let mut busy = s.proxy.caller().await;
+    s.control.enqueue([BackendAction::ServeAfter(release.clone())]);
+    let mut busy = s.proxy.connect_client().await;
     let held = tokio::spawn(async move { busy.call("once").await });
-    s.orders.came(1).await;
-    assert!(s.proxy.tell("quiesce").await.starts_with("ACK draining"));
+    s.control.wait_for_requests(1).await;
+    assert!(s.proxy.ops_call("quiesce").await.starts_with("ACK draining"));
     s.proxy.terminate().await;
-    assert!(s.proxy.tell("resume").await.starts_with("NAK stopping"));
-    assert!(s.proxy.tell("health").await.starts_with("NAK stopping"));
-    assert_eq!(s.proxy.ready().await, 503);
+    assert!(s.proxy.ops_call("resume").await.starts_with("NAK stopping"));
+    assert!(s.proxy.ops_call("health").await.starts_with("NAK stopping"));
+    assert_eq!(s.proxy.readiness_status().await, 503);
     release.notify_one();
     assert_eq!(held.await.expect("no panic").0, 200);
-    assert_eq!(s.proxy.ended().await.code(), Some(0));
+    assert_eq!(s.proxy.wait_for_exit().await.code(), Some(0));
 }
 
 /// A connection at rest has time for a last request, so that few requests cross its close.
 #[tokio::test]
 async fn a_kept_connection_is_used_until_its_answer_closes_it() {
     let s = in_service().await;
-    let mut kept = s.proxy.caller().await;
+    let mut kept = s.proxy.connect_client().await;
     assert_eq!(kept.call("once").await.0, 200);
-    assert!(s.proxy.tell("quiesce").await.starts_with("ACK"));
+    assert!(s.proxy.ops_call("quiesce").await.starts_with("ACK"));
     let call = request("once").body(Full::from("x".repeat(60_000))).expect("well formed");
     assert_eq!(kept.send(call).await.0, 200, "straight after the call it is still open");
-    assert!(soon(kept.0.ready()).await.is_err());
+    assert!(within_deadline(kept.0.ready()).await.is_err());
 }
--- a/tests/service/main.rs
+++ b/tests/service/main.rs
@@ -11,6 +11,6 @@
 use crate::rig::*;
 
 /// A scene whose proxy answers operators.
-async fn in_service() -> Scene {
-    scene_with(settings(), |config| config["ops"] = "127.0.0.1:0".into()).await
+async fn in_service() -> ProxyFixture {
+    start_fixture_with(settings(), |config| config["ops"] = "127.0.0.1:0".into()).await
 }
--- a/tests/service/operators.rs
+++ b/tests/service/operators.rs
@@ -14,32 +14,36 @@
     let s = in_service().await;
     let mut silent = Vec::new();
     for n in 0..100 {
-        let mut stream = s.proxy.operator().await;
+        let mut stream = s.proxy.connect_ops().await;
         if n % 2 == 0 {
             stream.write_all(b"coun").await.expect("open");
         }
         silent.push(stream);
         if n % 20 == 0 {
-            assert!(s.proxy.tell("health").await.starts_with("ACK"));
+            assert!(s.proxy.ops_call("health").await.starts_with("ACK"));
         }
     }
-    assert!(s.proxy.tell("health").await.starts_with("ACK"));
+    assert!(s.proxy.ops_call("health").await.starts_with("ACK"));
     assert_eq!(s.proxy.call("look").await.0, 200);
-    assert!(s.proxy.tell("").await.starts_with("NAK"));
-    assert!(s.proxy.tell("dance").await.starts_with("NAK"));
-    let mut twice = s.proxy.operator().await;
+    assert!(s.proxy.ops_call("").await.starts_with("NAK"));
+    assert!(s.proxy.ops_call("dance").await.starts_with("NAK"));
+    let mut twice = s.proxy.connect_ops().await;
     twice.write_all(b"health\nquiesce\n").await.expect("open");
     let mut answer = String::new();
-    soon(twice.read_to_string(&mut answer)).await.expect("closed, not reset");
-    assert_eq!((answer.lines().count(), s.proxy.ready().await), (1, 200), "one call to a connection");
-    let mut long = s.proxy.operator().await;
+    within_deadline(twice.read_to_string(&mut answer)).await.expect("closed, not reset");
+    assert_eq!(
+        (answer.lines().count(), s.proxy.readiness_status().await),
+        (1, 200),
+        "one call to a connection"
+    );
+    let mut long = s.proxy.connect_ops().await;
     long.write_all(&[b'x'; 300]).await.expect("open");
     let mut start = [0; 3];
-    soon(long.read_exact(&mut start)).await.expect("an answer");
+    within_deadline(long.read_exact(&mut start)).await.expect("an answer");
     assert_eq!(&start, b"NAK");
     for mut stream in silent {
         let mut answer = String::new();
-        soon(stream.read_to_string(&mut answer)).await.expect("closed, not reset");
+        within_deadline(stream.read_to_string(&mut answer)).await.expect("closed, not reset");
         assert!(answer.starts_with("NAK"), "{answer}");
     }
 }
@@ -47,12 +51,12 @@
 #[tokio::test]
 async fn a_bad_or_taken_ops_address_ends_the_start_with_one_line() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let discovery = Discovery::start(Vec::new()).await;
+    let discovery = TestDiscovery::start(Vec::new()).await;
     for (ops, says) in [
         ("here".to_string(), "config: ops: here"),
         (taken.local_addr().expect("bound").to_string(), "ops: 127.0.0.1"),
     ] {
-        let mut config = discovery.config(settings());
+        let mut config = discovery.proxy_config(settings());
         config["ops"] = ops.into();
         let program = std::process::Command::new(env!("CARGO_BIN_EXE_proxy"))
             .env_remove("RELAY_LISTEN")
@@ -67,10 +71,10 @@
 }
 
 /// The figures, once `settled` says of them that all that the test did is in.
-async fn figures(s: &Scene, settled: impl Fn(&Value) -> bool) -> Value {
+async fn figures(s: &ProxyFixture, settled: impl Fn(&Value) -> bool) -> Value {
     let read = async {
         loop {
-            let answer = s.proxy.tell("counters").await;
+            let answer = s.proxy.ops_call("counters").await;
             let [page, "--"] = answer.lines().collect::<Vec<_>>()[..] else { panic!("{answer}") };
             let page: Value = serde_json::from_str(page).expect("JSON");
             if settled(&page) {
@@ -78,7 +82,7 @@
             }
         }
     };
-    soon(read).await
+    within_deadline(read).await
 }
 
 /// Served, retried, failed, refused, left and malformed: the figures are what backends and clients saw.
@@ -88,20 +92,32 @@
     for class in ["look", "look", "keep", "once"] {
         assert_eq!(s.proxy.call(class).await.0, 200);
     }
-    s.orders.give([Do::Break, Do::Serve, Do::Answer(500), Do::Decline(503), Do::Serve]);
+    s.control.enqueue([
+        BackendAction::CloseConnection,
+        BackendAction::Serve,
+        BackendAction::Status(500),
+        BackendAction::Decline(503),
+        BackendAction::Serve,
+    ]);
     assert_eq!(s.proxy.call("look").await.0, 200, "in two attempts");
     assert_eq!(s.proxy.call("once").await.0, 502, "in one");
     assert_eq!(s.proxy.call("once").await.0, 200, "in two");
     assert_eq!(
-        s.proxy.caller().await.send(request("look").uri("/other").body(Full::default()).unwrap()).await.0,
+        s.proxy
+            .connect_client()
+            .await
+            .send(request("look").uri("/other").body(Full::default()).unwrap())
+            .await
+            .0,
         404
     );
     let release = Arc::new(Notify::new());
-    s.orders.give([Do::Hold(release.clone()), Do::Hold(release.clone())]);
-    let (mut stays, mut leaves) = (s.proxy.caller().await, s.proxy.caller().await);
+    s.control
+        .enqueue([BackendAction::ServeAfter(release.clone()), BackendAction::ServeAfter(release.clone())]);
+    let (mut stays, mut leaves) = (s.proxy.connect_client().await, s.proxy.connect_client().await);
     let stays = tokio::spawn(async move { stays.call("keep").await });
     let leaves = tokio::spawn(async move { leaves.call("keep").await });
-    s.orders.came(11).await;
+    s.control.wait_for_requests(11).await;
     let page = figures(&s, |_| true).await;
     assert_eq!((&page["in_flight"], &page["attempts"]), (&2.into(), &11.into()));
     assert_eq!((&page["backends_known"], &page["backends_excluded"]), (&2.into(), &0.into()));
@@ -117,11 +133,11 @@
     assert_eq!(stays.await.expect("no panic").0, 200);
     let page = figures(&s, |page| page["in_flight"] == 0).await;
     assert_eq!(of_keep(&page).iter().sum::<u64>(), 3);
-    assert_eq!(page["attempts"].as_u64(), Some(s.orders.seen.borrow().len() as u64));
-    s.discovery.tell(vec![s.a.line("DRAINING"), s.b.line("SERVING")]).await;
+    assert_eq!(page["attempts"].as_u64(), Some(s.control.requests.borrow().len() as u64));
+    s.discovery.publish(vec![s.a.endpoint_entry("DRAINING"), s.b.endpoint_entry("SERVING")]).await;
     let page = figures(&s, |_| true).await;
     assert_eq!((&page["backends_known"], &page["backends_excluded"]), (&2.into(), &1.into()));
-    s.discovery.tell(vec![s.b.line("SERVING")]).await;
+    s.discovery.publish(vec![s.b.endpoint_entry("SERVING")]).await;
     let page = figures(&s, |_| true).await;
     assert_eq!((&page["backends_known"], &page["backends_excluded"]), (&1.into(), &0.into()));
 }
--- a/tests/services/data.rs
+++ b/tests/services/data.rs
@@ -64,12 +64,12 @@
 
     let registry = Registry::start(&data, &[]).await;
     let page = list(&registry, "").await;
-    assert_eq!(names(&page), ["old-a", "old-c"]);
+    assert_eq!(host_names(&page), ["old-a", "old-c"]);
     let whole: Vec<u64> = [104, 105, 119, 120, 125, 130, 132, 133].into_iter().collect();
     let mut answers = Vec::new();
     for after in &whole {
         let page = watch(registry.address, "", *after, 0).await;
-        answers.push((page["whole"] == true, names(&page).len()));
+        answers.push((page["whole"] == true, host_names(&page).len()));
     }
     // From before the horizon and from the gap: whole lists; else what changed after it.
     let deltas =
@@ -77,7 +77,7 @@
     assert_eq!(answers, deltas);
     let (status, leases) = registry.call("GET", "/registry/leases", "").await;
     assert!(status == 200 && leases.contains(lease), "{leases}");
-    assert!(names(&list(&registry, "named").await).is_empty());
+    assert!(host_names(&list(&registry, "named").await).is_empty());
 
     // What the service of no name writes is read by the build before, too.
     let seq = put(&registry, "", "new", "SERVING").await;
@@ -115,10 +115,13 @@
     registry.kill().await;
     let registry = Registry::start(&data, &every).await;
     for (service, host) in [("", "u"), ("a", "a1"), ("b", "u")] {
-        assert_eq!(names(&list(&registry, service).await), [host]);
+        assert_eq!(host_names(&list(&registry, service).await), [host]);
     }
     let delta = watch(registry.address, "a", first, 0).await;
-    assert_eq!((&delta["whole"], names(&delta)), (&false.into(), vec!["a1".to_string(), "a0".to_string()]));
+    assert_eq!(
+        (&delta["whole"], host_names(&delta)),
+        (&false.into(), vec!["a1".to_string(), "a0".to_string()])
+    );
 }
 
 /// What a start says that does not come to listen.
@@ -126,7 +129,7 @@
     let mut command = Command::new(env!("CARGO_BIN_EXE_registry"));
     command.args(["--listen", "127.0.0.1:0", "--data"]).arg(data).stdin(Stdio::null());
     // One that does come to listen is ended with the test.
-    let output = soon(command.kill_on_drop(true).output()).await.expect("the registry runs");
+    let output = within_deadline(command.kill_on_drop(true).output()).await.expect("the registry runs");
     assert!(!output.status.success());
     String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr)
 }
@@ -164,6 +167,6 @@
     bytes.extend([0; 64]);
     std::fs::write(data.join("log"), bytes).expect("written");
     let mut registry = Registry::start(&data, &[]).await;
-    assert_eq!(registry.logged("torn or spoilt tail cut off the log").await["bytes"], 64);
-    assert_eq!(names(&list(&registry, "").await), ["a"]);
+    assert_eq!(registry.wait_for_log("torn or spoilt tail cut off the log").await["bytes"], 64);
+    assert_eq!(host_names(&list(&registry, "").await), ["a"]);
 }
--- a/tests/services/entries.rs
+++ b/tests/services/entries.rs
@@ -29,7 +29,7 @@
 
     async fn answer(mut self) -> Value {
         let mut text = String::new();
-        soon(self.0.read_to_string(&mut text)).await.expect("answered");
+        within_deadline(self.0.read_to_string(&mut text)).await.expect("answered");
         let (head, body) = text.split_once("\r\n\r\n").expect("a head and a body");
         assert!(head.starts_with("HTTP/1.1 200"), "{text}");
         serde_json::from_str(body).expect("json")
@@ -51,13 +51,13 @@
     let change = (&left["seq"], &left["whole"], &left["hosts"][0]["host"], &left["hosts"][0]["health"]);
     assert_eq!(change, (&gone.into(), &false.into(), &"mover".into(), &"DELETED".into()));
     let joined = joins.answer().await;
-    assert_eq!((version(&joined), names(&joined)), (come, vec!["mover".to_string()]));
-    assert!(names(&list(&registry, "from").await).is_empty());
-    assert_eq!(names(&list(&registry, "to").await), ["twin", "mover"]);
+    assert_eq!((version(&joined), host_names(&joined)), (come, vec!["mover".to_string()]));
+    assert!(host_names(&list(&registry, "from").await).is_empty());
+    assert_eq!(host_names(&list(&registry, "to").await), ["twin", "mover"]);
     // The twin goes from one of its services alone.
     put(&registry, "to", "twin", "DELETED").await;
-    assert_eq!(names(&list(&registry, "to").await), ["mover"]);
-    assert_eq!(names(&list(&registry, "").await), ["twin"]);
+    assert_eq!(host_names(&list(&registry, "to").await), ["mover"]);
+    assert_eq!(host_names(&list(&registry, "").await), ["twin"]);
 }
 
 #[tokio::test]
@@ -76,7 +76,7 @@
     for (task, version_of, host) in [(of_a, changed[0], "a1"), (of_none, changed[1], "u1")] {
         let page = task.answer().await;
         assert_eq!(
-            (version(&page), &page["whole"], names(&page)),
+            (version(&page), &page["whole"], host_names(&page)),
             (version_of, &false.into(), vec![host.into()])
         );
     }
@@ -87,13 +87,13 @@
     let registry = Registry::start(&data_dir("services-ttl"), &[]).await;
     put(&registry, "long", "twin", "SERVING").await;
     let held = put_for(&registry, "short", "twin", "SERVING", 300).await;
-    let lapsed = soon(watch(registry.address, "short", held, WAIT_MS)).await;
+    let lapsed = within_deadline(watch(registry.address, "short", held, WAIT_MS)).await;
     assert_eq!(
         (&lapsed["hosts"][0]["host"], &lapsed["hosts"][0]["health"]),
         (&"twin".into(), &"DELETED".into())
     );
-    assert_eq!(names(&list(&registry, "long").await), ["twin"]);
-    assert!(names(&list(&registry, "short").await).is_empty());
+    assert_eq!(host_names(&list(&registry, "long").await), ["twin"]);
+    assert!(host_names(&list(&registry, "short").await).is_empty());
 }
 
 #[tokio::test]
@@ -111,30 +111,37 @@
         put(&registry, "other", host, "DELETED").await;
     }
     let missed = watch(registry.address, "brief", first, 0).await;
-    assert_eq!((&missed["whole"], names(&missed).len()), (&true.into(), 0), "one that missed the deletion");
+    assert_eq!(
+        (&missed["whole"], host_names(&missed).len()),
+        (&true.into(), 0),
+        "one that missed the deletion"
+    );
     let back = put(&registry, "brief", "two", "SERVING").await;
     let page = lives.answer().await;
     assert_eq!(
-        (version(&page), &page["whole"], names(&page)),
+        (version(&page), &page["whole"], host_names(&page)),
         (back, &false.into(), vec!["two".to_string()])
     );
     put(&registry, "brief", "two", "DELETED").await;
     put(&registry, "kept", "k", "SERVING").await;
     registry.kill().await;
     let mut registry = Registry::start(&data, &["--max-tombstones", "0"]).await;
-    assert_eq!(registry.logged("state read from disk").await["services"], 1, "the others are gone");
+    assert_eq!(registry.wait_for_log("state read from disk").await["services"], 1, "the others are gone");
 }
 
 #[tokio::test]
 async fn a_watch_on_a_name_that_nobody_has_hears_of_its_first_entry() {
     let registry = Registry::start(&data_dir("services-first"), &[]).await;
     let empty = list(&registry, "new").await;
-    assert_eq!((&empty["whole"], names(&empty).len()), (&true.into(), 0));
+    assert_eq!((&empty["whole"], host_names(&empty).len()), (&true.into(), 0));
     let told = Waiting::on(&registry, "new", version(&empty)).await;
     put(&registry, "other", "o", "SERVING").await;
     let first = put(&registry, "new", "n", "SERVING").await;
     let page = told.answer().await;
-    assert_eq!((version(&page), &page["whole"], names(&page)), (first, &false.into(), vec!["n".to_string()]));
+    assert_eq!(
+        (version(&page), &page["whole"], host_names(&page)),
+        (first, &false.into(), vec!["n".to_string()])
+    );
 }
 
 fn resident_kib(registry: &Registry) -> u64 {
@@ -158,7 +165,7 @@
         stream.write_all(calls.as_bytes()).await.expect("written");
         let (mut answers, mut text) = (0, Vec::new());
         while answers < AT_ONCE as usize {
-            let read = soon(stream.read_buf(&mut text)).await.expect("answered");
+            let read = within_deadline(stream.read_buf(&mut text)).await.expect("answered");
             assert!(read > 0, "the connection stays open");
             answers = String::from_utf8_lossy(&text).matches("\"hosts\":[]}").count();
         }
@@ -178,7 +185,7 @@
     assert!(after < before + 10_000, "{before} KiB, after 100,000 names more {after} KiB");
     registry.kill().await;
     let mut registry = Registry::start(&data, &[]).await;
-    assert_eq!(registry.logged("state read from disk").await["services"], 1, "asking makes no entry");
+    assert_eq!(registry.wait_for_log("state read from disk").await["services"], 1, "asking makes no entry");
 }
 
 #[tokio::test]
@@ -198,6 +205,6 @@
     }
     let longest = "a".repeat(63);
     put(&registry, &longest, "h", "SERVING").await;
-    assert_eq!(names(&list(&registry, &longest).await), ["h"]);
-    assert!(names(&list(&registry, "").await).is_empty(), "nothing that was refused is stored");
+    assert_eq!(host_names(&list(&registry, &longest).await), ["h"]);
+    assert!(host_names(&list(&registry, "").await).is_empty(), "nothing that was refused is stored");
 }
--- a/tests/services/kills.rs
+++ b/tests/services/kills.rs
@@ -43,7 +43,7 @@
                 tokio::spawn(write_for_ever(registry.address, writer, answered.clone(), enough.clone()))
             })
             .collect();
-        soon(async {
+        within_deadline(async {
             while answered.lock().expect("sound").len() < target + ENOUGH {
                 enough.notified().await;
             }
@@ -56,7 +56,7 @@
         }
         registry.kill().await;
         for writer in writers {
-            soon(writer).await.expect("no panic");
+            within_deadline(writer).await.expect("no panic");
         }
         let registry = Registry::start(&data, &flags).await;
         highest = check(&registry, &answered, &watched, highest).await;
@@ -79,7 +79,7 @@
     }
     for (service, held) in watched {
         let page = list(registry, service).await;
-        let listed = names(&page);
+        let listed = host_names(&page);
         let of_service = answered.iter().filter(|((of, _), _)| of == service);
         let newest = of_service.clone().map(|(_, seq)| *seq).max().unwrap_or(0);
         let lost: Vec<_> = of_service.filter(|((_, host), _)| !listed.contains(host)).collect();
--- a/tests/short_deadlines.rs
+++ b/tests/short_deadlines.rs
@@ -32,13 +32,14 @@
 /// The margin before a caller's deadline is a part of it, where it is short: a backend that answers at once serves.
 #[tokio::test]
 async fn a_short_deadline_is_no_refusal_while_backends_answer_at_once() {
-    let s = scene(short()).await;
+    let s = start_fixture(short()).await;
     for class in ["look", "keep", "once"] {
         for ms in [10, 15, 20, 25, 30, 50, 100] {
             // On a loaded machine some of them are late.
-            let served = async { while s.proxy.caller().await.send(hurried(class, ms)).await.0 != 200 {} };
-            soon(served).await;
-            let seen = s.orders.seen.borrow();
+            let served =
+                async { while s.proxy.connect_client().await.send(hurried(class, ms)).await.0 != 200 {} };
+            within_deadline(served).await;
+            let seen = s.control.requests.borrow();
             let told = seen.last().expect("it came").1.headers["req-deadline-ms"].to_str().expect("text");
             let told: u64 = told.parse().expect("a number");
             assert!(told > 0 && told < ms, "{told} of {ms}");
@@ -49,17 +50,17 @@
 /// A backend that is silent costs the caller's time and no more: the answer is prompt, and the right one.
 #[tokio::test]
 async fn a_short_deadline_is_kept_when_the_backend_is_silent() {
-    let s = scene(short()).await;
+    let s = start_fixture(short()).await;
     for (class, statuses) in [("look", [503, 504]), ("keep", [503, 504]), ("once", [502, 504])] {
         for ms in [0, 1, 5, 20, 30, 100] {
             let held = Arc::new(Notify::new());
-            s.orders.give((0..6).map(|_| Do::Hold(held.clone())));
+            s.control.enqueue((0..6).map(|_| BackendAction::ServeAfter(held.clone())));
             let begun = Instant::now();
-            let (status, _) = s.proxy.caller().await.send(hurried(class, ms)).await;
+            let (status, _) = s.proxy.connect_client().await.send(hurried(class, ms)).await;
             assert!(statuses.contains(&status), "{class} {ms}: {status}");
             // Room for a loaded machine; the program's own constants are longer still.
             assert!(begun.elapsed() < Duration::from_millis(ms + 1000), "{class} {ms}");
-            s.orders.forget();
+            s.control.clear();
         }
     }
 }
@@ -70,9 +71,9 @@
     for (class_waits, told) in [(100.0, 600_000), (1_200_000.0, 1_200_000), (1e300, 86_400_000)] {
         let mut settings = settings();
         settings["classes"][0]["giveUp"] = json!(class_waits);
-        let s = scene(settings).await;
-        assert_eq!(s.proxy.caller().await.send(hurried("look", u64::MAX)).await.0, 200);
-        let seen = s.orders.seen.borrow();
+        let s = start_fixture(settings).await;
+        assert_eq!(s.proxy.connect_client().await.send(hurried("look", u64::MAX)).await.0, 200);
+        let seen = s.control.requests.borrow();
         let left: u64 =
             seen[0].1.headers["req-deadline-ms"].to_str().expect("text").parse().expect("a number");
         assert!(left < told && left + 60_000 > told, "{left} of {told}");
@@ -81,7 +82,7 @@
 
 #[tokio::test]
 async fn a_deadline_that_is_no_number_or_absurd_is_answered_plainly() {
-    let s = scene(short()).await;
+    let s = start_fixture(short()).await;
     for (text, status) in [
         ("", 400),
         ("-1", 400),
@@ -94,6 +95,6 @@
     ] {
         let mut request = hurried("look", 1);
         request.headers_mut().insert("req-deadline-ms", text.parse().expect("a value"));
-        assert_eq!(s.proxy.caller().await.send(request).await.0, status, "{text:?}");
+        assert_eq!(s.proxy.connect_client().await.send(request).await.0, status, "{text:?}");
     }
 }
--- a/tests/standing.rs
+++ b/tests/standing.rs
@@ -9,7 +9,9 @@
 use fault_relay::Relay;
 use http_body_util::{BodyExt, Full};
 use load_balancer::interface::{Entry, Idempotency, ListKind, Outcome};
-use rig::{Caller, Do, Proxy, Scene, request, scene, settings, soon};
+use rig::{
+    BackendAction, ProxyFixture, ProxyProcess, TestClient, request, settings, start_fixture, within_deadline,
+};
 use serde_json::{Value, json};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -22,20 +24,20 @@
 
 /// Sends on a connection if it is still open. A close between requests may cross one, which is then nobody's: it
 /// must not have reached a backend.
-async fn send_on(s: &Scene, caller: &mut Caller, class: &str, waits: Duration) -> Option<u16> {
+async fn send_on(s: &ProxyFixture, caller: &mut TestClient, class: &str, waits: Duration) -> Option<u16> {
     let (mut head, body) = request(class).body(Full::default()).expect("well formed").into_parts();
     let waits = waits.as_millis().to_string();
     head.headers.insert("req-deadline-ms", waits.parse().expect("a value"));
     let id = head.headers["req-id"].clone();
-    soon(caller.0.ready()).await.ok()?;
-    match soon(caller.0.send_request(hyper::Request::from_parts(head, body))).await {
+    within_deadline(caller.0.ready()).await.ok()?;
+    match within_deadline(caller.0.send_request(hyper::Request::from_parts(head, body))).await {
         Ok(answer) => {
             let status = answer.status().as_u16();
-            soon(answer.into_body().collect()).await.expect("a whole answer");
+            within_deadline(answer.into_body().collect()).await.expect("a whole answer");
             Some(status)
         }
         Err(_) => {
-            let seen = s.orders.seen.borrow();
+            let seen = s.control.requests.borrow();
             assert!(seen.iter().all(|(_, head, _)| head.headers["req-id"] != id), "taken and not answered");
             None
         }
@@ -46,17 +48,17 @@
 /// never carried anything. All of it is answered before the kill.
 #[tokio::test]
 async fn after_sigterm_every_open_connection_is_answered_until_the_kill() {
-    let mut s = scene(settings()).await;
+    let mut s = start_fixture(settings()).await;
     let mut callers = Vec::new();
     for _ in 0..2 {
-        let mut used = s.proxy.caller().await;
+        let mut used = s.proxy.connect_client().await;
         assert_eq!(used.call("once").await.0, 200);
         callers.push((used, Duration::ZERO));
     }
     for wait in [0, 300, 900, 1500] {
-        callers.push((s.proxy.caller().await, Duration::from_millis(wait)));
+        callers.push((s.proxy.connect_client().await, Duration::from_millis(wait)));
     }
-    let mut late = s.proxy.caller().await;
+    let mut late = s.proxy.connect_client().await;
     s.proxy.terminate().await;
     let stopped = tokio::time::Instant::now();
     let mut answered = Vec::new();
@@ -69,7 +71,7 @@
         answered.push(last);
     }
     assert_eq!(answered, [Some(200); 6], "each is answered as long as it is open");
-    s.orders.give([Do::Hold(Arc::new(Notify::new()))]);
+    s.control.enqueue([BackendAction::ServeAfter(Arc::new(Notify::new()))]);
     let status = send_on(&s, &mut late, "once", Duration::from_secs(4)).await;
     assert!(status.is_some_and(|status| status >= 500 && status != 503), "{status:?}: it may have run");
     assert!(stopped.elapsed() < Duration::from_millis(3700), "answered only {:?} on", stopped.elapsed());
@@ -82,26 +84,26 @@
     for class in short["classes"].as_array_mut().expect("a list") {
         class["giveUp"] = json!(1000.0);
     }
-    let mut s = scene(short).await;
-    let mut late = s.proxy.caller().await;
+    let mut s = start_fixture(short).await;
+    let mut late = s.proxy.connect_client().await;
     s.proxy.terminate().await;
     let stopped = Instant::now();
     sleep(Duration::from_millis(900)).await;
-    s.orders.give([Do::Hold(Arc::new(Notify::new()))]);
+    s.control.enqueue([BackendAction::ServeAfter(Arc::new(Notify::new()))]);
     let status = send_on(&s, &mut late, "once", Duration::from_secs(1)).await;
     assert!(status.is_some_and(|status| status >= 500 && status != 503), "{status:?}: it may have run");
     assert!(stopped.elapsed() < Duration::from_millis(1700), "answered only {:?} on", stopped.elapsed());
 }
 
 /// A proxy of two backends that asks discovery through a relay, so that discovery can be away.
-async fn behind_a_relay() -> (Scene, Relay) {
-    let mut s = scene(settings()).await;
-    let mut config = s.discovery.config(settings());
+async fn behind_a_relay() -> (ProxyFixture, Relay) {
+    let mut s = start_fixture(settings()).await;
+    let mut config = s.discovery.proxy_config(settings());
     let relay = Relay::start(config["discovery"].as_str().and_then(|a| a.parse().ok()).expect("set")).await;
     config["discovery"] = relay.address.to_string().into();
-    s.proxy = Proxy::start_as(&config, "exec \"$0\"").await;
+    s.proxy = ProxyProcess::start_with_command(&config, "exec \"$0\"").await;
     // The version before may have been asked for by the other one, which is gone.
-    s.discovery.tell(vec![s.a.line("SERVING"), s.b.line("SERVING")]).await;
+    s.discovery.publish(vec![s.a.endpoint_entry("SERVING"), s.b.endpoint_entry("SERVING")]).await;
     (s, relay)
 }
 
@@ -109,19 +111,21 @@
 #[tokio::test]
 async fn what_an_agent_has_after_an_outage_is_known_within_the_grace() {
     let (s, relay) = behind_a_relay().await;
-    let there =
-        s.discovery.config(Value::Null)["discovery"].as_str().and_then(|a| a.parse().ok()).expect("set");
+    let there = s.discovery.proxy_config(Value::Null)["discovery"]
+        .as_str()
+        .and_then(|a| a.parse().ok())
+        .expect("set");
     let nobody = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     relay.lead_to(nobody.local_addr().expect("bound"));
     // The pauses have grown to their longest after 3 s.
     let (begun, mut last, mut longest) = (Instant::now(), Instant::now(), Duration::ZERO);
     while begun.elapsed() < Duration::from_secs(5) {
-        drop(soon(nobody.accept()).await.expect("a call"));
+        drop(within_deadline(nobody.accept()).await.expect("a call"));
         longest = longest.max(last.elapsed());
         last = Instant::now();
     }
     assert!(longest < GRACE, "it was not asked for {longest:?}");
-    let news = s.discovery.tell(vec![s.a.line("DRAINING"), s.b.line("SERVING")]);
+    let news = s.discovery.publish(vec![s.a.endpoint_entry("DRAINING"), s.b.endpoint_entry("SERVING")]);
     let back = Instant::now();
     relay.lead_to(there);
     news.await;
@@ -131,13 +135,13 @@
 /// It counts from a new process's first moment too, whatever old list the process was started with.
 #[tokio::test]
 async fn a_new_process_knows_what_the_agent_has_within_the_grace() {
-    let mut s = scene(settings()).await;
-    s.discovery.tell(vec![s.a.line("DRAINING"), s.b.line("SERVING")]).await;
-    let mut config = s.discovery.config(settings());
-    config["known"] = json!({"seq": 1, "whole": true, "hosts": [s.a.line("SERVING")]});
+    let mut s = start_fixture(settings()).await;
+    s.discovery.publish(vec![s.a.endpoint_entry("DRAINING"), s.b.endpoint_entry("SERVING")]).await;
+    let mut config = s.discovery.proxy_config(settings());
+    config["known"] = json!({"seq": 1, "whole": true, "hosts": [s.a.endpoint_entry("SERVING")]});
     // Even where the first answer is spoilt.
-    s.discovery.cut(1);
-    s.proxy = Proxy::start_as(&config, "exec \"$0\"").await;
+    s.discovery.truncate_next_responses(1);
+    s.proxy = ProxyProcess::start_with_command(&config, "exec \"$0\"").await;
     sleep(GRACE).await;
     assert_eq!(s.proxy.call("look").await, (200, "b".into()));
 }
@@ -148,10 +152,10 @@
     let mut asking = settings();
     asking["discovery"] = "subscribe".into();
     asking["guarantees"]["askWithin"] = json!(10_000.0);
-    let s = scene(asking).await;
-    s.discovery.silence();
+    let s = start_fixture(asking).await;
+    s.discovery.stall_watches();
     let changed = Instant::now();
-    s.discovery.tell(vec![s.a.line("DRAINING"), s.b.line("SERVING")]).await;
+    s.discovery.publish(vec![s.a.endpoint_entry("DRAINING"), s.b.endpoint_entry("SERVING")]).await;
     assert!(changed.elapsed() < Duration::from_secs(6), "told after {:?}", changed.elapsed());
     assert_eq!(s.proxy.call("look").await, (200, "b".into()));
 }
--- a/tests/table_rig/mod.rs
+++ b/tests/table_rig/mod.rs
@@ -2,7 +2,7 @@
 //! what proxies send.
 #![allow(dead_code)]
 
-use crate::waits::soon;
+use crate::waits::within_deadline;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -63,7 +63,7 @@
     /// The first report that is so, of those that have come or are to come.
     pub async fn report(&self, is: impl Fn(&Value) -> bool) -> Value {
         let mut reports = self.kept.reports.subscribe();
-        let all = soon(reports.wait_for(|all| all.iter().any(&is))).await.expect("open");
+        let all = within_deadline(reports.wait_for(|all| all.iter().any(&is))).await.expect("open");
         all.iter().find(|report| is(report)).cloned().expect("it is there")
     }
 
@@ -74,7 +74,10 @@
 
     /// The segments, once there are so many.
     pub async fn segments(&self, n: usize) -> Vec<Bytes> {
-        soon(self.kept.segments.subscribe().wait_for(|all| all.len() >= n)).await.expect("open").clone()
+        within_deadline(self.kept.segments.subscribe().wait_for(|all| all.len() >= n))
+            .await
+            .expect("open")
+            .clone()
     }
 
     /// What was asked for, by path and query.
--- a/tests/unit/proxy/paused/answers.rs
+++ b/tests/unit/proxy/paused/answers.rs
@@ -2,7 +2,10 @@
 
 use super::clock::{flowing, standing};
 use super::program::Program;
-use super::rig::{Act, Discovery, End, Script, connect, line, request, settings, soon};
+use super::rig::{
+    ConnectionEnd, Script, ScriptedResponse, TestDiscovery, connect, endpoint_entry, request, settings,
+    within_deadline,
+};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::Request;
@@ -20,11 +23,13 @@
 /// The program before two backends that follow one script.
 async fn stage() -> (Arc<Script>, Program) {
     let script = Arc::new(Script::default());
-    let hosts =
-        vec![line("a", script.backend().await, "SERVING"), line("b", script.backend().await, "SERVING")];
-    let discovery = Discovery::start(hosts).await;
-    let program = Program::start(&discovery.config(settings())).await;
-    discovery.settled().await;
+    let hosts = vec![
+        endpoint_entry("a", script.start_backend().await, "SERVING"),
+        endpoint_entry("b", script.start_backend().await, "SERVING"),
+    ];
+    let discovery = TestDiscovery::start(hosts).await;
+    let program = Program::start(&discovery.proxy_config(settings())).await;
+    discovery.wait_until_synced().await;
     (script, program)
 }
 
@@ -47,9 +52,9 @@
     standing(async {
         let (script, program) = stage().await;
         let going = Arc::new(Notify::new());
-        let mut act = Act::says(CHUNKED, End::Stay);
-        act.repeats = Some((going.clone(), piece.into()));
-        script.give([act]);
+        let mut act = ScriptedResponse::raw(CHUNKED, ConnectionEnd::KeepOpen);
+        act.repeat = Some((going.clone(), piece.into()));
+        script.enqueue([act]);
         let beat = spawn_local(async move {
             loop {
                 going.notify_one();
@@ -62,14 +67,14 @@
         });
         let mut sender = connect(program.addr).await;
         let asked = Instant::now();
-        let answer = flowing(soon(sender.send_request(once(1000)))).await.expect("it begins");
+        let answer = flowing(within_deadline(sender.send_request(once(1000)))).await.expect("it begins");
         assert_eq!(answer.status(), 200);
-        let rest = flowing(soon(read_through(answer.into_body()))).await;
+        let rest = flowing(within_deadline(read_through(answer.into_body()))).await;
         let took = asked.elapsed();
         assert!(rest.is_err(), "it passed for a whole one");
         assert!(took >= Duration::from_millis(1000), "it could have ended in time: {took:?}");
         assert!(took < Duration::from_millis(1500), "lost half a second after its time: {took:?}");
-        flowing(script.ended(0)).await;
+        flowing(script.wait_for_close(0)).await;
         beat.abort();
         assert_eq!(flowing(program.call("once")).await, (200, "served".into()));
     })
@@ -95,7 +100,7 @@
             format!("{OK}\r\nhalf"),
         ] {
             let held = Arc::new(Notify::new());
-            script.give([Act::says(&text, End::Stay).then(&held, "")]);
+            script.enqueue([ScriptedResponse::raw(&text, ConnectionEnd::KeepOpen).then_write(&held, "")]);
             let mut caller = program.caller().await;
             let asked = Instant::now();
             let (status, _) = flowing(caller.send(once(250))).await;
--- a/tests/unit/proxy/paused/program.rs
+++ b/tests/unit/proxy/paused/program.rs
@@ -1,6 +1,6 @@
 //! The program as its `main` runs it, but for the log and the command line.
 
-use super::rig::{Caller, connect, request};
+use super::rig::{TestClient, connect, request};
 use crate::config::{Args, Origin, load_from};
 use crate::error::Error;
 use clap::Parser;
@@ -45,8 +45,8 @@
         Program { addr, running, _place: place, _alone: alone }
     }
 
-    pub async fn caller(&self) -> Caller {
-        Caller(connect(self.addr).await)
+    pub async fn caller(&self) -> TestClient {
+        TestClient(connect(self.addr).await)
     }
 
     /// One call on a connection of its own: status and body.
--- a/tests/unit/proxy/paused/returns.rs
+++ b/tests/unit/proxy/paused/returns.rs
@@ -3,7 +3,7 @@
 use super::agent_rig::Agent;
 use super::clock::{flowing, standing};
 use super::program::Program;
-use super::rig::{Backend, Orders, refusing, settings, soon};
+use super::rig::{BackendControl, TestBackend, refusing_address, settings, within_deadline};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
@@ -15,9 +15,9 @@
 #[tokio::test(start_paused = true)]
 async fn what_an_agent_has_at_its_return_is_known_within_the_grace_whatever_stays_unanswered() {
     standing(async {
-        let orders = Arc::new(Orders::default());
-        let (a, b) = (Backend::start("a", &orders).await, Backend::start("b", &orders).await);
-        let agent = Agent::start(vec![a.line("SERVING"), b.line("SERVING")]).await;
+        let orders = Arc::new(BackendControl::default());
+        let (a, b) = (TestBackend::start("a", &orders).await, TestBackend::start("b", &orders).await);
+        let agent = Agent::start(vec![a.endpoint_entry("SERVING"), b.endpoint_entry("SERVING")]).await;
         let program = Program::start(&agent.config(settings())).await;
         flowing(agent.held()).await;
         for (drains, serves) in [(&a, &b), (&b, &a)].into_iter().cycle().take(8) {
@@ -27,7 +27,7 @@
             flowing(agent.called(before + 3)).await;
             agent.turn();
             let back = Instant::now();
-            agent.change(vec![drains.line("DRAINING"), serves.line("SERVING")]);
+            agent.change(vec![drains.endpoint_entry("DRAINING"), serves.endpoint_entry("SERVING")]);
             flowing(agent.held()).await;
             assert!(back.elapsed() < GRACE, "known only {:?} after the return", back.elapsed());
             assert_eq!(flowing(program.call("look")).await, (200, serves.name.into()));
@@ -41,16 +41,16 @@
 async fn an_agent_that_refused_for_long_is_asked_within_the_grace_of_its_return() {
     for outage_ms in (3000..4000).step_by(100) {
         standing(async {
-            let orders = Arc::new(Orders::default());
-            let a = Backend::start("a", &orders).await;
-            let (place, there) = refusing();
+            let orders = Arc::new(BackendControl::default());
+            let a = TestBackend::start("a", &orders).await;
+            let (place, there) = refusing_address();
             let mut config = Agent::start(Vec::new()).await.config(settings());
             config["discovery"] = there.to_string().into();
             let program = Program::start(&config).await;
             flowing(sleep(Duration::from_millis(outage_ms))).await;
             let back = Instant::now();
-            let agent = Agent::on(place.listen(64).expect("it listens"), vec![a.line("SERVING")]);
-            flowing(soon(agent.held())).await;
+            let agent = Agent::on(place.listen(64).expect("it listens"), vec![a.endpoint_entry("SERVING")]);
+            flowing(within_deadline(agent.held())).await;
             assert!(back.elapsed() < GRACE, "held only {:?} after the return", back.elapsed());
             assert_eq!(flowing(program.call("look")).await, (200, "a".into()));
         })
--- a/tests/unit/proxy/paused/rig.rs
+++ b/tests/unit/proxy/paused/rig.rs
@@ -3,8 +3,8 @@
 
 #[path = "../../../rig/backend.rs"]
 mod backend;
-#[path = "../../../rig/caller.rs"]
-mod caller;
+#[path = "../../../rig/client.rs"]
+mod client;
 #[path = "../../../rig/discovery.rs"]
 mod discovery;
 #[path = "../../../scripted/script.rs"]
@@ -14,9 +14,9 @@
 #[path = "../../../waits/mod.rs"]
 mod waits;
 
-pub use backend::{Backend, Do, Orders, line};
-pub use caller::{Caller, connect, refusing, request};
-pub use discovery::Discovery;
-pub use script::{Act, End, Script};
+pub use backend::{BackendAction, BackendControl, TestBackend, endpoint_entry};
+pub use client::{TestClient, connect, refusing_address, request};
+pub use discovery::TestDiscovery;
+pub use script::{ConnectionEnd, Script, ScriptedResponse};
 pub use settings::settings;
-pub use waits::soon;
+pub use waits::within_deadline;
--- a/tests/unit/proxy/paused/stops.rs
+++ b/tests/unit/proxy/paused/stops.rs
@@ -2,7 +2,10 @@
 
 use super::clock::{flowing, standing};
 use super::program::Program;
-use super::rig::{Backend, Caller, Discovery, Do, Orders, connect, request, settings, soon};
+use super::rig::{
+    BackendAction, BackendControl, TestBackend, TestClient, TestDiscovery, connect, request, settings,
+    within_deadline,
+};
 use http_body_util::Full;
 use hyper::Request;
 use serde_json::{Value, json};
@@ -18,19 +21,20 @@
 const KILL: Duration = Duration::from_millis(300 + 700);
 
 struct Site {
-    orders: Arc<Orders>,
-    a: Backend,
-    b: Backend,
+    orders: Arc<BackendControl>,
+    a: TestBackend,
+    b: TestBackend,
     program: Program,
 }
 
 /// The program before two backends, where clients wait for `LONGEST` at most.
 async fn site() -> Site {
-    let orders = Arc::new(Orders::default());
-    let (a, b) = (Backend::start("a", &orders).await, Backend::start("b", &orders).await);
-    let discovery = Discovery::start(vec![a.line("SERVING"), b.line("SERVING")]).await;
-    let program = Program::start(&discovery.config(short_waits())).await;
-    discovery.settled().await;
+    let orders = Arc::new(BackendControl::default());
+    let (a, b) = (TestBackend::start("a", &orders).await, TestBackend::start("b", &orders).await);
+    let discovery =
+        TestDiscovery::start(vec![a.endpoint_entry("SERVING"), b.endpoint_entry("SERVING")]).await;
+    let program = Program::start(&discovery.proxy_config(short_waits())).await;
+    discovery.wait_until_synced().await;
     Site { orders, a, b, program }
 }
 
@@ -56,19 +60,19 @@
         let s = site().await;
         // Both backends have a connection at rest, on which a request would go out at once.
         let holds = [(); 2].map(|()| Arc::new(Notify::new()));
-        s.orders.give(holds.each_ref().map(|release| Do::Hold(release.clone())));
+        s.orders.enqueue(holds.each_ref().map(|release| BackendAction::ServeAfter(release.clone())));
         let addr = s.program.addr;
-        let both =
-            [(); 2].map(|()| spawn_local(async move { Caller(connect(addr).await).call("look").await.0 }));
-        flowing(s.orders.came(2)).await;
+        let both = [(); 2]
+            .map(|()| spawn_local(async move { TestClient(connect(addr).await).call("look").await.0 }));
+        flowing(s.orders.wait_for_requests(2)).await;
         holds.iter().for_each(|release| release.notify_one());
         for call in both {
             assert_eq!(flowing(call).await.expect("no panic"), 200);
         }
-        s.orders.give([Do::Hold(Arc::new(Notify::new()))]);
+        s.orders.enqueue([BackendAction::ServeAfter(Arc::new(Notify::new()))]);
         let (mut busy, mut late) = (s.program.caller().await, Vec::new());
         let held = spawn_local(async move { busy.call("once").await.0 });
-        flowing(s.orders.came(3)).await;
+        flowing(s.orders.wait_for_requests(3)).await;
         for _ in 0..3 {
             late.push(s.program.caller().await);
         }
@@ -82,10 +86,10 @@
         }
         assert!(stopped.elapsed() < KILL, "answered only {:?} on", stopped.elapsed());
         drop(late);
-        assert!(flowing(soon(s.program.ended())).await);
-        flowing(s.a.all_closed()).await;
-        flowing(s.b.all_closed()).await;
-        assert_eq!(s.orders.seen.borrow().len(), 3, "something was sent that nobody waits for");
+        assert!(flowing(within_deadline(s.program.ended())).await);
+        flowing(s.a.wait_all_closed()).await;
+        flowing(s.b.wait_all_closed()).await;
+        assert_eq!(s.orders.requests.borrow().len(), 3, "something was sent that nobody waits for");
         assert_eq!(answers, [503; 3]);
     })
     .await;
@@ -98,7 +102,7 @@
         let s = site().await;
         let silent = Arc::new(Notify::new());
         for _ in 0..200 {
-            s.orders.give([Do::Serve, Do::Hold(silent.clone())]);
+            s.orders.enqueue([BackendAction::Serve, BackendAction::ServeAfter(silent.clone())]);
         }
         let mut callers = Vec::new();
         for _ in 0..8 {
@@ -106,7 +110,7 @@
         }
         s.program.terminate().await;
         let stopped = Instant::now();
-        let send = |(n, mut caller): (usize, Caller)| {
+        let send = |(n, mut caller): (usize, TestClient)| {
             let class = ["look", "keep", "once"][n % 3];
             spawn_local(async move {
                 // Spread over the whole time: the first ones at once, the last ones when no time is left.
@@ -121,7 +125,7 @@
             assert!([200, 502, 503, 504].contains(&status), "{class}: {status}");
             assert!(at < KILL, "{class}: answered only {at:?} on");
         }
-        assert!(flowing(soon(s.program.ended())).await);
+        assert!(flowing(within_deadline(s.program.ended())).await);
         assert!(stopped.elapsed() < Duration::from_secs(5), "nobody is waited for who is owed nothing");
     })
     .await;
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -6,7 +6,10 @@
 mod waits;
 
 use agent_rig::{Agent, Say};
-use rig::{Backend, Orders, Proxy, connecting, settings, silent, soon};
+use rig::{
+    BackendControl, ProxyProcess, TestBackend, settings, unresponsive_listener, wait_for_connecting,
+    within_deadline,
+};
 use rstest::rstest;
 use serde_json::{Value, json};
 use std::sync::Arc;
@@ -19,18 +22,18 @@
 const GRACE: Duration = Duration::from_millis(550);
 
 struct Watched {
-    a: Backend,
-    b: Backend,
+    a: TestBackend,
+    b: TestBackend,
     agent: Agent,
-    proxy: Proxy,
+    proxy: ProxyProcess,
 }
 
 /// A proxy that holds the list of two backends and watches it, where lists are pushed or asked for.
 async fn watched(form: &str) -> Watched {
-    let orders = Arc::new(Orders::default());
-    let (a, b) = (Backend::start("a", &orders).await, Backend::start("b", &orders).await);
-    let agent = Agent::start(vec![a.line("SERVING"), b.line("SERVING")]).await;
-    let proxy = Proxy::start_as(&agent.config(formed(form)), "exec \"$0\"").await;
+    let orders = Arc::new(BackendControl::default());
+    let (a, b) = (TestBackend::start("a", &orders).await, TestBackend::start("b", &orders).await);
+    let agent = Agent::start(vec![a.endpoint_entry("SERVING"), b.endpoint_entry("SERVING")]).await;
+    let proxy = ProxyProcess::start_with_command(&agent.config(formed(form)), "exec \"$0\"").await;
     agent.held().await;
     Watched { a, b, agent, proxy }
 }
@@ -67,7 +70,7 @@
     s.agent.called(before + 1).await;
     assert_eq!(s.agent.left(), orders - 1);
     let had = Instant::now();
-    s.agent.change(vec![s.a.line("DRAINING"), s.b.line("SERVING")]);
+    s.agent.change(vec![s.a.endpoint_entry("DRAINING"), s.b.endpoint_entry("SERVING")]);
     s.agent.held().await;
     assert!(had.elapsed() < TOLD, "held only after {:?}", had.elapsed());
     assert_eq!(s.agent.left(), 0, "three calls have failed");
@@ -85,7 +88,7 @@
         s.agent.turn();
         s.agent.called(s.agent.calls().len() + 3).await;
         s.agent.turn();
-        s.agent.change(vec![drains.line("DRAINING"), serves.line("SERVING")]);
+        s.agent.change(vec![drains.endpoint_entry("DRAINING"), serves.endpoint_entry("SERVING")]);
         s.agent.held().await;
         assert_eq!(s.proxy.call("look").await, (200, serves.name.into()));
     }
@@ -94,15 +97,15 @@
 /// Connects that are under way as the agent comes back may come up a second later.
 #[tokio::test]
 async fn a_connect_that_hangs_keeps_nobody_from_an_agent_that_is_back() {
-    let orders = Arc::new(Orders::default());
-    let a = Backend::start("a", &orders).await;
-    let (listener, queue) = silent().await;
+    let orders = Arc::new(BackendControl::default());
+    let a = TestBackend::start("a", &orders).await;
+    let (listener, queue) = unresponsive_listener().await;
     let nowhere = listener.local_addr().expect("bound");
     let mut config = Agent::start(Vec::new()).await.config(settings());
     config["discovery"] = nowhere.to_string().into();
-    let proxy = Proxy::start_as(&config, "exec \"$0\"").await;
-    connecting(nowhere).await;
-    let (back, agent) = (Instant::now(), Agent::on(listener, vec![a.line("SERVING")]));
+    let proxy = ProxyProcess::start_with_command(&config, "exec \"$0\"").await;
+    wait_for_connecting(nowhere).await;
+    let (back, agent) = (Instant::now(), Agent::on(listener, vec![a.endpoint_entry("SERVING")]));
     drop(queue);
     agent.held().await;
     assert!(back.elapsed() < GRACE, "held only {:?} after the return", back.elapsed());
@@ -118,7 +121,7 @@
     assert!(s.agent.open() <= 3, "{} connections are open", s.agent.open());
     s.agent.turn();
     // Only the connection of the watch is kept; a proxy that kept them all would not get there.
-    soon(async {
+    within_deadline(async {
         while s.agent.open() > 1 {
             s.agent.called(s.agent.calls().len() + 1).await;
         }
@@ -131,9 +134,9 @@
 #[tokio::test]
 async fn an_agent_that_never_waits_is_not_run_over() {
     let s = watched("automatic").await;
-    let page = json!({"seq": 1, "whole": true, "hosts": [s.a.line("SERVING")]}).to_string();
+    let page = json!({"seq": 1, "whole": true, "hosts": [s.a.endpoint_entry("SERVING")]}).to_string();
     s.agent.give(vec![Say::Text(page); 20]);
-    soon(async {
+    within_deadline(async {
         while s.agent.left() > 0 {
             s.agent.called(s.agent.calls().len() + 1).await;
         }
@@ -154,9 +157,9 @@
     s.agent.give([Say::Late(late.clone())]);
     s.agent.called(before + 1).await;
     // The call behind it is answered, and so is the one that follows upon that.
-    s.agent.change(vec![s.a.line("DRAINING"), s.b.line("SERVING")]);
+    s.agent.change(vec![s.a.endpoint_entry("DRAINING"), s.b.endpoint_entry("SERVING")]);
     s.agent.held().await;
-    s.agent.change(vec![s.a.line("SERVING"), s.b.line("DRAINING")]);
+    s.agent.change(vec![s.a.endpoint_entry("SERVING"), s.b.endpoint_entry("DRAINING")]);
     s.agent.held().await;
     late.notify_one();
     for _ in 0..4 {
--- a/tests/whole_lists.rs
+++ b/tests/whole_lists.rs
@@ -6,7 +6,7 @@
 mod waits;
 
 use agent_rig::{Agent, Say};
-use rig::{Backend, Do, Orders, Proxy, settings};
+use rig::{BackendAction, BackendControl, ProxyProcess, TestBackend, settings};
 use rstest::rstest;
 use serde_json::{Value, json};
 use std::sync::Arc;
@@ -17,22 +17,22 @@
 const TOLD: Duration = Duration::from_secs(6);
 
 struct Watched {
-    orders: Arc<Orders>,
-    a: Backend,
-    b: Backend,
+    orders: Arc<BackendControl>,
+    a: TestBackend,
+    b: TestBackend,
     agent: Agent,
-    proxy: Proxy,
+    proxy: ProxyProcess,
 }
 
 /// A proxy that holds the list of two backends, where lists are pushed or asked for.
 async fn watched(form: &str) -> Watched {
-    let orders = Arc::new(Orders::default());
-    let (a, b) = (Backend::start("a", &orders).await, Backend::start("b", &orders).await);
-    let agent = Agent::start(vec![a.line("SERVING"), b.line("SERVING")]).await;
+    let orders = Arc::new(BackendControl::default());
+    let (a, b) = (TestBackend::start("a", &orders).await, TestBackend::start("b", &orders).await);
+    let agent = Agent::start(vec![a.endpoint_entry("SERVING"), b.endpoint_entry("SERVING")]).await;
     let mut settings = settings();
     settings["discovery"] = form.into();
     settings["guarantees"]["askWithin"] = json!(10_000.0);
-    let proxy = Proxy::start_as(&agent.config(settings), "exec \"$0\"").await;
+    let proxy = ProxyProcess::start_with_command(&agent.config(settings), "exec \"$0\"").await;
     agent.held().await;
     Watched { orders, a, b, agent, proxy }
 }
@@ -53,13 +53,13 @@
 ) {
     let s = watched(form).await;
     let release = Arc::new(Notify::new());
-    s.orders.give([Do::Hold(release.clone())]);
-    let mut caller = s.proxy.caller().await;
+    s.orders.enqueue([BackendAction::ServeAfter(release.clone())]);
+    let mut caller = s.proxy.connect_client().await;
     let held = tokio::spawn(async move { caller.call("once").await });
-    s.orders.came(1).await;
-    let busy = s.orders.seen.borrow()[0].0;
+    s.orders.wait_for_requests(1).await;
+    let busy = s.orders.requests.borrow()[0].0;
     let other = if busy == "a" { &s.b } else { &s.a };
-    s.agent.change(vec![other.line("SERVING")]);
+    s.agent.change(vec![other.endpoint_entry("SERVING")]);
     s.agent.held().await;
     s.only(other.name).await;
     release.notify_one();
@@ -81,10 +81,10 @@
         while s.agent.left() > 0 {
             s.agent.called(s.agent.calls().len() + 1).await;
         }
-        s.agent.change(vec![stays.line("SERVING")]);
+        s.agent.change(vec![stays.endpoint_entry("SERVING")]);
         s.agent.held().await;
         s.only(stays.name).await;
-        s.agent.change(vec![gone.line("SERVING"), stays.line("SERVING")]);
+        s.agent.change(vec![gone.endpoint_entry("SERVING"), stays.endpoint_entry("SERVING")]);
         s.agent.held().await;
     }
 }
@@ -97,16 +97,16 @@
 ) {
     let s = watched(form).await;
     for round in 0..12 {
-        let mut line = s.a.line("SERVING");
+        let mut line = s.a.endpoint_entry("SERVING");
         line["born_ms"] = json!(f64::from(round));
-        s.agent.change(vec![line, s.b.line("SERVING")]);
+        s.agent.change(vec![line, s.b.endpoint_entry("SERVING")]);
         s.agent.held().await;
     }
     let before = s.agent.calls().len();
     s.agent.give([Say::Nothing]);
     s.agent.called(before + 1).await;
     let silent = Instant::now();
-    s.agent.change(vec![s.b.line("SERVING")]);
+    s.agent.change(vec![s.b.endpoint_entry("SERVING")]);
     s.agent.held().await;
     assert!(silent.elapsed() < TOLD, "held only after {:?}", silent.elapsed());
     assert_eq!(s.agent.left(), 0, "a watch fell silent");
@@ -127,21 +127,24 @@
 ) {
     let mut s = watched(form).await;
     if before {
-        s.agent.change(vec![s.a.line("DRAINING"), s.b.line("SERVING")]);
+        s.agent.change(vec![s.a.endpoint_entry("DRAINING"), s.b.endpoint_entry("SERVING")]);
     }
-    let whole =
-        if before { vec![s.b.line("SERVING")] } else { vec![s.a.line("SERVING"), s.b.line("SERVING")] };
+    let whole = if before {
+        vec![s.b.endpoint_entry("SERVING")]
+    } else {
+        vec![s.a.endpoint_entry("SERVING"), s.b.endpoint_entry("SERVING")]
+    };
     let new = Agent::start(whole).await;
     new.give(first);
     s.proxy.reload(&new.config(Value::Null).to_string(), "reloaded").await;
     if !before {
         new.held().await;
-        new.change(vec![s.a.line("DRAINING"), s.b.line("SERVING")]);
+        new.change(vec![s.a.endpoint_entry("DRAINING"), s.b.endpoint_entry("SERVING")]);
     }
     new.held().await;
     assert_eq!(new.left(), 0);
     s.only("b").await;
-    new.change(vec![s.a.line("SERVING")]);
+    new.change(vec![s.a.endpoint_entry("SERVING")]);
     new.held().await;
     s.only("a").await;
 }
@@ -155,7 +158,7 @@
 #[tokio::test]
 async fn a_list_in_pieces_and_in_any_form_is_heard(#[case] header: &str, #[case] indented: bool) {
     let s = watched("automatic").await;
-    let page = json!({"seq": 7, "whole": true, "hosts": [s.b.line("SERVING")]});
+    let page = json!({"seq": 7, "whole": true, "hosts": [s.b.endpoint_entry("SERVING")]});
     let text = if indented { serde_json::to_string_pretty(&page) } else { serde_json::to_string(&page) };
     let text = text.expect("JSON");
     let answer = match header {
