--- a/tests/fleet/backends.rs
+++ b/tests/fleet/backends.rs
@@ -1,4 +1,4 @@
-//! Backends served in this process: each takes any number of calls at once, works for an exponential time, and counts.
+//! In-process backends that serve any number of concurrent calls, each for an exponential time, and count them.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -18,34 +18,34 @@
 use tokio::net::TcpListener;
 use tokio::task::AbortHandle;
 
-/// Peaks are counted in spans of this.
+/// Interval in which calls are counted for peaks.
 pub const COUNT_INTERVAL: Duration = Duration::from_millis(100);
-/// Mean time of a call's work.
+/// Mean service time of a call.
 pub const MEAN_WORK: Duration = Duration::from_millis(50);
 
-/// What a backend does and what it has seen.
+/// Behaviour and counters of a backend.
 pub struct BackendState {
-    /// Mean work of a call, in microseconds.
+    /// Mean service time of a call, in microseconds.
     pub work_us: AtomicU64,
-    /// Answers 500 at once.
+    /// Whether calls get a 500 immediately.
     pub respond_500: AtomicBool,
-    /// Calls that came.
+    /// Calls received.
     pub calls: AtomicUsize,
-    /// Connections open now.
+    /// Open connections.
     pub open_connections: AtomicUsize,
-    /// Connections that ever came.
+    /// Connections accepted so far.
     pub connections_total: AtomicUsize,
-    /// Calls in work now.
+    /// Calls in progress.
     pub in_progress: AtomicUsize,
-    /// Of the calls, those that came by each group of clients.
+    /// Calls received from each group of clients.
     pub by_group: [AtomicUsize; 2],
-    /// Calls in each current_interval since the first backend of all started.
+    /// Calls in each interval since the first backend started.
     pub interval_calls: Mutex<Vec<usize>>,
-    /// Of the times of work.
+    /// Draws the service times.
     rng: Mutex<StdRng>,
 }
 
-/// A backend; it ends, connections and all, when this is dropped.
+/// A backend that closes its listener and connections on drop.
 pub struct Backend {
     pub name: String,
     pub addr: SocketAddr,
@@ -60,6 +60,7 @@
     }
 }
 
+/// Decrements a counter on drop.
 struct DecrementOnDrop<'a>(&'a AtomicUsize);
 
 impl Drop for DecrementOnDrop<'_> {
@@ -69,10 +70,10 @@
 }
 
 impl Backend {
-    /// Starts one that was born then, in Unix time; 0 is long ago.
+    /// Starts a backend whose entry has this start time, in Unix milliseconds; 0 means long ago.
     pub async fn start(name: String, seed: u64, born_ms: u64) -> Backend {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let addr = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds a loopback port");
+        let addr = listener.local_addr().expect("listener has a local address");
         let state = Arc::new(BackendState {
             work_us: AtomicU64::new(MEAN_WORK.as_micros() as u64),
             respond_500: AtomicBool::new(false),
@@ -86,7 +87,7 @@
         });
         let shared = state.clone();
         let serving = tokio::spawn(async move {
-            // They end with the listener.
+            // Connections end with the listener.
             let mut connections = tokio::task::JoinSet::new();
             loop {
                 let Ok((stream, _)) = listener.accept().await else { continue };
@@ -97,7 +98,7 @@
                     state.open_connections.fetch_add(1, SeqCst);
                     state.connections_total.fetch_add(1, SeqCst);
                     let _open = DecrementOnDrop(&state.open_connections);
-                    let service = service_fn(|request| answer(&state, request));
+                    let service = service_fn(|request| respond(&state, request));
                     let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
                 });
             }
@@ -106,31 +107,31 @@
         Backend { name, addr, state, born_ms, serving }
     }
 
-    /// It as the list has it.
+    /// Returns the list entry of this backend.
     pub fn endpoint_entry(&self, health: &str) -> Value {
         json!({"host": self.name, "dial": self.addr.to_string(), "site": "local", "class": "m", "block": 1,
             "health": health, "share": 1.0, "born_ms": self.born_ms})
     }
 
-    /// Calls that came.
+    /// Returns the number of calls received.
     pub fn calls(&self) -> usize {
         self.state.calls.load(SeqCst)
     }
 
-    /// Forgets what it has counted.
+    /// Resets the call counters.
     pub fn reset_counts(&self) {
         self.state.calls.store(0, SeqCst);
         self.state.by_group.iter().for_each(|calls| calls.store(0, SeqCst));
-        self.state.interval_calls.lock().expect("sound").clear();
+        self.state.interval_calls.lock().expect("lock is not poisoned").clear();
     }
 
-    /// Its work takes so many times as long as usual.
+    /// Sets the mean service time to a multiple of [`MEAN_WORK`].
     pub fn slow_down(&self, times: u64) {
         self.state.work_us.store(MEAN_WORK.as_micros() as u64 * times, SeqCst);
     }
 }
 
-async fn answer(
+async fn respond(
     state: &BackendState,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
@@ -142,12 +143,13 @@
     state.in_progress.fetch_add(1, SeqCst);
     let _in_progress = DecrementOnDrop(&state.in_progress);
     {
-        let (mut spans, now) = (state.interval_calls.lock().expect("sound"), current_interval());
-        let length = spans.len().max(now + 1);
-        spans.resize(length, 0);
-        spans[now] += 1;
+        let (mut intervals, now) =
+            (state.interval_calls.lock().expect("lock is not poisoned"), current_interval());
+        let length = intervals.len().max(now + 1);
+        intervals.resize(length, 0);
+        intervals[now] += 1;
     }
-    let times: f64 = state.rng.lock().expect("sound").sample(Exp1);
+    let times: f64 = state.rng.lock().expect("lock is not poisoned").sample(Exp1);
     let mut reply = Response::new(Full::new(Bytes::from_static(b"done")));
     if state.respond_500.load(SeqCst) {
         *reply.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
@@ -157,13 +159,13 @@
     Ok(reply)
 }
 
-/// The number of the present current_interval.
+/// Returns the number of the current interval.
 pub fn current_interval() -> usize {
     static START: std::sync::OnceLock<Instant> = std::sync::OnceLock::new();
     (START.get_or_init(Instant::now).elapsed().as_millis() / COUNT_INTERVAL.as_millis()) as usize
 }
 
-/// So many backends of one zone, warm.
+/// Starts backends in one zone that are past their warm-up.
 pub async fn start(count: usize, seed: u64) -> Vec<Backend> {
     let mut backends = Vec::new();
     for n in 0..count {
--- a/tests/fleet/clients.rs
+++ b/tests/fleet/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that send by a Poisson process, each to one proxy, and count what comes back.
+//! Clients that send requests as a Poisson process, each to one proxy, and count the responses.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
@@ -16,27 +16,28 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// A client waits so long.
+/// Request deadline of a client.
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Answers of this much of the beginning are told apart.
+/// Initial period whose refused requests are also counted separately.
 pub const EARLY_PERIOD: Duration = Duration::from_secs(1);
 
-/// What clients got.
+/// Counts of the responses to clients.
 #[derive(Default)]
 pub struct Tally {
-    /// The group that these clients are of; backends count each for itself.
+    /// Group of these clients; backends count calls by group.
     pub group: usize,
     pub sent: AtomicUsize,
     pub served: AtomicUsize,
-    /// Answered 429 or 503.
+    /// Requests answered with 429 or 503.
     pub refused: AtomicUsize,
-    /// Of them, sent in the beginning.
+    /// Refused requests that were sent in the first [`EARLY_PERIOD`].
     pub refused_early: AtomicUsize,
-    /// Any other answer, or none.
+    /// Requests with another status or no response.
     pub failed: AtomicUsize,
 }
 
 impl Tally {
+    /// Returns the share of sent requests that a counter holds.
     pub fn share(&self, of: &AtomicUsize) -> f64 {
         of.load(SeqCst) as f64 / self.sent.load(SeqCst).max(1) as f64
     }
@@ -44,8 +45,8 @@
 
 type Idle = Arc<Mutex<Vec<SendRequest<Empty<Bytes>>>>>;
 
-/// Sends `rates[n]` requests a second to `proxies[n]` for a time, all arrivals drawn from the seed; returns once all
-/// are answered or given up.
+/// Sends `rates[n]` requests per second to `proxies[n]` for `duration`, with arrivals drawn from the seed; returns once
+/// all have a response or timed out.
 pub async fn run(
     proxies: Vec<SocketAddr>,
     rates: Vec<f64>,
@@ -89,11 +90,12 @@
     clients.join_all().await;
 }
 
-/// The answer's status, if one comes; the connection is kept for the next.
+/// Sends one request and returns the response status, if any; keeps the connection for reuse.
 async fn call(proxy: SocketAddr, group: usize, idle: &Idle) -> Option<u16> {
     static NEXT: AtomicU64 = AtomicU64::new(1);
-    let kept = std::iter::from_fn(|| idle.lock().expect("sound").pop()).find(|s| !s.is_closed());
-    let mut sender = match kept {
+    let reusable =
+        std::iter::from_fn(|| idle.lock().expect("lock is not poisoned").pop()).find(|s| !s.is_closed());
+    let mut sender = match reusable {
         Some(sender) => sender,
         None => {
             let stream = TcpStream::connect(proxy).await.ok()?;
@@ -108,11 +110,11 @@
         .header("req-id", format!("{:016x}", NEXT.fetch_add(1, SeqCst)))
         .header("req-deadline-ms", CLIENT_TIMEOUT.as_millis().to_string())
         .body(Empty::new())
-        .expect("well formed");
+        .expect("valid request");
     sender.ready().await.ok()?;
-    let answer = sender.send_request(request).await.ok()?;
-    let status = answer.status().as_u16();
-    answer.into_body().collect().await.ok()?;
-    idle.lock().expect("sound").push(sender);
+    let response = sender.send_request(request).await.ok()?;
+    let status = response.status().as_u16();
+    response.into_body().collect().await.ok()?;
+    idle.lock().expect("lock is not poisoned").push(sender);
     Some(status)
 }
--- a/tests/fleet/fixture.rs
+++ b/tests/fleet/fixture.rs
@@ -1,4 +1,4 @@
-//! A fleet with its registry, its backends and the load on it.
+//! A fleet of proxies with a registry, backends and clients.
 
 use crate::fault_relay::Links;
 use crate::fleet::backends::{self, Backend};
@@ -18,24 +18,24 @@
 
 pub const PROXIES: usize = 200;
 pub const BACKENDS: usize = 60;
-/// How the proxies are each other's members: quick, yet not so quick that a busy machine shows as deaths.
+/// Membership timing of the proxies: short, yet long enough that a busy machine causes no false failure detections.
 pub const MEMBERSHIP_TIMING: [(&str, u64); 4] =
     [("probe_ms", 1000), ("rtt_ms", 500), ("suspicion_ms", 4000), ("forget_ms", 600_000)];
 
-/// One fleet at a time: a machine bears no more.
+/// Serializes the tests: a machine has capacity for one fleet.
 static FLEET_LOCK: Mutex<()> = Mutex::const_new(());
 
-/// All that a test plays with.
+/// A running fleet with its registry and backends.
 pub struct FleetFixture {
     pub registry: Registry,
     pub backends: Vec<Backend>,
     pub fleet: Vec<Process>,
-    /// The links between members, where they go by a relay.
+    /// Relayed links between members, if relayed.
     pub links: Option<Links>,
-    _turn: MutexGuard<'static, ()>,
+    _fleet_lock: MutexGuard<'static, ()>,
 }
 
-/// How members reach each other, if they are members.
+/// How proxies reach each other as members.
 #[derive(Clone, Copy, PartialEq)]
 pub enum MembershipMode {
     None,
@@ -43,7 +43,7 @@
     Relayed,
 }
 
-/// Clients that send until this is dropped.
+/// Clients that send until drop.
 pub struct RunningLoad {
     pub tally: Arc<Tally>,
     task: JoinHandle<()>,
@@ -56,13 +56,13 @@
 }
 
 impl FleetFixture {
-    /// Starts one; `change` may change each proxy's configuration; it is told the registry's address.
+    /// Starts a fleet; `change` edits the configuration of each proxy, given its number and the registry address.
     pub async fn start(
         name: &str,
         members: MembershipMode,
         change: impl Fn(usize, &mut Value, SocketAddr),
     ) -> FleetFixture {
-        let turn = FLEET_LOCK.lock().await;
+        let guard = FLEET_LOCK.lock().await;
         let program = Path::new(env!("CARGO_BIN_EXE_proxy"));
         let registry = Registry::start(&data_dir(name), &[]).await;
         let backends = backends::start(BACKENDS, 1).await;
@@ -87,17 +87,17 @@
                 }
                 let fleet = processes::start(program, configs).await;
                 for (n, process) in fleet.iter().enumerate() {
-                    between.place(n, process.membership_addr.expect("a member"));
+                    between.place(n, process.membership_addr.expect("the proxy is a member"));
                 }
                 processes::wait_for_members(&fleet, PROXIES).await;
                 links = Some(between);
                 fleet
             }
         };
-        FleetFixture { registry, backends, fleet, links, _turn: turn }
+        FleetFixture { registry, backends, fleet, links, _fleet_lock: guard }
     }
 
-    /// So many requests a second in all for these proxies, from now on.
+    /// Starts clients that send `per_s` requests per second in total to these proxies.
     pub fn start_load(&self, of: Range<usize>, per_s: f64, group: usize) -> RunningLoad {
         let tally = Arc::new(Tally { group, ..Tally::default() });
         let addresses: Vec<SocketAddr> = self.fleet[of.clone()].iter().map(|p| p.addr).collect();
@@ -107,7 +107,7 @@
         RunningLoad { tally, task }
     }
 
-    /// Counts anew from now on.
+    /// Resets the counts of all backends.
     pub fn reset_counts(&self) {
         self.backends.iter().for_each(Backend::reset_counts);
     }
@@ -116,13 +116,13 @@
         spread(&statistics::call_counts(&self.backends))
     }
 
-    /// Backends that this group of clients has not reached.
+    /// Counts the backends that this group of clients has not reached.
     pub fn unreached_backends(&self, group: usize) -> usize {
         let calls = |b: &&Backend| b.state.by_group[group].load(std::sync::atomic::Ordering::SeqCst) == 0;
         self.backends.iter().filter(calls).count()
     }
 
-    /// Fails if a backend was run over, if by few calls at once.
+    /// Panics if calls herded on one backend in any interval, even with few calls.
     pub fn assert_no_herd(&self, when: &str) {
         let (herd, peak) =
             (statistics::worst_herd_ratio(&self.backends), statistics::peak_interval_calls(&self.backends));
@@ -131,7 +131,7 @@
     }
 }
 
-/// What a counter says.
+/// Reads a counter.
 pub fn count(counter: &AtomicUsize) -> usize {
     counter.load(std::sync::atomic::Ordering::SeqCst)
 }
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Hundreds of started proxies between Poisson clients and backends that are served here: what the fleet does to the
-//! backends, told in statistics.
+//! Hundreds of proxy processes between Poisson clients and in-process backends, with statistics of how the fleet spreads
+//! load over the backends.
 #![allow(dead_code)]
 
 pub mod backends;
--- a/tests/fleet/processes.rs
+++ b/tests/fleet/processes.rs
@@ -1,4 +1,4 @@
-//! The proxies as processes.
+//! Proxy processes of a fleet.
 
 use serde_json::{Value, json};
 use std::collections::HashMap;
@@ -13,24 +13,25 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, timeout};
 
-/// A fleet starts and finds itself within this on a busy machine.
+/// Time in which a fleet starts and its members find each other, even on a busy machine.
 const START_TIMEOUT: Duration = Duration::from_secs(90);
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A started proxy; it is killed when this is dropped.
+/// A started proxy, killed on drop.
 pub struct Process {
     pub addr: SocketAddr,
-    /// Where operators call, if anywhere.
+    /// Operations address, if configured.
     pub ops: Option<SocketAddr>,
-    /// Where other members' datagrams come in, if it is a member.
+    /// Membership address, if the proxy is a member.
     pub membership_addr: Option<SocketAddr>,
     child: Child,
 }
 
-/// The configuration of proxy `n` of `of`: that of `proxy --local`, at a place of its own.
+/// Returns the configuration of proxy `n` of `of`: that of `proxy --local` with its own port, seed and slot.
 pub fn config(n: usize, of: usize, discovery: SocketAddr, seed: u64) -> Value {
-    let local: toml::Table = include_str!("../../deploy/local.toml").parse().expect("it is tried elsewhere");
-    let mut config = serde_json::to_value(local).expect("it has no dates");
+    let local: toml::Table =
+        include_str!("../../deploy/local.toml").parse().expect("deploy/local.toml is valid TOML");
+    let mut config = serde_json::to_value(local).expect("the configuration converts to JSON");
     config["listen"] = "127.0.0.1:0".into();
     config["discovery"] = discovery.to_string().into();
     config["seed"] =
@@ -40,7 +41,7 @@
     config
 }
 
-/// Makes it member `n`, which asks those at `seeds` first.
+/// Configures the proxy as member `n` with these seeds.
 pub fn with_membership(config: &mut Value, n: usize, seeds: &[SocketAddr], timing: &Value) {
     config["ops"] = "127.0.0.1:0".into();
     let seeds: Vec<String> = seeds.iter().map(ToString::to_string).collect();
@@ -49,44 +50,44 @@
 }
 
 impl Process {
-    /// Starts it and waits poll_until it listens.
+    /// Starts a proxy and waits until it listens.
     pub async fn start(program: &Path, config: &Value) -> Process {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let name = format!("fleet-{}-{}.json", std::process::id(), NEXT.fetch_add(1, SeqCst));
         let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-        std::fs::write(&path, config.to_string()).expect("the folder takes a file");
+        std::fs::write(&path, config.to_string()).expect("the test directory is writable");
         let mut command = Command::new(program);
-        for told in ["RELAY_LISTEN", "RELAY_OPS", "RELAY_DISCOVERY"] {
-            command.env_remove(told);
+        for variable in ["RELAY_LISTEN", "RELAY_OPS", "RELAY_DISCOVERY"] {
+            command.env_remove(variable);
         }
         command.env("RELAY_CONFIG", &path).stdin(Stdio::null()).stdout(Stdio::null());
         let child = command.stderr(Stdio::piped()).kill_on_drop(true).spawn();
         let mut child = child.unwrap_or_else(|e| panic!("{}: {e}", program.display()));
-        let mut log = BufReader::new(child.stderr.take().expect("piped")).lines();
-        let mut said: HashMap<&str, SocketAddr> = HashMap::new();
+        let mut log = BufReader::new(child.stderr.take().expect("stderr is piped")).lines();
+        let mut logged: HashMap<&str, SocketAddr> = HashMap::new();
         let listens = async {
-            while !said.contains_key("listening") {
+            while !logged.contains_key("listening") {
                 let line = log.next_line().await.ok().flatten();
                 let line = line.unwrap_or_else(|| panic!("{} ended", program.display()));
                 for what in ["membership", "ops", "listening"] {
                     if let Some((_, tail)) = line.split_once(what)
-                        && !said.contains_key(what)
+                        && !logged.contains_key(what)
                         && let Some(at) = address(tail)
                     {
-                        said.insert(what, at);
+                        logged.insert(what, at);
                     }
                 }
             }
         };
-        timeout(START_TIMEOUT, listens).await.expect("it listens in time");
+        timeout(START_TIMEOUT, listens).await.expect("the program listens within the start timeout");
         let _ = std::fs::remove_file(&path);
-        // What it logs further on is taken from it, or it would wait.
+        // Drains the log: a full pipe would block the process.
         tokio::spawn(async move { while let Ok(Some(_)) = log.next_line().await {} });
-        let said = |what| said.get(what).copied();
+        let logged = |what| logged.get(what).copied();
         Process {
-            addr: said("listening").expect("said"),
-            ops: said("ops"),
-            membership_addr: said("membership"),
+            addr: logged("listening").expect("the program logged its address"),
+            ops: logged("ops"),
+            membership_addr: logged("membership"),
             child,
         }
     }
@@ -96,12 +97,12 @@
         let _ = self.child.start_kill();
     }
 
-    /// Its process id; none once it has ended.
+    /// Returns the process id, or none once the process has ended.
     pub fn pid(&self) -> Option<u32> {
         self.child.id()
     }
 
-    /// Most memory that it has held, in KB.
+    /// Returns the peak resident memory, in KB.
     pub fn peak_kb(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id().unwrap_or(0)));
         let status = status.unwrap_or_default();
@@ -109,7 +110,7 @@
         line.and_then(|l| l.split_whitespace().next()?.parse().ok()).unwrap_or(0)
     }
 
-    /// How many members it sees alive, itself included.
+    /// Returns the number of members that this proxy sees alive, itself included.
     pub async fn alive_members(&self) -> Option<u64> {
         let mut stream = TcpStream::connect(self.ops?).await.ok()?;
         stream.write_all(b"members\n").await.ok()?;
@@ -120,20 +121,20 @@
 
     async fn ready(&self) -> bool {
         let Ok(mut stream) = TcpStream::connect(self.addr).await else { return false };
-        let asked = b"GET /health/ready HTTP/1.1\r\nhost: p\r\nconnection: close\r\n\r\n";
+        let request = b"GET /health/ready HTTP/1.1\r\nhost: p\r\nconnection: close\r\n\r\n";
         let mut answer = String::new();
-        stream.write_all(asked).await.is_ok()
+        stream.write_all(request).await.is_ok()
             && stream.read_to_string(&mut answer).await.is_ok()
             && answer.starts_with("HTTP/1.1 200")
     }
 }
 
-/// The first address in a line of log.
+/// Finds the first address in a log line.
 fn address(text: &str) -> Option<SocketAddr> {
     text.split(|c: char| !c.is_ascii_digit() && c != '.' && c != ':').find_map(|part| part.parse().ok())
 }
 
-/// Starts one for each configuration, all at once, and waits poll_until all are ready.
+/// Starts one proxy for each configuration concurrently and waits until all are ready.
 pub async fn start(program: &Path, configs: Vec<Value>) -> Vec<Process> {
     let mut starting = JoinSet::new();
     for (n, config) in configs.into_iter().enumerate() {
@@ -150,10 +151,10 @@
     started.into_iter().map(|(_, process)| process).collect()
 }
 
-/// The same as members of each other, once all see all.
+/// Starts proxies as members of one group and waits until each sees the others.
 pub async fn start_members(program: &Path, mut configs: Vec<Value>, timing: &Value) -> Vec<Process> {
     let (mut processes, size) = (Vec::<Process>::new(), configs.len());
-    // The first alone, then two that ask it, then the rest, who ask these three.
+    // Starts one proxy, then two that use it as seed, then the rest with these three as seeds.
     for count in [1, 2, size] {
         let seeds: Vec<SocketAddr> = processes.iter().filter_map(|p| p.membership_addr).collect();
         let from = processes.len();
@@ -167,7 +168,7 @@
     processes
 }
 
-/// Waits poll_until each sees so many alive, give or take a tenth: the news of the last few takes long among many.
+/// Waits until each proxy sees `alive` members alive within 10 %: in a large group the last changes take long to spread.
 pub async fn wait_for_members(processes: &[Process], alive: usize) {
     let near = |seen: u64| (seen as f64 - alive as f64).abs() <= 0.1 * alive as f64;
     for process in processes {
@@ -175,10 +176,10 @@
     }
 }
 
-async fn poll_until<F: Future<Output = bool>>(is: impl Fn() -> F) {
+async fn poll_until<F: Future<Output = bool>>(condition: impl Fn() -> F) {
     let started_at = Instant::now();
-    while !is().await {
-        assert!(started_at.elapsed() < START_TIMEOUT, "the fleet stands within {START_TIMEOUT:?}");
+    while !condition().await {
+        assert!(started_at.elapsed() < START_TIMEOUT, "the fleet is not ready within {START_TIMEOUT:?}");
         sleep(POLL_INTERVAL).await;
     }
 }
--- a/tests/fleet_rig/mod.rs
+++ b/tests/fleet_rig/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of real processes: a registry that hosts the route table, proxies that are each other's members and reach it
-//! by a relay each, backends that work and may fail, and clients that keep calling.
+//! A fleet of real processes: a registry with the route table, proxies that form a member group and reach the registry
+//! through one relay each, backends that may fail, and clients under continuous load.
 #![allow(dead_code)]
 
 mod load;
@@ -18,21 +18,21 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// What a fleet is made of.
+/// Configuration of a fleet.
 pub struct FleetPlan<'a> {
     pub name: &'a str,
     pub proxies: usize,
     pub backends: usize,
-    /// Keys of the registry's `[routes]`.
+    /// Keys of the `[routes]` section of the registry.
     pub keys: &'a str,
-    /// Mean work of a request, how many a backend works on at once, and how many it takes at all.
+    /// Mean service time of a request, concurrent requests that a backend serves, and requests that it accepts in total.
     pub work: Duration,
     pub slots: usize,
     pub capacity: usize,
-    /// Class of the requests, and how many a second each proxy gets.
+    /// Class of the requests, and requests per second to each proxy.
     pub class: &'static str,
     pub rate: f64,
-    /// The proxies' `[record]`, or null.
+    /// `[record]` section of the proxies, or null.
     pub record: Value,
 }
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// The fleet.
+/// A running fleet.
 pub struct ProcessFleet {
     pub registry: Registry,
     pub relays: Vec<Relay>,
@@ -67,11 +67,11 @@
     load: JoinSet<()>,
 }
 
-/// How often a proxy reports, ms.
+/// Interval between reports of a proxy, ms.
 pub const REPORT_MS: u64 = 500;
 
 impl ProcessFleet {
-    /// All is up, every proxy reports, and the clients call.
+    /// Starts all processes and clients and waits until every proxy reports.
     pub async fn start(plan: FleetPlan<'_>) -> ProcessFleet {
         let keys = format!("report_ms = {REPORT_MS}\n{}", plan.keys);
         let registry = host(&data_dir(plan.name), &keys).await;
@@ -105,9 +105,9 @@
         fleet
     }
 
-    /// Proposes weights made from the newest table; status and answer.
+    /// Proposes weights based on the newest table and returns status and response.
     pub async fn try_propose(&self, weights: &[(&str, f64)], why: Option<&str>) -> (u16, Value) {
-        let newest = self.wait_for_routes(|_| true).await["newest"].as_u64().expect("a revision");
+        let newest = self.wait_for_routes(|_| true).await["newest"].as_u64().expect("revision is a number");
         let mut body = proposal(newest, weights, self.token);
         if let Some(why) = why {
             body["override"] = why.into();
@@ -115,37 +115,37 @@
         propose(&self.registry, &body).await
     }
 
-    /// Proposes weights that are taken; their revision.
+    /// Proposes weights that must be accepted and returns their revision.
     pub async fn propose(&self, weights: &[(&str, f64)]) -> u64 {
         let (status, answer) = self.try_propose(weights, None).await;
         assert_eq!(status, 200, "{answer}");
-        answer["revision"].as_u64().expect("a revision")
+        answer["revision"].as_u64().expect("revision is a number")
     }
 
-    /// Waits until a proposal is over; what is kept of it.
+    /// Waits until a proposal is complete and returns its record.
     pub async fn wait_for_outcome(&self, revision: u64) -> Value {
         let of = |page: &Value| {
-            let past = page["past"].as_array().expect("past");
+            let past = page["past"].as_array().expect("page has an array `past`");
             past.iter().find(|p| p["revision"] == revision).cloned()
         };
         let page = self.wait_for_routes(|page| of(page).is_some()).await;
-        of(&page).expect("there")
+        of(&page).expect("proposal is in `past`")
     }
 
-    pub async fn wait_for_routes(&self, so: impl Fn(&Value) -> bool) -> Value {
-        until(&self.registry, "/registry/routes", so).await
+    pub async fn wait_for_routes(&self, condition: impl Fn(&Value) -> bool) -> Value {
+        until(&self.registry, "/registry/routes", condition).await
     }
 
-    pub async fn wait_for_drift(&self, so: impl Fn(&Value) -> bool) -> Value {
-        until(&self.registry, "/registry/drift", so).await
+    pub async fn wait_for_drift(&self, condition: impl Fn(&Value) -> bool) -> Value {
+        until(&self.registry, "/registry/drift", condition).await
     }
 
-    /// What is raised now: kind, and the proxy if it is of one.
+    /// Returns the current findings: kind, and the proxy if the finding concerns one.
     pub async fn findings(&self) -> Vec<(String, Option<String>)> {
         finding_kinds(&page(&self.registry, "/registry/drift").await)
     }
 
-    /// All that was raised since the last time, by the log.
+    /// Returns the findings that the registry logged since the last call.
     pub fn drain_raised(&mut self) -> Vec<(String, Option<String>)> {
         let mut all = Vec::new();
         while let Ok(line) = self.registry.logs.try_recv() {
@@ -156,18 +156,18 @@
         all
     }
 
-    /// A proxy's page of the route table.
+    /// Returns the `routes` page of a proxy.
     pub async fn route_page(&self, n: usize) -> Value {
         let page = self.proxies[n].ops_call("routes").await;
-        serde_json::from_str(page.lines().next().expect("a page")).expect("JSON")
+        serde_json::from_str(page.lines().next().expect("page is not empty")).expect("page is JSON")
     }
 
-    /// Waits until a proxy's page says so.
-    pub async fn wait_for_route_page(&self, n: usize, so: impl Fn(&Value) -> bool) -> Value {
+    /// Waits until the `routes` page of a proxy meets a condition.
+    pub async fn wait_for_route_page(&self, n: usize, condition: impl Fn(&Value) -> bool) -> Value {
         within_deadline(async {
             loop {
                 let held = self.route_page(n).await;
-                if so(&held) {
+                if condition(&held) {
                     return held;
                 }
                 sleep(Duration::from_millis(20)).await;
@@ -176,17 +176,21 @@
         .await
     }
 
-    /// Cuts a proxy off the registry, not off its peers.
+    /// Disconnects a proxy from the registry but not from its peers.
     pub async fn disconnect_registry(&self, n: usize) {
-        let nobody = TcpListener::bind("127.0.0.1:0").await.expect("a port").local_addr().expect("bound");
-        self.relays[n].lead_to(nobody);
+        let closed_port = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("binds a loopback port")
+            .local_addr()
+            .expect("listener has a local address");
+        self.relays[n].lead_to(closed_port);
     }
 
     pub fn reconnect_registry(&self, n: usize) {
         self.relays[n].lead_to(self.registry.address);
     }
 
-    /// Each backend's share of the calls that come until there are so many more.
+    /// Returns the share of each backend in the next `calls` calls.
     pub async fn measure_shares(&self, calls: u64) -> Vec<f64> {
         let now = || -> Vec<u64> { self.backends.iter().map(|w| w.calls.load(Relaxed)).collect() };
         let before = now();
@@ -196,19 +200,19 @@
             }
         })
         .await;
-        let came: Vec<u64> = now().iter().zip(before).map(|(now, before)| now - before).collect();
-        came.iter().map(|n| *n as f64 / came.iter().sum::<u64>() as f64).collect()
+        let received: Vec<u64> = now().iter().zip(before).map(|(now, before)| now - before).collect();
+        received.iter().map(|n| *n as f64 / received.iter().sum::<u64>() as f64).collect()
     }
 }
 
 const CLIENTS_PER_PROXY: usize = 8;
 
 pub fn finding_kinds(drift: &Value) -> Vec<(String, Option<String>)> {
-    drift["findings"].as_array().expect("findings").iter().map(kind_and_proxy).collect()
+    drift["findings"].as_array().expect("page has an array `findings`").iter().map(kind_and_proxy).collect()
 }
 
 fn kind_and_proxy(of: &Value) -> (String, Option<String>) {
-    (of["kind"].as_str().expect("a kind").into(), of["proxy"].as_str().map(Into::into))
+    (of["kind"].as_str().expect("finding has a kind").into(), of["proxy"].as_str().map(Into::into))
 }
 
 fn config(plan: &FleetPlan, n: usize, relay: &Relay, links: &Links) -> Value {
--- a/tests/rig/backend.rs
+++ b/tests/rig/backend.rs
@@ -1,4 +1,4 @@
-//! A backend that does with each request what a test has ordered.
+//! HTTP backends that handle each request as a test has queued.
 
 use super::within_deadline;
 use bytes::Bytes;
@@ -20,59 +20,64 @@
 use tokio::net::TcpListener;
 use tokio::sync::{Notify, watch};
 
-/// What a backend does with a request.
+/// How a backend handles one request.
 pub enum BackendAction {
     Serve,
     Status(u16),
     Decline(u16),
-    /// Ends the connection with no answer.
+    /// Closes the connection without a response.
     CloseConnection,
-    /// Ends it in the middle of an answer.
+    /// Closes the connection in the middle of a response body.
     BreakBody,
-    /// Serves once it is told to.
+    /// Serves once the notification arrives.
     ServeAfter(Arc<Notify>),
-    /// Serves an answer of so many bytes, its length told or not.
+    /// Serves a body of `len` bytes, with a content length or in chunks.
     LongBody {
         len: usize,
         known_length: bool,
     },
-    /// The same, but ends the connection after half of them.
+    /// Sends half of a body of `len` bytes, then closes the connection.
     TruncatedLongBody {
         len: usize,
         known_length: bool,
     },
-    /// Ends the connection after a part of the request's body.
+    /// Closes the connection after reading this many bytes of the request body.
     CloseAfterReading(usize),
 }
 
-/// What backends have in common: the control for the next requests, wherever they go, and what came.
+/// State shared by backends: queued actions, taken by whichever backend gets the next request, and the
+/// requests received.
 #[derive(Default)]
 pub struct BackendControl {
     next: Mutex<VecDeque<BackendAction>>,
     pub requests: watch::Sender<Vec<(&'static str, Parts, Bytes)>>,
-    /// Requests of which a part was heard.
+    /// Requests closed after a part of the body was read.
     pub partial_requests: watch::Sender<usize>,
-    /// Requests that ended before their backend answered.
+    /// Requests whose connection closed before their backend responded.
     pub abandoned: watch::Sender<usize>,
 }
 
 impl BackendControl {
     pub fn enqueue(&self, actions: impl IntoIterator<Item = BackendAction>) {
-        self.next.lock().expect("sound").extend(actions);
+        self.next.lock().expect("lock is not poisoned").extend(actions);
     }
-    /// Takes back what has not been carried out.
+    /// Drops the queued actions.
     pub fn clear(&self) {
-        self.next.lock().expect("sound").clear();
+        self.next.lock().expect("lock is not poisoned").clear();
     }
-    /// Waits until so many requests have come.
+    /// Waits until at least `n` requests have arrived.
     pub async fn wait_for_requests(&self, n: usize) {
-        within_deadline(self.requests.subscribe().wait_for(|s| s.len() >= n)).await.expect("open");
+        within_deadline(self.requests.subscribe().wait_for(|s| s.len() >= n))
+            .await
+            .expect("watch sender is alive");
     }
+    /// Counts the requests that the named backend received.
     pub fn request_count(&self, name: &str) -> usize {
         self.requests.borrow().iter().filter(|(n, ..)| *n == name).count()
     }
 }
 
+/// Counts a request as abandoned if it is dropped before the response.
 struct AbandonGuard<'a> {
     control: &'a BackendControl,
     armed: bool,
@@ -86,12 +91,13 @@
     }
 }
 
+/// A body that fails after its first frame.
 #[derive(Default)]
 pub(super) struct BrokenBody {
     sent_first: bool,
 }
 
-/// A long answer's body, in pieces; it may break off.
+/// A response body sent in frames of up to 10,000 bytes; fails at `fail_at` remaining bytes unless that is 0.
 pub struct LongBody {
     pub remaining: usize,
     pub fail_at: usize,
@@ -106,7 +112,7 @@
         _: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         if self.fail_at > 0 && self.remaining <= self.fail_at {
-            return Poll::Ready(Some(Err(io::Error::other("cut"))));
+            return Poll::Ready(Some(Err(io::Error::other("body truncated by the test"))));
         }
         let n = self.remaining.min(10_000);
         self.remaining -= n;
@@ -125,7 +131,11 @@
         _: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         let first = !std::mem::replace(&mut self.sent_first, true);
-        Poll::Ready(Some(if first { Ok(Frame::data("half".into())) } else { Err(io::Error::other("cut")) }))
+        Poll::Ready(Some(if first {
+            Ok(Frame::data("half".into()))
+        } else {
+            Err(io::Error::other("body truncated by the test"))
+        }))
     }
 }
 
@@ -134,29 +144,29 @@
     pub addr: SocketAddr,
     connections: Arc<AtomicUsize>,
     close: watch::Sender<()>,
-    /// Connections that are open now.
+    /// Number of open connections.
     pub open_connections: Arc<watch::Sender<usize>>,
 }
 
 impl TestBackend {
     pub async fn start(name: &'static str, control: &Arc<BackendControl>) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds a loopback port");
         TestBackend::on(name, listener, control)
     }
 
     pub fn on(name: &'static str, listener: TcpListener, control: &Arc<BackendControl>) -> Self {
-        let addr = listener.local_addr().expect("bound");
+        let addr = listener.local_addr().expect("listener has a local address");
         let (connections, control) = (Arc::<AtomicUsize>::default(), control.clone());
         let (close, open) = (watch::Sender::new(()), Arc::new(watch::Sender::new(0)));
         let (count, closing, alive) = (connections.clone(), close.clone(), open.clone());
         tokio::spawn(async move {
             loop {
-                let (stream, _) = listener.accept().await.expect("a connection");
+                let (stream, _) = listener.accept().await.expect("accepts a connection");
                 count.fetch_add(1, SeqCst);
                 alive.send_modify(|n| *n += 1);
                 let (control, alive, mut closing) = (control.clone(), alive.clone(), closing.subscribe());
                 tokio::spawn(async move {
-                    let service = service_fn(|request| answer(name, &control, request));
+                    let service = service_fn(|request| respond(name, &control, request));
                     let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
                     let mut connection = pin!(connection);
                     let ended = tokio::select! {
@@ -174,19 +184,21 @@
         TestBackend { name, addr, connections, close, open_connections: open }
     }
 
-    /// How many connections it has ever had.
+    /// Counts all connections accepted so far.
     pub fn connections_total(&self) -> usize {
         self.connections.load(SeqCst)
     }
 
-    /// Closes all its connections, which are idle, and waits until they are.
+    /// Closes all connections, which must be idle, and waits for their end.
     pub async fn close_idle(&self) {
         self.close.send_replace(());
         self.wait_all_closed().await;
     }
 
     pub async fn wait_all_closed(&self) {
-        within_deadline(self.open_connections.subscribe().wait_for(|n| *n == 0)).await.expect("open");
+        within_deadline(self.open_connections.subscribe().wait_for(|n| *n == 0))
+            .await
+            .expect("watch sender is alive");
     }
 
     pub fn endpoint_entry(&self, health: &str) -> Value {
@@ -201,41 +213,42 @@
 
 type Reply = Response<BoxBody<Bytes, io::Error>>;
 
-async fn answer(
+async fn respond(
     name: &'static str,
     control: &BackendControl,
     request: Request<Incoming>,
 ) -> io::Result<Reply> {
     let (head, mut body) = request.into_parts();
-    let hears = match control.next.lock().expect("sound").front() {
+    let read_limit = match control.next.lock().expect("lock is not poisoned").front() {
         Some(BackendAction::CloseAfterReading(n)) => Some(*n),
         _ => None,
     };
-    if let Some(most) = hears {
-        control.next.lock().expect("sound").pop_front();
-        let mut heard = 0;
-        while heard < most {
+    if let Some(limit) = read_limit {
+        control.next.lock().expect("lock is not poisoned").pop_front();
+        let mut read = 0;
+        while read < limit {
             let Some(Ok(frame)) = body.frame().await else { break };
-            heard += frame.data_ref().map_or(0, Bytes::len);
+            read += frame.data_ref().map_or(0, Bytes::len);
         }
         control.partial_requests.send_modify(|n| *n += 1);
-        return Err(io::Error::other("told to"));
+        return Err(io::Error::other("connection closed by the test"));
     }
     let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
-    let order = control.next.lock().expect("sound").pop_front().unwrap_or(BackendAction::Serve);
+    let action =
+        control.next.lock().expect("lock is not poisoned").pop_front().unwrap_or(BackendAction::Serve);
     control.requests.send_modify(|s| s.push((name, head, body)));
     let text = |text: &'static str| Full::new(Bytes::from(text)).map_err(|e| match e {}).boxed();
     let mut reply = Response::new(text(name));
-    match order {
+    match action {
         BackendAction::Serve => {}
         BackendAction::Status(status) => {
-            *reply.status_mut() = StatusCode::from_u16(status).expect("a status")
+            *reply.status_mut() = StatusCode::from_u16(status).expect("valid status code")
         }
         BackendAction::Decline(status) => {
-            *reply.status_mut() = StatusCode::from_u16(status).expect("a status");
-            reply.headers_mut().insert("srv-declined", "1".parse().expect("a value"));
+            *reply.status_mut() = StatusCode::from_u16(status).expect("valid status code");
+            reply.headers_mut().insert("srv-declined", "1".parse().expect("valid header value"));
         }
-        BackendAction::CloseConnection => return Err(io::Error::other("told to")),
+        BackendAction::CloseConnection => return Err(io::Error::other("connection closed by the test")),
         BackendAction::BreakBody => reply = Response::new(BrokenBody::default().boxed()),
         BackendAction::LongBody { len, known_length } => {
             reply = Response::new(LongBody { remaining: len, fail_at: 0, known_length }.boxed())
@@ -243,7 +256,7 @@
         BackendAction::TruncatedLongBody { len, known_length } => {
             reply = Response::new(LongBody { remaining: len, fail_at: len / 2, known_length }.boxed())
         }
-        BackendAction::CloseAfterReading(_) => unreachable!("taken above"),
+        BackendAction::CloseAfterReading(_) => unreachable!("handled before the body was read"),
         BackendAction::ServeAfter(release) => {
             let mut guard = AbandonGuard { control, armed: true };
             release.notified().await;
--- a/tests/rig/client.rs
+++ b/tests/rig/client.rs
@@ -1,4 +1,4 @@
-//! Callers, and connections that go nowhere.
+//! HTTP clients, and addresses that do not accept connections.
 
 use super::within_deadline;
 use bytes::Bytes;
@@ -13,13 +13,13 @@
 use tokio::time::timeout;
 
 pub async fn connect(addr: SocketAddr) -> SendRequest<Full<Bytes>> {
-    let stream = within_deadline(TcpStream::connect(addr)).await.expect("it listens");
-    let (sender, connection) = handshake(TokioIo::new(stream)).await.expect("nothing is sent yet");
+    let stream = within_deadline(TcpStream::connect(addr)).await.expect("listener accepts connections");
+    let (sender, connection) = handshake(TokioIo::new(stream)).await.expect("client handshake succeeds");
     tokio::spawn(connection);
     sender
 }
 
-/// A request as callers send them.
+/// Builds a request of a class with the headers that the proxy requires and a unique `req-id`.
 pub fn request(class: &str) -> hyper::http::request::Builder {
     static NEXT: AtomicUsize = AtomicUsize::new(1);
     let request = Request::builder()
@@ -32,40 +32,47 @@
     if class == "keep" { request.header("idempotency-key", "5c0f6e1a") } else { request }
 }
 
+/// A client on one connection.
 pub struct TestClient(pub SendRequest<Full<Bytes>>);
 
 impl TestClient {
+    /// Sends a request and returns the status and body of the response.
     pub async fn send(&mut self, request: Request<Full<Bytes>>) -> (u16, String) {
-        within_deadline(self.0.ready()).await.expect("open");
-        let answer = within_deadline(self.0.send_request(request)).await.expect("an answer");
-        let status = answer.status().as_u16();
-        let body = within_deadline(answer.into_body().collect()).await.expect("a whole one").to_bytes();
-        (status, String::from_utf8(body.to_vec()).expect("text"))
+        within_deadline(self.0.ready()).await.expect("connection stays open");
+        let response = within_deadline(self.0.send_request(request)).await.expect("response head arrives");
+        let status = response.status().as_u16();
+        let body = within_deadline(response.into_body().collect())
+            .await
+            .expect("response body is complete")
+            .to_bytes();
+        (status, String::from_utf8(body.to_vec()).expect("response body is UTF-8"))
     }
 
+    /// Sends an empty request of a class.
     pub async fn call(&mut self, class: &str) -> (u16, String) {
-        self.send(request(class).body(Full::default()).expect("well formed")).await
+        self.send(request(class).body(Full::default()).expect("valid request")).await
     }
 }
 
-/// A listener whose queue is full: connects to it neither succeed nor fail. The streams hold the queue.
+/// Returns a listener with a full accept queue, so that connects neither succeed nor fail, and the streams that
+/// fill the queue.
 pub async fn unresponsive_listener() -> (TcpListener, Vec<TcpStream>) {
-    let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
-    socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
-    let listener = socket.listen(1).expect("it listens");
-    let addr = listener.local_addr().expect("bound");
-    let mut held = Vec::new();
+    let socket = tokio::net::TcpSocket::new_v4().expect("creates a socket");
+    socket.bind("127.0.0.1:0".parse().expect("valid address")).expect("binds a loopback port");
+    let listener = socket.listen(1).expect("starts listening");
+    let addr = listener.local_addr().expect("listener has a local address");
+    let mut streams = Vec::new();
     while let Ok(stream) = timeout(Duration::from_millis(300), TcpStream::connect(addr)).await {
-        held.push(stream.expect("a connection"));
-        assert!(held.len() < 100, "the queue fills up");
+        streams.push(stream.expect("connects to the listener"));
+        assert!(streams.len() < 100, "the accept queue fills up");
     }
-    (listener, held)
+    (listener, streams)
 }
 
-/// A place that refuses connects until it listens; nobody else gets its port meanwhile.
+/// Returns a bound socket that refuses connects until it listens; binding keeps the port from others.
 pub fn refusing_address() -> (tokio::net::TcpSocket, SocketAddr) {
-    let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
-    socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
-    let addr = socket.local_addr().expect("bound");
+    let socket = tokio::net::TcpSocket::new_v4().expect("creates a socket");
+    socket.bind("127.0.0.1:0".parse().expect("valid address")).expect("binds a loopback port");
+    let addr = socket.local_addr().expect("listener has a local address");
     (socket, addr)
 }
--- a/tests/rig/mod.rs
+++ b/tests/rig/mod.rs
@@ -1,5 +1,5 @@
-//! The started program between callers, backends and discovery on loopback sockets. Nothing here decides or
-//! models anything: a backend does what a test tells it to, and tests wait for what they see.
+//! The proxy as a started process between clients, backends and discovery on loopback sockets. Backends only follow
+//! the actions that a test queues, and tests wait for observable events.
 #![allow(dead_code, unused_imports)]
 
 mod backend;
@@ -20,7 +20,7 @@
 use serde_json::Value;
 use std::sync::Arc;
 
-/// Two backends with common control, discovery that lists them, and a proxy that holds the list.
+/// Two backends with a shared control, discovery that lists them, and a proxy that has the list.
 pub struct ProxyFixture {
     pub control: Arc<BackendControl>,
     pub a: TestBackend,
@@ -33,7 +33,7 @@
     start_fixture_with(settings, |_| {}).await
 }
 
-/// A start_fixture whose proxy has a configuration of its own.
+/// Starts a fixture after `change` has edited the configuration of the proxy.
 pub async fn start_fixture_with(settings: Value, change: impl FnOnce(&mut Value)) -> ProxyFixture {
     let control = Arc::new(BackendControl::default());
     let (a, b) = (TestBackend::start("a", &control).await, TestBackend::start("b", &control).await);
--- a/tests/rig/settings.rs
+++ b/tests/rig/settings.rs
@@ -1,4 +1,4 @@
-//! Settings as the platform writes them.
+//! Settings in the form that the platform writes.
 
 use serde_json::{Value, json};
 
@@ -18,7 +18,7 @@
     })
 }
 
-/// Settings with `cap` set to `value`.
+/// Returns the settings with `cap` set to `value`.
 pub fn with_cap(cap: &str, value: Value) -> Value {
     let mut s = settings();
     s["caps"][cap] = value;
--- a/tests/rig/sockets.rs
+++ b/tests/rig/sockets.rs
@@ -1,4 +1,4 @@
-//! The system's table of connections: what has arrived where, whoever has read it or not.
+//! The TCP socket table of the kernel: connection states and unread data, independent of what processes have read.
 
 use super::within_deadline;
 use std::fs::File;
@@ -16,12 +16,12 @@
     local: u16,
     remote: u16,
     state: String,
-    /// Bytes that nobody has read; of a listener, connections that nobody has taken.
+    /// Receive queue: unread bytes, or pending connections if the socket listens.
     unread: usize,
 }
 
 fn sockets() -> Vec<Socket> {
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("a table");
+    let table = std::fs::read_to_string("/proc/net/tcp").expect("the TCP table is readable");
     table.lines().skip(1).filter_map(socket).collect()
 }
 
@@ -32,14 +32,14 @@
     Some(Socket { local: port(1)?, remote: port(2)?, state: fields.get(3)?.to_string(), unread })
 }
 
-/// Waits until somebody's connect to an address is under way.
+/// Waits until a connect to an address is in progress.
 pub async fn wait_for_connecting(addr: SocketAddr) {
     while !sockets().iter().any(|s| s.remote == addr.port() && s.state == SYN_SENT) {
         sleep(Duration::from_millis(10)).await;
     }
 }
 
-/// Waits until one end of a connection has heard that the other end has closed or reset it.
+/// Waits until the end at `at` has received the close or reset of its peer at `from`.
 pub async fn wait_for_peer_close(at: SocketAddr, from: SocketAddr) {
     let open = |s: &Socket| s.local == at.port() && s.remote == from.port() && s.state == ESTABLISHED;
     within_deadline(async {
@@ -50,11 +50,11 @@
     .await;
 }
 
-/// How many wait in a listener's queue.
+/// Returns the number of connections in the accept queue of a listener.
 pub fn accept_queue_len(listener: SocketAddr) -> usize {
-    // Listeners stand before all connections, of which there may be thousands.
-    let table = BufReader::new(File::open("/proc/net/tcp").expect("a table"));
+    // The table lists listeners before connections, of which there may be thousands.
+    let table = BufReader::new(File::open("/proc/net/tcp").expect("the TCP table is readable"));
     let listens = |s: &Socket| s.local == listener.port() && s.state == LISTENING;
     let rows = table.lines().map_while(Result::ok);
-    rows.filter_map(|row| socket(&row)).find(listens).expect("it listens").unread
+    rows.filter_map(|row| socket(&row)).find(listens).expect("the listener is in the table").unread
 }
--- a/tests/scripted/mod.rs
+++ b/tests/scripted/mod.rs
@@ -1,4 +1,4 @@
-//! Backends scripted to the byte: what they hear of a request, what they say to it and when, and how they end its
+//! Backends scripted byte by byte: how much of a request they read, what they write and when, and how they end the
 //! connection.
 #![allow(dead_code, unused_imports)]
 
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A proxy before two backends, `a` and `b`, that follow one script.
+/// A proxy in front of two backends, `a` and `b`, that follow one script.
 pub struct ScriptedFixture {
     pub script: Arc<Script>,
     pub backends: [SocketAddr; 2],
@@ -23,7 +23,7 @@
     start_scripted_with(settings, |_| {}).await
 }
 
-/// The same, the proxy with a configuration of its own.
+/// Starts a fixture after `change` has edited the configuration of the proxy.
 pub async fn start_scripted_with(settings: Value, change: impl FnOnce(&mut Value)) -> ScriptedFixture {
     let script = Arc::new(Script::default());
     let backends = [script.start_backend().await, script.start_backend().await];
--- a/tests/scripted/script.rs
+++ b/tests/scripted/script.rs
@@ -1,4 +1,4 @@
-//! The script that backends follow, to the byte, and the backends that follow it.
+//! Byte-level scripts and the backends that follow them.
 
 use super::within_deadline;
 use std::collections::VecDeque;
@@ -8,7 +8,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Notify, watch};
 
-/// What becomes of a connection once all is said.
+/// What happens to a connection once a response is written.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConnectionEnd {
     KeepOpen,
@@ -16,93 +16,98 @@
     Reset,
 }
 
-/// What is done with one request.
+/// How a backend handles one request.
 pub struct ScriptedResponse {
-    /// Bytes of it that are read; all, where it says nothing.
+    /// Bytes of the request to read; the whole request if unset.
     pub read_len: Option<usize>,
-    /// What is said, each part once it is released.
+    /// Parts to write, each once its notification arrives.
     pub writes: Vec<(Option<Arc<Notify>>, Vec<u8>)>,
-    /// What is said behind that, each time it is released, for as long as somebody listens.
+    /// Text written after the parts at each notification, until the peer closes.
     pub repeat: Option<(Arc<Notify>, Vec<u8>)>,
     pub end: ConnectionEnd,
 }
 
 impl ScriptedResponse {
+    /// Writes `text` at once.
     pub fn raw(text: &str, end: ConnectionEnd) -> Self {
         ScriptedResponse { read_len: None, writes: vec![(None, text.into())], repeat: None, end }
     }
-    /// An answer of its own, ok_response.
+    /// Writes a complete 200 response and keeps the connection open.
     pub fn ok(body: &str) -> Self {
         ScriptedResponse::raw(&ok_response(body), ConnectionEnd::KeepOpen)
     }
-    /// Says more once it is released.
+    /// Appends text that is written once the notification arrives.
     pub fn then_write(mut self, release: &Arc<Notify>, text: &str) -> Self {
         self.writes.push((Some(release.clone()), text.into()));
         self
     }
 }
 
-/// An answer with this body.
+/// Formats a 200 response with this body.
 pub fn ok_response(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// What scripted backends have in common.
+/// State shared by scripted backends.
 #[derive(Default)]
 pub struct Script {
     responses: Mutex<VecDeque<ScriptedResponse>>,
-    /// Both ends of each connection: its backend's, and the other one.
+    /// Backend address and peer address of each connection.
     connections: Mutex<Vec<(SocketAddr, SocketAddr)>>,
-    /// Requests that were heard as far as the script says, each with its connection's number.
+    /// Requests as far as the script reads them, each with the number of its connection.
     pub requests: watch::Sender<Vec<(usize, Vec<u8>)>>,
-    /// Connections that are over.
+    /// Numbers of closed connections.
     pub closed: watch::Sender<Vec<usize>>,
 }
 
 impl Script {
     pub fn enqueue(&self, responses: impl IntoIterator<Item = ScriptedResponse>) {
-        self.responses.lock().expect("sound").extend(responses);
+        self.responses.lock().expect("lock is not poisoned").extend(responses);
     }
-    /// Forgets what no request has come for.
+    /// Drops the queued responses.
     pub fn clear(&self) {
-        self.responses.lock().expect("sound").clear();
+        self.responses.lock().expect("lock is not poisoned").clear();
     }
-    /// Waits until so many requests were heard.
+    /// Waits until at least `n` requests were read.
     pub async fn wait_for_requests(&self, n: usize) {
-        within_deadline(self.requests.subscribe().wait_for(|h| h.len() >= n)).await.expect("open");
+        within_deadline(self.requests.subscribe().wait_for(|h| h.len() >= n))
+            .await
+            .expect("watch sender is alive");
     }
-    /// The connections on which requests came, in their order.
+    /// Returns the connection numbers of the requests in arrival order.
     pub fn request_connections(&self) -> Vec<usize> {
         self.requests.borrow().iter().map(|(n, _)| *n).collect()
     }
-    /// Waits until a connection is over.
+    /// Waits until a connection is closed.
     pub async fn wait_for_close(&self, connection: usize) {
-        within_deadline(self.closed.subscribe().wait_for(|o| o.contains(&connection))).await.expect("open");
+        within_deadline(self.closed.subscribe().wait_for(|o| o.contains(&connection)))
+            .await
+            .expect("watch sender is alive");
     }
 
-    /// Both ends of a connection: its backend's, and the other one.
+    /// Returns the backend address and the peer address of a connection.
     pub fn connection_addrs(&self, connection: usize) -> (SocketAddr, SocketAddr) {
-        self.connections.lock().expect("sound")[connection]
+        self.connections.lock().expect("lock is not poisoned")[connection]
     }
 
     fn number(&self, own: SocketAddr, peer: SocketAddr) -> usize {
-        let mut connections = self.connections.lock().expect("sound");
+        let mut connections = self.connections.lock().expect("lock is not poisoned");
         connections.push((own, peer));
         connections.len() - 1
     }
 
-    /// A backend that follows the script.
+    /// Starts a backend that follows the script.
     pub async fn start_backend(self: &Arc<Self>) -> SocketAddr {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let addr = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds a loopback port");
+        let addr = listener.local_addr().expect("listener has a local address");
         let script = self.clone();
         tokio::spawn(async move {
             loop {
-                let (stream, peer) = listener.accept().await.expect("a connection");
-                stream.set_nodelay(true).expect("open");
+                let (stream, peer) = listener.accept().await.expect("accepts a connection");
+                stream.set_nodelay(true).expect("socket accepts TCP_NODELAY");
                 let (script, number) = (script.clone(), script.number(addr, peer));
                 tokio::spawn(async move {
-                    // Its end, whatever it is, is what tests wait for.
+                    // Tests wait for the end of the connection, whether or not it is an error.
                     let _ = script.follow(stream, number).await;
                     script.closed.send_modify(|o| o.push(number));
                 });
@@ -117,7 +122,7 @@
             if stream.read_buf(&mut read).await? == 0 {
                 return Ok(());
             }
-            let response = self.responses.lock().expect("sound").pop_front();
+            let response = self.responses.lock().expect("lock is not poisoned").pop_front();
             let response = response.unwrap_or_else(|| ScriptedResponse::ok("served"));
             while response.read_len.map_or(!is_whole(&read), |n| read.len() < n) {
                 if stream.read_buf(&mut read).await? == 0 {
@@ -146,7 +151,7 @@
     }
 }
 
-/// Whether a request with a told length, or none, is all there.
+/// Returns whether a request is complete, with a body only if it has a content length.
 fn is_whole(read: &[u8]) -> bool {
     let Some(head) = read.windows(4).position(|w| w == b"\r\n\r\n") else { return false };
     let text = String::from_utf8_lossy(&read[..head]).to_lowercase();
--- a/tests/spread.rs
+++ b/tests/spread.rs
@@ -1,5 +1,5 @@
 //! How hundreds of proxies load the backends together, with faults between them. Bounds are on counts, never on times,
-//! and each lies many standard deviations from what chance gives. docs/spread.md has the statistics.
+//! and each lies many standard deviations from what chance gives. docs/spread.md has the figures.
 
 mod fault_relay;
 #[path = "fleet/fixture.rs"]
