--- a/tests/fleet/fixture.rs
+++ b/tests/fleet/fixture.rs
@@ -30,7 +30,7 @@
     pub registry: Registry,
     pub backends: Vec<Backend>,
     pub fleet: Vec<Process>,
-    /// Relayed links between members, if relayed.
+    /// Links between members with [`MembershipMode::Relayed`].
     pub links: Option<Links>,
     _fleet_lock: MutexGuard<'static, ()>,
 }
@@ -80,17 +80,17 @@
             MembershipMode::None => processes::start(program, configs).await,
             MembershipMode::Direct => processes::start_members(program, configs, &timing).await,
             MembershipMode::Relayed => {
-                let between = Links::start(PROXIES).await;
+                let relayed = Links::start(PROXIES).await;
                 for (n, config) in configs.iter_mut().enumerate() {
-                    processes::with_membership(config, n, &between.addresses[..3], &timing);
-                    config["membership"]["advertise"] = between.addresses[n].to_string().into();
+                    processes::with_membership(config, n, &relayed.addresses[..3], &timing);
+                    config["membership"]["advertise"] = relayed.addresses[n].to_string().into();
                 }
                 let fleet = processes::start(program, configs).await;
                 for (n, process) in fleet.iter().enumerate() {
-                    between.place(n, process.membership_addr.expect("the proxy is a member"));
+                    relayed.place(n, process.membership_addr.expect("the proxy is a member"));
                 }
                 processes::wait_for_members(&fleet, PROXIES).await;
-                links = Some(between);
+                links = Some(relayed);
                 fleet
             }
         };
@@ -118,8 +118,9 @@
 
     /// Counts the backends that this group of clients has not reached.
     pub fn unreached_backends(&self, group: usize) -> usize {
-        let calls = |b: &&Backend| b.state.by_group[group].load(std::sync::atomic::Ordering::SeqCst) == 0;
-        self.backends.iter().filter(calls).count()
+        let is_unreached =
+            |b: &&Backend| b.state.by_group[group].load(std::sync::atomic::Ordering::SeqCst) == 0;
+        self.backends.iter().filter(is_unreached).count()
     }
 
     /// Panics if calls herded on one backend in any interval, even with few calls.
--- a/tests/rig/backend.rs
+++ b/tests/rig/backend.rs
@@ -23,7 +23,9 @@
 /// How a backend handles one request.
 pub enum BackendAction {
     Serve,
+    /// Serves with this status.
     Status(u16),
+    /// Responds with this status and the `srv-declined` header.
     Decline(u16),
     /// Closes the connection without a response.
     CloseConnection,
@@ -31,12 +33,12 @@
     BreakBody,
     /// Serves once the notification arrives.
     ServeAfter(Arc<Notify>),
-    /// Serves a body of `len` bytes, with a content length or in chunks.
+    /// Serves a body of `len` bytes, with a content length if `known_length`, else in chunks.
     LongBody {
         len: usize,
         known_length: bool,
     },
-    /// Sends half of a body of `len` bytes, then closes the connection.
+    /// Announces a body like `LongBody`, sends half of it, then closes the connection.
     TruncatedLongBody {
         len: usize,
         known_length: bool,
@@ -50,6 +52,7 @@
 #[derive(Default)]
 pub struct BackendControl {
     next: Mutex<VecDeque<BackendAction>>,
+    /// Complete requests: name of the backend, head and body.
     pub requests: watch::Sender<Vec<(&'static str, Parts, Bytes)>>,
     /// Requests closed after a part of the body was read.
     pub partial_requests: watch::Sender<usize>,
@@ -58,6 +61,7 @@
 }
 
 impl BackendControl {
+    /// Appends actions for the next requests.
     pub fn enqueue(&self, actions: impl IntoIterator<Item = BackendAction>) {
         self.next.lock().expect("lock is not poisoned").extend(actions);
     }
@@ -139,6 +143,7 @@
     }
 }
 
+/// An HTTP/1 backend on a loopback port.
 pub struct TestBackend {
     pub name: &'static str,
     pub addr: SocketAddr,
@@ -151,10 +156,11 @@
 impl TestBackend {
     pub async fn start(name: &'static str, control: &Arc<BackendControl>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds a loopback port");
-        TestBackend::on(name, listener, control)
+        TestBackend::with_listener(name, listener, control)
     }
 
-    pub fn on(name: &'static str, listener: TcpListener, control: &Arc<BackendControl>) -> Self {
+    /// Starts a backend on a listener.
+    pub fn with_listener(name: &'static str, listener: TcpListener, control: &Arc<BackendControl>) -> Self {
         let addr = listener.local_addr().expect("listener has a local address");
         let (connections, control) = (Arc::<AtomicUsize>::default(), control.clone());
         let (close, open) = (watch::Sender::new(()), Arc::new(watch::Sender::new(0)));
@@ -195,17 +201,20 @@
         self.wait_all_closed().await;
     }
 
+    /// Waits until no connection is open.
     pub async fn wait_all_closed(&self) {
         within_deadline(self.open_connections.subscribe().wait_for(|n| *n == 0))
             .await
             .expect("watch sender is alive");
     }
 
+    /// Returns the list entry of this backend.
     pub fn endpoint_entry(&self, health: &str) -> Value {
         endpoint_entry(self.name, self.addr, health)
     }
 }
 
+/// Returns an entry in the form of a discovery list.
 pub fn endpoint_entry(host: &str, addr: SocketAddr, health: &str) -> Value {
     json!({"host": host, "dial": addr.to_string(), "site": "a", "class": "m", "block": 1,
            "health": health, "share": 1.0, "born_ms": 0})
--- a/tests/rig/mod.rs
+++ b/tests/rig/mod.rs
@@ -29,6 +29,7 @@
     pub proxy: ProxyProcess,
 }
 
+/// Starts a fixture with these settings.
 pub async fn start_fixture(settings: Value) -> ProxyFixture {
     start_fixture_with(settings, |_| {}).await
 }
--- a/tests/rig/proxy.rs
+++ b/tests/rig/proxy.rs
@@ -162,7 +162,7 @@
         while !within_deadline(self.log.next_line())
             .await
             .expect("log is readable")
-            .expect("it goes on")
+            .expect("log continues")
             .contains(notice)
         {}
     }
--- a/tests/scripted/mod.rs
+++ b/tests/scripted/mod.rs
@@ -19,6 +19,7 @@
     pub proxy: ProxyProcess,
 }
 
+/// Starts a fixture with these settings.
 pub async fn start_scripted(settings: Value) -> ScriptedFixture {
     start_scripted_with(settings, |_| {}).await
 }
--- a/tests/scripted/script.rs
+++ b/tests/scripted/script.rs
@@ -61,6 +61,7 @@
 }
 
 impl Script {
+    /// Appends responses for the next requests.
     pub fn enqueue(&self, responses: impl IntoIterator<Item = ScriptedResponse>) {
         self.responses.lock().expect("lock is not poisoned").extend(responses);
     }
