--- a/benches/scale/run/standing.rs
+++ b/benches/scale/run/standing.rs
@@ -67,7 +67,7 @@
             return picture.clone();
         }
         let mut picture = Picture::default();
-        for (id, standing) in self.balancer.standings(now) {
+        for (id, standing) in self.balancer.traffic_shares(now) {
             let Some(name) = self.names.get(&id) else { continue };
             match why(standing) {
                 Some(ExclusionReason::Subset) => {
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -1,21 +1,21 @@
-//! Admission: whether a request is sent at once, queued or shed, and with what Retry-After.
+//! Admission control: sends, queues or sheds each request, and computes the Retry-After of those it sheds.
 //!
-//! The concurrency limit is divided into slices, one for each priority level, each with a share of the limit
-//! by its priority. A request is admitted while the instance is below its limit, or its slice below the
-//! slice's part of it. A request that is not admitted, or for which there is no endpoint, waits in its
+//! The concurrency limit is divided into slices, one per priority level, each with a share of the limit in
+//! proportion to its priority. A request is admitted while the instance is below its limit, or the request's
+//! slice below its share. A request that is not admitted, or for which no endpoint is available, waits in its
 //! slice's queue.
 //!
 //! A request that is not sent at once is shed
 //! - on arrival, if the queues are as long as the limit (unless it waits for its key), or if its deadline is
 //!   at most two ticks of the balancer away (one of a class that the settings lack is failed);
-//! - on a tick, if its time in its queue is over: an eighth of the shortest latency objective at the tier
-//!   that clients reach, a half behind it; if it waits for an endpoint or for its key, the objective of its
-//!   class less the mean latency; at most until two ticks before its deadline;
-//! - outside, by the proxy: over `max_open_requests`, late in a stop, on a busy connection over the limit.
+//! - on a tick, once its queue deadline has passed: an eighth of the shortest latency objective at the tier
+//!   that clients reach, a half at the tiers behind it; if it waits for an endpoint or for its key, the
+//!   objective of its class less the mean latency; at most until two ticks before its deadline;
+//! - by the proxy itself: over `max_open_requests`, late in a shutdown, on a busy connection over the limit.
 //!
-//! [`Balancer::reject_or_fail`] answers those it sheds, and those whose attempts failed: rejected if a
-//! further try is harmless, with a Retry-After (where the site has it) of one to two eighths of the class's
-//! objective. What the proxy itself sheds has no Retry-After.
+//! [`Balancer::reject_or_fail`] answers shed requests and those whose attempts failed: it rejects them if a
+//! client retry is harmless, with a Retry-After (where the settings enable it) of one to two eighths of the
+//! class's latency objective. Requests that the proxy itself sheds get no Retry-After.
 
 use super::Balancer;
 use super::priority::{SAME_PRIORITY, priorities};
@@ -23,19 +23,19 @@
 use crate::interface::*;
 use std::collections::VecDeque;
 
-/// Share of the shortest latency objective that a request waits in its queue, at the tier that clients reach.
+/// Longest queue time at the tier that clients reach, as a share of the shortest latency objective.
 const QUEUE_SHARE_FIRST_TIER: f64 = 0.125;
-/// The same at the tiers behind it, where a rejection wastes the work already done for the request.
+/// Longest queue time at inner tiers, as a share of the shortest latency objective. It is longer than at the
+/// first tier because a rejection there wastes the work already done for the request.
 const QUEUE_SHARE_INNER_TIER: f64 = 0.5;
-/// Shortest Retry-After, as a share of the class's latency objective; a random part of up to as much is
-/// added.
+/// Shortest Retry-After, as a share of the class's latency objective; up to as much is added at random.
 const RETRY_AFTER_SHARE: f64 = 0.125;
-/// Share of the limit in flight from which the limit counts as reached.
+/// Ratio of calls in flight to the concurrency limit from which the limit counts as reached.
 const LIMIT_REACHED_SHARE: f64 = 0.8;
-/// Time constant (ms) with which the peak of calls in flight is forgotten.
+/// Time constant (ms) with which the peak of calls in flight decays.
 const PEAK_DECAY_MS: f64 = 5000.0;
 
-/// A priority level's part of the limit, and its queue.
+/// A priority level's share of the concurrency limit, and its queue.
 #[derive(Default)]
 struct Slice {
     share_of_limit: f64,
@@ -43,23 +43,23 @@
     queue: VecDeque<RequestId>,
 }
 
-/// The slices of a class.
+/// Indices of the slices that a class's requests belong to.
 struct ClassSlices {
     within_quota: usize,
     over_quota: usize,
 }
 
-/// The slices, and the calls in flight over all of them.
+/// State of admission control: the slices and the calls in flight over all of them.
 pub(super) struct Admission {
-    /// The highest priority first.
+    /// Slices in descending order of priority.
     slices: Vec<Slice>,
-    /// Of each class.
+    /// Slice indices by class.
     class_slices: Vec<ClassSlices>,
-    /// Longest time in a slice's queue. One for all classes: in a full queue the class with the longer time
-    /// would take every place of its slice.
+    /// Longest time (ms) in a slice's queue. All classes share one value: with separate ones, the class with
+    /// the longest time would take up every place of a full queue.
     queue_ms: f64,
     in_flight: f64,
-    /// Most calls in flight in the last seconds.
+    /// Peak of the calls in flight, decaying over some seconds.
     pub(super) peak_in_flight: f64,
 }
 
@@ -76,7 +76,7 @@
         }
         levels.sort_by(|a, b| b.total_cmp(a));
         levels.dedup_by(|a, b| (*a - *b).abs() < SAME_PRIORITY);
-        // A level only of requests over their tenant's quota has no share, only the minimum of one slot.
+        // A level that only holds requests over their tenant's quota gets no share, only the minimum slot.
         let has_share =
             |level: f64| priorities.iter().any(|p| (p.within_quota - level).abs() < SAME_PRIORITY);
         let share = |level: &f64| if has_share(*level) { *level } else { 0.0 };
@@ -107,8 +107,8 @@
         if over_quota { slices.over_quota } else { slices.within_quota }
     }
 
-    /// Whether the limit allows one more call in the slice: below the limit any, past it up to the slice's
-    /// own part, and always one.
+    /// Returns whether the slice may have one more call in flight: any slice may while the instance is below
+    /// its limit; beyond it, a slice may up to its own share, which is at least one call.
     fn admits(&self, slice: usize, limit: f64) -> bool {
         let limit = limit.floor();
         let slice = &self.slices[slice];
@@ -131,10 +131,10 @@
 impl Balancer {
     /// Sends, queues or sheds a request that arrived.
     ///
-    /// Failure: work past the tier's capacity delays all requests until none is in time. Inputs: calls in
-    /// flight against the limit and the slice's part of it, the queues' lengths, the tenant's quota, the
-    /// deadline (ms). A request that waits for its key is not in a slice's queue and takes no slot. One with
-    /// less time left than two ticks is never queued: no tick would shed it in time.
+    /// Guards against overload: work beyond the tier's capacity delays all requests until none is in time.
+    /// Inputs: calls in flight against the limit and the slice's share, queue lengths, the tenant's quota,
+    /// and the deadline (ms). A request that waits for its key is not in a slice's queue and takes no slot.
+    /// One with less than two ticks left is never queued, because no tick would shed it in time.
     pub(super) fn on_request(&mut self, now_ms: f64, arrival: &Arrival, out: &mut Vec<Action>) {
         let id = arrival.request;
         let class = usize::from(arrival.class);
@@ -148,7 +148,7 @@
         let key = if in_order { arrival.key } else { 0 };
         let waits_for_key = self.join_key_queue(key, id);
         let admitted = !waits_for_key && self.admission.slices[slice].queue.is_empty() && self.admits(slice);
-        // Admitted without an endpoint, or behind its key, it waits while an answer can still be in time.
+        // Without an endpoint, or behind its key, a request waits while an answer can still be in time.
         let queue_ms = if admitted || waits_for_key {
             latency_objective_ms - self.concurrency_limit.mean_ms
         } else {
@@ -172,7 +172,7 @@
         self.admission.admits(slice, self.concurrency_limit.limit)
     }
 
-    /// Sends queued requests that are admitted by now, the highest priority first.
+    /// Sends the queued requests that are now admitted, in descending order of priority.
     pub(super) fn send_queued(&mut self, now_ms: f64, out: &mut Vec<Action>) {
         for slice in 0..self.admission.slices.len() {
             for _ in 0..self.admission.slices[slice].queue.len() {
@@ -188,8 +188,8 @@
         }
     }
 
-    /// Goes through all queues on a tick: sheds the requests whose time in the queue is over, and sends those
-    /// that are admitted and for which there is an endpoint.
+    /// Sweeps all queues on a tick: sheds the requests whose queue deadline has passed, and sends those that
+    /// are admitted and for which an endpoint is available.
     pub(super) fn sweep_queues(&mut self, now_ms: f64, out: &mut Vec<Action>) {
         for slice in 0..self.admission.slices.len() {
             for _ in 0..self.admission.slices[slice].queue.len() {
@@ -209,12 +209,11 @@
         }
     }
 
-    /// Gives a request up: rejects it, with a Retry-After, where a further try by the client is harmless, and
-    /// fails it otherwise.
+    /// Gives up a request: rejects it, with a Retry-After, where a client retry is harmless, and fails it
+    /// otherwise.
     ///
-    /// Failure: clients that are shed together return together. The Retry-After (ms) is drawn between one and
-    /// two eighths of the class's latency objective, and is at most what clients heed; 0 where the site gives
-    /// clients none.
+    /// Guards against synchronized client retries: the Retry-After (ms) is drawn between one and two eighths
+    /// of the class's latency objective, and is at most what clients heed; 0 where the settings disable it.
     pub(super) fn reject_or_fail(&mut self, now_ms: f64, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         if self.client_may_retry(now_ms, request) {
@@ -229,7 +228,7 @@
         self.end_request(now_ms, id, out);
     }
 
-    /// Counts a call against the limit.
+    /// Counts a call against the concurrency limit.
     pub(super) fn acquire_slot(&mut self, class: usize, slice: usize) {
         self.change_in_flight(class, slice, 1.0);
         self.admission.peak_in_flight = self.admission.peak_in_flight.max(self.admission.in_flight);
@@ -237,7 +236,7 @@
         self.concurrency_limit.note_reached(reached);
     }
 
-    /// Counts a call against the limit no longer.
+    /// Stops counting a call against the concurrency limit.
     pub(super) fn release_slot(&mut self, class: usize, slice: usize) {
         self.change_in_flight(class, slice, -1.0);
     }
--- a/src/balancer/endpoint_set.rs
+++ b/src/balancer/endpoint_set.rs
@@ -1,7 +1,7 @@
-//! The endpoints that take work, in the order of their ids, split by zone, with sums over them.
-//!
-//! It is kept up to date as the list changes. Most endpoints are warm, in service and of weight 1: only the
-//! others are stored one by one, so that a tick costs what is degraded and not what is listed.
+//! The set of endpoints that take work, in the order of their ids and split by zone, with sums over them. It
+//! is kept up to date as the list changes. Most endpoints are warm, in service and of weight 1; only the
+//! others are stored individually, so that the cost of a tick depends on the degraded endpoints and not on
+//! the length of the list.
 
 use super::endpoints::Endpoint;
 use super::ordered_sum::{OrderedSum, lower_bound_from};
@@ -13,62 +13,63 @@
 /// Index of the partition of endpoints in other zones.
 pub(super) const REMOTE: usize = 1;
 
-/// A member whose capacity may differ from 1: it is warming up or ejected.
+/// A member whose capacity may differ from 1, because it is warming up or ejected.
 pub(super) struct DegradedEndpoint {
     pub(super) id: BackendId,
     started_at_ms: f64,
     ejected_until_ms: f64,
-    /// Index among all members.
+    /// Index of the endpoint among all members.
     rank: usize,
-    /// Its partition, and its index there.
+    /// Index of the endpoint's zone partition: [`LOCAL`] or [`REMOTE`].
     pub(super) partition: usize,
+    /// Index of the endpoint within its partition.
     pub(super) partition_rank: usize,
 }
 
-/// Capacity of the members, counted in warm endpoints.
+/// Capacity of the members, in warm endpoints.
 pub(super) struct Capacity {
     pub(super) total: f64,
-    /// Of each partition, without those whose ejection lasts; one that is due for a trial counts.
+    /// Capacity of each partition without its ejected members; those that are due for a trial count.
     pub(super) in_service: [f64; 2],
 }
 
-/// Weights of a member.
+/// Weights of a member: the list's times the route table's, and the route table's alone.
 struct MemberWeights {
     total: f64,
     route: f64,
 }
 
-/// Sums over the members' weights.
+/// Aggregates of the members' weights.
 pub(super) struct WeightSums {
     pub(super) total: f64,
-    /// The heaviest weight of the route table.
+    /// Largest route table weight.
     pub(super) max_route: f64,
 }
 
-/// The endpoints that take work.
+/// The set of endpoints that take work.
 #[derive(Default)]
 pub(super) struct EndpointSet {
-    /// This instance's zone, where leaving it has a price.
+    /// This instance's zone, where crossing zones has a price; `None` pools all zones.
     local_zone: Option<u16>,
-    /// All members, in order.
+    /// Ids of all members, in ascending order.
     pub(super) members: Vec<BackendId>,
-    /// The zone of each member.
+    /// Zone of each member, in the order of `members`.
     zones: Vec<u16>,
     zone_sizes: BTreeMap<u16, usize>,
-    /// The members in the local zone, and those in other zones.
+    /// Members in the local zone ([`LOCAL`]) and in other zones ([`REMOTE`]), in ascending order.
     pub(super) partitions: [Vec<BackendId>; 2],
-    /// In order.
+    /// Degraded members, in ascending order of their ids.
     pub(super) degraded: Vec<DegradedEndpoint>,
     /// Whether the ranks of the degraded members are up to date.
     degraded_ranked: bool,
-    /// Weights of the members where one is not 1.
+    /// Weights of the members for which either weight is not 1.
     weighted: BTreeMap<BackendId, MemberWeights>,
-    /// Endpoints whose phase or entry changed and is not yet applied to the members.
+    /// Endpoints with a changed phase or entry that is not applied to the members yet.
     pub(super) changed: BTreeSet<BackendId>,
-    /// Members that the list lacks without being believed.
+    /// Members that the list lacks but whose removal is not confirmed yet.
     pub(super) suspected_removals: BTreeSet<BackendId>,
-    /// Whether members, or which of them are ejected, changed since the subset was drawn.
-    pub(super) needs_redraw: bool,
+    /// Whether the members, or their ejections, have changed since the subset was last filled.
+    pub(super) subset_outdated: bool,
 }
 
 impl EndpointSet {
@@ -92,19 +93,19 @@
         if self.local_zone.is_some_and(|local| local != zone) { REMOTE } else { LOCAL }
     }
 
-    /// Removes all members; changes and suspected removals stay noted.
+    /// Removes all members but keeps the pending changes and suspected removals.
     pub(super) fn clear(&mut self) {
         let changed = std::mem::take(&mut self.changed);
         let suspected_removals = std::mem::take(&mut self.suspected_removals);
         *self = EndpointSet {
             changed,
             suspected_removals,
-            needs_redraw: true,
+            subset_outdated: true,
             ..EndpointSet::new(self.local_zone)
         };
     }
 
-    /// Replaces the member of that id by the endpoint, if it takes work.
+    /// Replaces the member with that id by the endpoint if it takes work; removes the member otherwise.
     pub(super) fn replace(&mut self, id: BackendId, endpoint: Option<&Endpoint>) {
         self.remove(id);
         let Some(endpoint) = endpoint.filter(|endpoint| endpoint.is_ready()) else { return };
@@ -120,9 +121,9 @@
         if weights.total != 1.0 || weights.route != 1.0 {
             self.weighted.insert(id, weights);
         }
-        self.needs_redraw = true;
+        self.subset_outdated = true;
         self.degraded_ranked = false;
-        self.note_service(id, endpoint);
+        self.update_degraded(id, endpoint);
     }
 
     fn remove(&mut self, id: BackendId) {
@@ -142,12 +143,12 @@
             self.degraded.remove(at);
         }
         self.weighted.remove(&id);
-        self.needs_redraw = true;
+        self.subset_outdated = true;
         self.degraded_ranked = false;
     }
 
-    /// Notes that a member is new, was ejected or was returned to service.
-    pub(super) fn note_service(&mut self, id: BackendId, endpoint: &Endpoint) {
+    /// Updates the degraded members after a member was added, ejected or returned to service.
+    pub(super) fn update_degraded(&mut self, id: BackendId, endpoint: &Endpoint) {
         if !self.has(id) {
             return;
         }
@@ -155,7 +156,7 @@
         let ejected_until_ms = endpoint.ejected_until_ms;
         let found = self.degraded.binary_search_by_key(&id, |e| e.id);
         let was_ejected = found.is_ok_and(|at| self.degraded[at].ejected_until_ms > 0.0);
-        self.needs_redraw |= was_ejected != endpoint.ejected();
+        self.subset_outdated |= was_ejected != endpoint.ejected();
         match found {
             Ok(at) => self.degraded[at].ejected_until_ms = ejected_until_ms,
             Err(at) if endpoint.ejected() || started_at_ms > 0.0 => {
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Finds the indices of the degraded members again, if members changed.
+    /// Recomputes the indices of the degraded members if the members have changed.
     fn rank_degraded(&mut self) {
         if std::mem::replace(&mut self.degraded_ranked, true) {
             return;
@@ -194,7 +195,7 @@
         }
     }
 
-    /// The members' capacity. Members that are warm and in service are degraded no longer.
+    /// Computes the members' capacity, and drops members that are warm and in service from the degraded ones.
     pub(super) fn capacity(&mut self, rules: &Rules, now_ms: f64) -> Capacity {
         self.rank_degraded();
         self.degraded
@@ -211,12 +212,13 @@
         Capacity { total: total.total(self.members.len()), in_service }
     }
 
-    /// The members that were warming up when the capacity was last computed.
+    /// Returns the members that were warming up when the capacity was last computed, including ejected ones
+    /// whose process is warm by now.
     pub(super) fn warming_up(&self) -> impl Iterator<Item = &DegradedEndpoint> {
         self.degraded.iter().filter(|e| e.started_at_ms > 0.0)
     }
 
-    /// Sum of the members' weights, and the heaviest weight of the route table among them.
+    /// Returns the sum of the members' weights and the largest route table weight among them.
     pub(super) fn weight_sums(&self) -> WeightSums {
         let mut sum = OrderedSum::default();
         let mut max_weighted = 0.0_f64;
--- a/src/balancer/fleet_share.rs
+++ b/src/balancer/fleet_share.rs
@@ -1,25 +1,26 @@
-//! The fleet share: by how many live instances all that the fleet shares is divided, and where this instance
-//! stands among them.
-//!
-//! It is updated when the membership reports the live instances, and on each tick. Tenant quotas, warm-up
-//! budgets and the subset's overlap are divided by it.
+//! This instance's share of the budgets of the fleet, and its position among the live instances. Both are
+//! updated when the membership reports the live instances, and the share also on each tick. Tenant quotas,
+//! warm-up budgets and the subset's overlap depend on the share.
 
 use super::Balancer;
 use crate::interface::Settings;
 
-/// The golden ratio's fraction: its multiples spread evenly over the unit interval, however many there are.
+/// Fractional part of the golden ratio: the fractions of any number of its multiples spread evenly over the
+/// unit interval.
 pub(super) const GOLDEN_RATIO: f64 = 0.618_033_988_75;
-/// Time (ms) in which the share of instances that have left is taken over.
-const TAKE_OVER_MS: f64 = 30_000.0;
+/// Time constant (ms) with which the share of instances that have left is taken over.
+const ABSORB_DEPARTED_MS: f64 = 30_000.0;
 
-/// This instance's part of what the fleet shares.
+/// State of this instance's share and position in the fleet.
 pub(super) struct FleetShare {
-    /// Instances that share, by the last report.
+    /// Number of instances that share the budgets, by the last report.
     live_instances: f64,
-    /// Instances by which shared budgets are divided: follows `live_instances` up at once and down slowly.
+    /// Number of instances by which shared budgets are divided; it follows `live_instances` up at once and
+    /// down slowly.
     pub(super) divisor: f64,
-    /// This instance's position among `positions`, in the order that all instances know.
+    /// This instance's position among `positions`, in an order that is the same at all instances.
     position: f64,
+    /// Number of positions, which the ring of endpoints is divided into.
     positions: f64,
 }
 
@@ -34,14 +35,14 @@
         }
     }
 
-    /// Takes over the share of instances that have left, slowly.
-    pub(super) fn take_over(&mut self, passed_ms: f64) {
+    /// Slowly takes over the share of instances that have left.
+    pub(super) fn absorb_departed(&mut self, passed_ms: f64) {
         let surplus = self.divisor - self.live_instances;
-        self.divisor = self.live_instances.max(self.divisor - surplus * passed_ms / TAKE_OVER_MS);
+        self.divisor = self.live_instances.max(self.divisor - surplus * passed_ms / ABSORB_DEPARTED_MS);
     }
 
-    /// Index where this instance's segment starts in a ring of that length.
-    pub(super) fn start_in(&self, ring_len: usize) -> usize {
+    /// Returns the index at which this instance's segment starts in a ring of `ring_len` endpoints.
+    pub(super) fn segment_start(&self, ring_len: usize) -> usize {
         (self.position * ring_len as f64 / self.positions) as usize
     }
 }
@@ -49,11 +50,11 @@
 impl Balancer {
     /// Applies a report of the live instances.
     ///
-    /// Failure: in a network partition each side would take the full budget of the fleet, and endpoints would
-    /// get twice what they bear. Inputs: instances alive and known, this instance's rank among those alive.
-    /// The share shrinks at once when instances appear; it grows slowly, and only in a strict majority of all
-    /// that are known or configured. One side at most is that, so the sides together stay under one and a
-    /// half budgets.
+    /// Guards against network partitions, in which each side would take the full budget of the fleet and
+    /// endpoints would get twice the load that they can handle. Inputs: the numbers of live and known
+    /// instances, and this instance's rank among the live ones. The share shrinks at once when instances
+    /// appear. It grows slowly, and only in a strict majority of all instances that are known or configured:
+    /// at most one side is a majority, so the sides together stay below one and a half budgets.
     pub(super) fn on_peers(&mut self, now_ms: f64, alive: u32, known: u32, rank: Option<u32>) {
         let all = known.max(self.settings.instance_count);
         let is_majority = 2 * u64::from(alive) > u64::from(all);
@@ -62,7 +63,7 @@
         share.divisor = share.divisor.max(share.live_instances);
         let configured_index = f64::from(self.settings.instance_index);
         if let Some(rank) = rank.filter(|rank| *rank < alive) {
-            // Instances that see few others may all have the same rank: their configured index separates
+            // Instances that see few others may all have the same rank, so their configured index separates
             // them.
             let offset = if is_majority { 0.0 } else { (configured_index * GOLDEN_RATIO).fract() };
             share.position = f64::from(rank) + offset;
@@ -74,7 +75,7 @@
         self.resize_subset(now_ms, 0.0);
     }
 
-    /// The part that this instance takes of what the instances share, from 0 to 1.
+    /// Returns this instance's share of the budgets of the fleet, from 0 to 1.
     pub fn share(&self) -> f64 {
         1.0 / self.fleet_share.divisor
     }
--- a/src/balancer/interface/action.rs
+++ b/src/balancer/interface/action.rs
@@ -1,45 +1,45 @@
-//! The actions that a balancer decides on.
+//! The actions that the balancer asks the embedding proxy to carry out.
 
 #[cfg(doc)]
 use super::Event;
 use super::{AttemptNo, BackendId, RequestId};
 
-/// An action of the balancer, to be carried out in order.
+/// An action that the embedding proxy carries out, in the order given by the balancer.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send an attempt of a request.
     Send {
         /// The request.
         request: RequestId,
-        /// The backend that gets it.
+        /// The backend that the attempt is sent to.
         backend: BackendId,
         /// Clock time (ms) at which the attempt is abandoned.
         deadline_ms: f64,
     },
-    /// Final answer: the request is rejected, a further try by the client is harmless.
+    /// Final answer: the request is rejected, and a retry by the client is harmless.
     Reject {
         /// The request.
         request: RequestId,
-        /// Time (ms) after which the client may try again; 0 gives it none.
+        /// Retry-After (ms) for the client; 0 sends none.
         retry_after_ms: f64,
     },
-    /// Final answer: the request failed, and a further try may run it twice.
+    /// Final answer: the request failed, and a retry by the client may run it twice.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Cancel an attempt.
+    /// Cancel an attempt in flight.
     Cancel {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNo,
     },
-    /// Ask for an [`Event::TimerFired`].
+    /// Set a timer that fires an [`Event::TimerFired`].
     SetTimer {
-        /// Time (ms) from now.
+        /// Delay (ms) from now until the timer fires.
         delay_ms: f64,
-        /// Passed back with the event.
+        /// Token that is passed back with the event.
         token: u64,
     },
     /// Close idle connections to a backend.
@@ -49,15 +49,15 @@
     },
     /// Subscribe to the list of backends, or end the subscription.
     Watch {
-        /// True to subscribe.
+        /// True to subscribe, false to end the subscription.
         on: bool,
     },
-    /// Send nothing more to a backend: the list has it draining or removed, or its own calls confirmed its
-    /// removal.
+    /// Send nothing more to a backend: it is draining or removed according to the list, or failed connects
+    /// confirmed its removal.
     Withdraw {
         /// The backend.
         backend: BackendId,
     },
-    /// Ask for the full list, which may confirm the removals of a suspicious one.
+    /// Request the full list, which may confirm suspected removals.
     Resync,
 }
--- a/src/balancer/interface/attempt.rs
+++ b/src/balancer/interface/attempt.rs
@@ -1,4 +1,4 @@
-//! A request as it arrives, and the outcomes of its attempts.
+//! Arriving requests and the outcomes of their attempts.
 
 #[cfg(doc)]
 use super::Event;
@@ -7,28 +7,28 @@
 /// The outcome of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The backend answered successfully.
     Ok,
     /// The backend answered with an error; the request may have run.
     Error,
-    /// The backend rejected the request as malformed, as any other would.
+    /// The backend rejected the request as malformed, as any other backend would.
     Malformed,
-    /// Rejected by the backend unprocessed; never ran.
+    /// The backend rejected the request unprocessed; it never ran.
     Rejected,
-    /// No answer in time; may have run.
+    /// No answer arrived in time; the request may have run.
     Timeout,
-    /// No connection; never ran.
+    /// The connection could not be established; the request never ran.
     ConnectFailed,
-    /// The connection broke; may have run.
+    /// The connection broke; the request may have run.
     Reset,
-    /// Cancelled; may have run.
+    /// The attempt was cancelled; the request may have run.
     Cancelled,
-    /// Never sent.
+    /// The request was never sent.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the request never ran.
+    /// Returns whether this outcome proves that the request never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
@@ -37,36 +37,36 @@
 /// A request that arrived.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Arrival {
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// Key of the object that it concerns; requests of an ordered class run in order by key. 0 is none.
+    /// Key that orders the requests of an ordered class, such as the object's id; 0 means no key.
     pub key: u64,
-    /// Index of its class.
+    /// Index of the request's class in the settings.
     pub class: u16,
-    /// Index of its tenant; 0 where there are none.
+    /// Index of the request's tenant in the settings; 0 if there are no tenants.
     pub tenant: u16,
-    /// Clock time (ms) at which its client gives up.
+    /// Clock time (ms) at which the client gives up.
     pub deadline_ms: f64,
-    /// Its body is still arriving and is forwarded to the attempt in flight; [`Event::BodyComplete`] follows
-    /// its last byte.
+    /// Whether the request body is still arriving and is forwarded to the attempt in flight;
+    /// [`Event::BodyComplete`] follows its last byte.
     pub body_pending: bool,
 }
 
 /// An attempt that ended.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Resolved {
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// The attempt.
+    /// Number of the attempt within its request.
     pub attempt: AttemptNo,
-    /// Its backend.
+    /// Backend that the attempt was sent to.
     pub backend: BackendId,
-    /// Its outcome.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// Time (ms) since it was sent.
+    /// Time (ms) since the attempt was sent.
     pub latency_ms: f64,
-    /// The request is over; no further answer is due.
+    /// Whether the request is over, so that no further answer is due.
     pub request_ended: bool,
-    /// Part of its body was consumed: it cannot be sent again.
+    /// Whether part of the request body was consumed, so that the request cannot be sent again.
     pub body_consumed: bool,
 }
--- a/src/balancer/interface/census.rs
+++ b/src/balancer/interface/census.rs
@@ -1,32 +1,33 @@
-//! Figures about the backends for operators.
+//! Statistics about the backends for operators.
 
 #[cfg(doc)]
 use super::ListGuard;
 
-/// The share that a backend gets of this instance's calls, and why it is less than its weight says.
+/// Whether a backend gets its full share of this instance's calls, or the reason why it gets less.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TrafficShare {
-    /// Its full share.
+    /// The backend gets the full share that its weight gives it.
     Full,
-    /// Ejected for errors, slowness or a hang.
+    /// The backend is ejected for errors, slowness or a hang.
     Ejected,
-    /// Its process started a short while ago.
+    /// The backend's process started recently and is warming up.
     WarmingUp,
-    /// It finishes its work and gets none.
+    /// The backend finishes its work and gets no new work.
     Draining,
-    /// Not in this instance's subset.
+    /// The backend is not in this instance's subset.
     OutsideSubset,
-    /// It fails calls or is significantly slower than the others.
+    /// The backend fails calls or is significantly slower than the others.
     Slow,
 }
 
-/// Numbers of backends.
+/// Numbers of backends by their state.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Census {
-    /// Listed: those that take work or drain.
+    /// Number of listed backends, both those that take work and those that drain.
     pub listed: usize,
-    /// Those of them that get no ordinary work now: ejected or draining.
+    /// Number of listed backends that get no ordinary work now, because they are ejected or draining.
     pub excluded: usize,
-    /// Those that stay in service though the list lacks them ([`ListGuard`]).
+    /// Number of backends that stay in service although the list lacks them ([`ListGuard`]); they are counted
+    /// as listed too.
     pub unlisted: usize,
 }
--- a/src/balancer/interface/event.rs
+++ b/src/balancer/interface/event.rs
@@ -1,59 +1,59 @@
-//! The events that a balancer is notified of.
+//! The events that the embedding proxy passes to the balancer.
 
 #[cfg(doc)]
 use super::Action;
 use super::{Arrival, BackendId, Entry, ListKind, RequestId, Resolved};
 
-/// An event that the balancer is notified of.
+/// An event that the embedding proxy passes to the balancer.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// The list of backends, or changes to it.
+    /// The list of backends, or changes to it, arrived.
     List {
-        /// How it relates to the list so far.
+        /// Relation of the entries to the list so far.
         kind: ListKind,
-        /// Its entries.
+        /// Entries of the list or of the changes.
         entries: Vec<Entry>,
     },
     /// A request arrived; exactly one final answer is due.
     Request(Arrival),
-    /// The last byte of a request with a pending body arrived: its attempt's backend can begin.
+    /// The last byte of a pending request body arrived, so that the backend can begin to process the request.
     BodyComplete {
         /// The request.
         request: RequestId,
-        /// Clock time (ms) at which its client gives up.
+        /// Clock time (ms) at which the client gives up.
         deadline_ms: f64,
     },
     /// An attempt ended.
     Resolved(Resolved),
-    /// The client left; no answer is due any more.
+    /// The client disconnected; no answer is due any more.
     ClientGone {
         /// The request.
         request: RequestId,
     },
-    /// Number of processes that share this instance's budgets while one replaces another, each with a
-    /// balancer of its own.
+    /// The number of processes changed that share this instance's budgets while one replaces another; each of
+    /// them has its own balancer.
     LocalProcesses {
-        /// Their number, this one included.
+        /// Number of such processes, including this one.
         processes: u32,
     },
-    /// Number of live instances, as this one sees it: what the fleet shares is divided by them.
+    /// The membership reported the live instances; the budgets of the fleet are divided by their number.
     Peers {
-        /// Alive, this instance included.
+        /// Number of live instances, including this one.
         alive: u32,
-        /// Alive, or gone a short while ago, this instance included.
+        /// Number of instances that are alive or left recently, including this one.
         known: u32,
-        /// This instance's rank among those alive, from 0, in an order that all of them know; none if it is
-        /// not known.
+        /// Rank of this instance among the live ones, from 0, in an order that all of them share; `None` if
+        /// it is not known.
         rank: Option<u32>,
     },
-    /// The route table's weights, by which the list's are multiplied; a backend that is not named has 1.
+    /// The route table's weights changed. They multiply the list's weights.
     RouteWeights {
-        /// Finite, 0 or more.
+        /// Weights by backend, each finite and at least 0; a backend that is not named has weight 1.
         weights: Vec<(BackendId, f64)>,
     },
     /// A timer fired.
     TimerFired {
-        /// As given in [`Action::SetTimer`].
+        /// Token of the [`Action::SetTimer`] that set the timer.
         token: u64,
     },
 }
--- a/src/balancer/interface/list.rs
+++ b/src/balancer/interface/list.rs
@@ -1,45 +1,45 @@
-//! The list of backends.
+//! The list of backends (endpoint list) as the embedding proxy passes it on.
 
 use super::BackendId;
 
-/// Whether a backend takes new work.
+/// Lifecycle phase of a backend, which determines whether it takes new work.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Phase {
-    /// Takes work.
+    /// The backend takes new work.
     #[default]
     Ready,
-    /// Finishes its work and takes nothing new.
+    /// The backend finishes its work and takes no new work.
     Draining,
-    /// Removed.
+    /// The backend was removed.
     Gone,
 }
 
 /// A backend's entry in the list.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Entry {
-    /// The backend.
+    /// Id of the backend.
     pub backend: BackendId,
-    /// Whether it takes new work.
+    /// Lifecycle phase of the backend.
     pub phase: Phase,
-    /// Its zone.
+    /// Index of the backend's zone.
     pub zone: u16,
-    /// Clock time (ms) at which its process started; 0 is long ago.
+    /// Clock time (ms) at which the backend's process started; 0 means long ago.
     pub started_at_ms: f64,
-    /// Its size in relation to the others; 1 is ordinary.
+    /// Weight of the backend relative to the others; 1 is the usual weight.
     pub weight: f64,
-    /// Its cell.
+    /// Index of the backend's cell.
     pub cell: u16,
 }
 
-/// How a list event relates to the list so far.
+/// Relation of a list event to the list so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListKind {
-    /// The full list; backends that it lacks are gone.
+    /// The event has the full list; backends that it lacks are gone.
     Full,
-    /// Changed entries only.
+    /// The event has only the changed entries.
     Delta,
-    /// The full list as last stored; may be old.
+    /// The event has the full list as last stored, which may be outdated.
     Cached,
-    /// A call failed or a subscription broke; no entries.
+    /// A call for the list failed or a subscription broke; the event has no entries.
     Failed,
 }
--- a/src/balancer/interface/mod.rs
+++ b/src/balancer/interface/mod.rs
@@ -1,7 +1,6 @@
-//! The decision module's interface: settings, events in, actions out. It decides nothing.
-//!
-//! Times and durations are milliseconds as `f64`; the clock is whatever the embedding proxy passes
-//! to [`Balancer::handle`](crate::Balancer::handle), starts anywhere and only goes forward.
+//! The balancer's interface: the settings, the events that it handles and the actions that it returns. Times
+//! and durations are in milliseconds as `f64`. The embedding proxy passes the clock time to
+//! [`Balancer::handle`](crate::Balancer::handle); it may start at any value and never goes back.
 
 mod action;
 mod attempt;
@@ -20,9 +19,9 @@
 pub use settings::{Caps, Class, DedupScope, Goal, Idempotency, ListGuard, Rules, Settings, Tenant};
 pub use settings_error::SettingsError;
 
-/// Identifies a client request at one instance; never reused.
+/// Id of a client request at one instance; it is never reused.
 pub type RequestId = u64;
-/// Identifies a backend; the same at every instance and across restarts of its process.
+/// Id of a backend; it is the same at every instance and across restarts of the backend's process.
 pub type BackendId = u32;
 /// Number of an attempt within its request, counted from 0 in the order of sends.
 pub type AttemptNo = u8;
--- a/src/balancer/interface/settings_error.rs
+++ b/src/balancer/interface/settings_error.rs
@@ -1,13 +1,13 @@
-//! Why settings were rejected.
+//! The error for rejected settings.
 
 use std::fmt;
 
-/// Why settings were rejected.
+/// Error that names the setting for which the settings were rejected.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SettingsError {
-    /// The setting, as a path such as `classes[1].aim`.
+    /// Path of the setting in the platform's terms, such as `classes[1].aim`.
     pub field: String,
-    /// What is wrong with it.
+    /// Reason why the value was rejected.
     pub reason: &'static str,
 }
 
--- a/src/balancer/interface/validation.rs
+++ b/src/balancer/interface/validation.rs
@@ -1,37 +1,36 @@
-//! Validation of the settings: the first one that no decision could be made with is named in the error.
-//!
-//! The paths in the errors are those of the platform's settings, which operators know.
+//! Validation of the settings. The error names the first unusable setting by its path in the platform's
+//! settings, which operators know.
 
 use super::{Settings, SettingsError};
 
-/// Shortest latency objective (ms).
+/// Minimum latency objective (ms).
 const MIN_LATENCY_OBJECTIVE_MS: f64 = 1e-3;
 
-/// A figure that must be finite and not negative.
-struct Figure {
+/// A value that must be finite and not negative.
+struct CheckedValue {
     path: String,
     value: f64,
 }
 
 impl Settings {
-    /// Checks the settings.
+    /// Returns an error for the first setting that is missing or out of range.
     pub(crate) fn validate(&self) -> Result<(), SettingsError> {
-        let mut figures = self.fixed_figures();
-        figures.extend(self.class_figures());
-        figures.extend(self.tenant_figures());
-        let is_wrong = |figure: &Figure| !figure.value.is_finite() || figure.value < 0.0;
-        match figures.into_iter().find(is_wrong) {
+        let mut values = self.instance_values();
+        values.extend(self.class_values());
+        values.extend(self.tenant_values());
+        let is_invalid = |checked: &CheckedValue| !checked.value.is_finite() || checked.value < 0.0;
+        match values.into_iter().find(is_invalid) {
             None => Ok(()),
-            Some(Figure { path, .. }) => {
+            Some(CheckedValue { path, .. }) => {
                 Err(SettingsError { field: path, reason: "is missing, negative, not finite or out of range" })
             }
         }
     }
 
-    fn fixed_figures(&self) -> Vec<Figure> {
+    fn instance_values(&self) -> Vec<CheckedValue> {
         let instances = f64::from(self.instance_count);
         let rules = &self.rules;
-        let figures = [
+        let values = [
             ("copies", instances - 1.0),
             ("copy", instances - f64::from(self.instance_index) - 1.0),
             ("tick", self.tick_ms),
@@ -50,21 +49,24 @@
             ("list_guard.panic_threshold", 1.0 - self.list_guard.panic_threshold),
             ("list_guard.hold", self.list_guard.confirm_after_ms),
         ];
-        figures.map(|(path, value)| Figure { path: path.into(), value }).into()
+        values.map(|(path, value)| CheckedValue { path: path.into(), value }).into()
     }
 
-    fn class_figures(&self) -> impl Iterator<Item = Figure> {
+    fn class_values(&self) -> impl Iterator<Item = CheckedValue> {
         self.classes.iter().enumerate().flat_map(|(i, class)| {
             let objective_ms = class.latency_objective_ms - MIN_LATENCY_OBJECTIVE_MS;
             [
-                Figure { path: format!("classes[{i}].aim"), value: objective_ms },
-                Figure { path: format!("classes[{i}].points"), value: class.priority_weight },
+                CheckedValue { path: format!("classes[{i}].aim"), value: objective_ms },
+                CheckedValue { path: format!("classes[{i}].points"), value: class.priority_weight },
             ]
         })
     }
 
-    fn tenant_figures(&self) -> impl Iterator<Item = Figure> {
+    fn tenant_values(&self) -> impl Iterator<Item = CheckedValue> {
         let path = |i| format!("tenants[{i}].quota_per_s");
-        self.tenants.iter().enumerate().map(move |(i, t)| Figure { path: path(i), value: t.quota_per_s })
+        self.tenants
+            .iter()
+            .enumerate()
+            .map(move |(i, t)| CheckedValue { path: path(i), value: t.quota_per_s })
     }
 }
--- a/src/balancer/introspection.rs
+++ b/src/balancer/introspection.rs
@@ -1,29 +1,30 @@
-//! Introspection: figures for operators about an instance's endpoints. Nothing here changes a decision.
+//! Introspection: statistics for operators about an instance's endpoints, without any effect on decisions.
 
 use super::Balancer;
 use super::endpoints::Endpoint;
 use crate::interface::*;
 
-/// Error rate from which an endpoint gets clearly fewer calls.
+/// Error rate above which an endpoint gets noticeably fewer calls.
 const NOTICEABLE_ERROR_RATE: f64 = 0.01;
 
 impl Balancer {
-    /// Whether the backend is listed, or still has calls of this instance in flight.
+    /// Returns whether the backend is listed or still has calls of this instance in flight.
     pub fn knows(&self, backend: BackendId) -> bool {
         self.endpoints.contains_key(&backend)
     }
 
-    /// Whether the backend is listed.
+    /// Returns whether the backend is listed, or stays in service while its removal is suspected.
     pub fn lists(&self, backend: BackendId) -> bool {
         self.endpoints.get(&backend).is_some_and(|endpoint| !endpoint.is_gone())
     }
 
-    /// How many backends stay in service though the list lacks them, as in the [`Balancer::census`].
+    /// Returns the number of backends that stay in service although the list lacks them, as in
+    /// [`Balancer::census`].
     pub fn unlisted(&self) -> usize {
         self.endpoint_set.suspected_removals.len()
     }
 
-    /// How many backends are listed, and how many of them this instance avoids.
+    /// Counts the backends that are listed, that get no ordinary work, and that stay in service unlisted.
     pub fn census(&self) -> Census {
         let listed = self.endpoints.iter().map(|(_, endpoint)| endpoint).filter(|e| !e.is_gone());
         let is_excluded = |e: &&Endpoint| e.entry.phase == Phase::Draining || e.ejected();
@@ -31,13 +32,13 @@
         Census { listed: listed.clone().count(), excluded: listed.filter(is_excluded).count(), unlisted }
     }
 
-    /// The route table's weights that selection follows, of all backends that take work.
+    /// Returns the route table weights that selection uses, for all backends that take work.
     pub fn weights(&self) -> impl Iterator<Item = (BackendId, f64)> {
         self.endpoint_set.members.iter().map(|id| (*id, self.endpoints[id].route_weight))
     }
 
-    /// Which share of the calls each listed backend gets, and why it is less than its weight says.
-    pub fn standings(&self, now_ms: f64) -> impl Iterator<Item = (BackendId, TrafficShare)> {
+    /// Returns, for each listed backend, whether it gets its full share of the calls or why it gets less.
+    pub fn traffic_shares(&self, now_ms: f64) -> impl Iterator<Item = (BackendId, TrafficShare)> {
         let listed = self.endpoints.iter().filter(|(_, endpoint)| !endpoint.is_gone());
         listed.map(move |(id, endpoint)| (*id, self.traffic_share(now_ms, *id, endpoint)))
     }
--- a/src/balancer/key_order.rs
+++ b/src/balancer/key_order.rs
@@ -1,14 +1,13 @@
-//! Order by key: requests of an ordered class with the same key run one at a time, in the order of arrival.
-//!
-//! Each key with open requests has a queue. Only its head may be dispatched; when the head has ended with all
-//! its attempts, the next one joins the queue of its slice like any other request. After an attempt that may
-//! still be running, the key is blocked for a time that the settings give.
+//! Key order: requests of ordered classes with the same key run one at a time, in the order of arrival. Each
+//! key with open requests has a queue, and only its head may be dispatched. When the head and all its
+//! attempts have ended, the next request joins the queue of its slice like any other. After an attempt that
+//! may still be running, the key is blocked for `key_settle_ms`.
 
 use super::Balancer;
 use crate::interface::{Action, Outcome, RequestId};
 use std::collections::VecDeque;
 
-/// The open requests of a key, in the order of arrival.
+/// Open requests of one key, in the order of arrival.
 #[derive(Default)]
 pub(super) struct KeyQueue {
     ids: VecDeque<RequestId>,
@@ -17,7 +16,7 @@
 }
 
 impl Balancer {
-    /// Appends a request to its key's queue; returns whether it must wait there. Key 0 is no key.
+    /// Appends a request to its key's queue and returns whether it must wait there. Key 0 means no key.
     pub(super) fn join_key_queue(&mut self, key: u64, id: RequestId) -> bool {
         if key == 0 {
             return false;
@@ -29,16 +28,16 @@
         waits
     }
 
-    /// Removes a request whose attempts have all ended, and dispatches the next of its key.
+    /// Removes a request whose attempts have all ended, and dispatches the next request of its key.
     pub(super) fn leave_key_queue(&mut self, now_ms: f64, key: u64, id: RequestId) {
         let Some(queue) = self.key_queues.get_mut(&key) else { return };
-        // Only the head can have been sent.
+        // Requests behind the head have not been dispatched, so their end leaves the head's state unchanged.
         queue.head_dispatched &= queue.ids.front() != Some(&id);
         queue.ids.retain(|&other| other != id);
         self.dispatch_key_head(now_ms, key);
     }
 
-    /// Blocks a key after an attempt that may still be running, until the settings' settling time is over.
+    /// Blocks a key for `key_settle_ms` after an attempt that may still be running.
     pub(super) fn block_key_after(&mut self, now_ms: f64, key: u64, outcome: Outcome) {
         let may_run = matches!(outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled);
         if may_run && let Some(queue) = self.key_queues.get_mut(&key) {
@@ -63,7 +62,7 @@
         }
     }
 
-    /// On a tick, gives up the requests that waited too long for their key.
+    /// Gives up, on a tick, the requests that have waited too long for their key.
     pub(super) fn shed_overdue_in_key_queues(&mut self, now_ms: f64, out: &mut Vec<Action>) {
         let overdue = |id: &RequestId| self.requests.get(id).is_some_and(|r| now_ms >= r.queue_deadline_ms);
         let waiting =
@@ -73,7 +72,7 @@
         }
     }
 
-    /// On a tick, dispatches the heads of keys that are blocked no longer.
+    /// Dispatches, on a tick, the heads of keys that are no longer blocked.
     pub(super) fn dispatch_key_heads(&mut self, now_ms: f64) {
         for key in self.key_queues.keys().copied().collect::<Vec<_>>() {
             self.dispatch_key_head(now_ms, key);
--- a/src/balancer/list_guard.rs
+++ b/src/balancer/list_guard.rs
@@ -1,41 +1,41 @@
-//! The list guard: when the removals of an update are not believed, and what confirms them.
-//!
-//! A list service that has lost its state removes nearly all endpoints at once. Such removals are suspected:
-//! the endpoints stay in service, judged by their own calls, and the full list is asked for again. A removal
-//! is confirmed when full lists have lacked the endpoint for the time that the settings give, or when the
-//! endpoint cannot be connected to. Draining is always believed.
+//! The list guard: defers suspicious removals from the endpoint list until they are confirmed. A list service
+//! that has lost its state removes nearly all endpoints at once. The endpoints of such removals stay in
+//! service, judged by their own calls, and the full list is requested again. A removal is confirmed when full
+//! lists have lacked the endpoint for the configured time, or when connects to the endpoint fail. Draining is
+//! always applied at once.
 
 use super::endpoints::Endpoint;
 use super::{Balancer, Timer};
 use crate::interface::*;
 
-/// Error rate over which a failed connect confirms a removal: one failed connect alone does not reach it.
+/// Error rate above which a failed connect confirms a removal; one failed connect alone does not reach it.
 const CONFIRMING_ERROR_RATE: f64 = 0.5;
 
 /// State of the list guard.
 #[derive(Default)]
 pub(super) struct ListGuardState {
-    /// Whether the timer for asking for the full list is set.
+    /// Whether the timer for requesting the full list is set.
     resync_timer_set: bool,
 }
 
 impl Endpoint {
-    /// Whether a failed connect to it confirms its suspected removal: the list and its connects agree.
+    /// Returns whether a failed connect confirms the endpoint's suspected removal, because the list and the
+    /// connects agree.
     pub(super) fn confirms_removal(&self) -> bool {
         self.unlisted_since_ms.is_some() && self.error_rate > CONFIRMING_ERROR_RATE
     }
 }
 
 impl Balancer {
-    /// Withdraws the members that the list has as draining or lacks, unless their removal is suspected.
+    /// Withdraws the members that the list reports as draining or lacks, unless their removal is suspected.
     ///
-    /// Failure: a list service that has lost its state would take all endpoints out of service. Inputs: the
-    /// share of the members that an update leaves against the guard's threshold, and how long (ms) an
-    /// endpoint has been missing. An update of single entries confirms no suspected removal.
+    /// Guards against a list service that has lost its state, which would take all endpoints out of service.
+    /// Inputs: the share of the members that an update leaves, against the guard's threshold, and the time
+    /// (ms) for which an endpoint has been missing. A delta confirms no suspected removal.
     pub(super) fn apply_removals(&mut self, now_ms: f64, kind: ListKind, out: &mut Vec<Action>) {
         let guard = self.settings.list_guard;
-        let max_left = guard.panic_threshold * self.endpoint_set.members.len() as f64;
-        let too_few_left = guard.panic_threshold > 0.0 && self.believed_after_update() as f64 <= max_left;
+        let panic_count = guard.panic_threshold * self.endpoint_set.members.len() as f64;
+        let too_few_left = guard.panic_threshold > 0.0 && self.count_after_update() as f64 <= panic_count;
         let members = self.endpoint_set.changed.iter().filter(|id| self.endpoint_set.has(**id));
         for id in members.copied().collect::<Vec<_>>() {
             let Some(endpoint) = self.endpoints.get_mut(&id).filter(|e| !e.is_ready()) else { continue };
@@ -55,22 +55,23 @@
                 self.close_idle_if_draining(id, out);
             }
         }
-        self.resync_later(out);
+        self.schedule_resync(out);
     }
 
-    /// How many endpoints are listed and take work, by an update that is not applied to the members yet.
-    fn believed_after_update(&self) -> usize {
+    /// Counts the endpoints that are listed and take work according to an update that is not applied to the
+    /// members yet.
+    fn count_after_update(&self) -> usize {
         let set = &self.endpoint_set;
-        let believed = |id: &&BackendId| set.has(**id) && !set.suspected_removals.contains(id);
+        let was_counted = |id: &&BackendId| set.has(**id) && !set.suspected_removals.contains(id);
         let takes_work = |endpoint: &&Endpoint| endpoint.is_ready() && endpoint.unlisted_since_ms.is_none();
-        let before = set.changed.iter().filter(believed).count();
+        let before = set.changed.iter().filter(was_counted).count();
         let after = set.changed.iter().filter_map(|id| self.endpoints.get(id)).filter(takes_work).count();
         set.members.len() - set.suspected_removals.len() - before + after
     }
 
-    /// Sets the timer for asking for the full list while removals are suspected; with jitter, since instances
-    /// that lost the list together would ask together.
-    fn resync_later(&mut self, out: &mut Vec<Action>) {
+    /// Sets the timer for requesting the full list while removals are suspected. The delay has jitter, since
+    /// instances that lost the list together would otherwise request it together.
+    fn schedule_resync(&mut self, out: &mut Vec<Action>) {
         if self.endpoint_set.suspected_removals.is_empty() {
             return;
         }
@@ -81,16 +82,16 @@
         }
     }
 
-    /// Asks for the full list, and sets the timer again, if removals are still suspected.
+    /// Requests the full list and sets the timer again if removals are still suspected.
     pub(super) fn on_resync_timer(&mut self, out: &mut Vec<Action>) {
         self.list_guard.resync_timer_set = false;
-        self.resync_later(out);
+        self.schedule_resync(out);
         if self.list_guard.resync_timer_set {
             out.push(Action::Resync);
         }
     }
 
-    /// On a tick, withdraws the members whose suspected removal was confirmed by their own calls.
+    /// Withdraws, on a tick, the members whose suspected removal was confirmed by failed connects.
     pub(super) fn withdraw_confirmed_removals(&mut self, now_ms: f64, out: &mut Vec<Action>) {
         let is_gone = |id: &BackendId| self.endpoints.get(id).is_some_and(Endpoint::is_gone);
         let changed = self.endpoint_set.changed.iter().copied();
--- a/src/balancer/list_updates.rs
+++ b/src/balancer/list_updates.rs
@@ -1,8 +1,6 @@
-//! The endpoint list: how updates of it and of the route table's weights are applied, and when the list is
-//! asked for.
-//!
-//! It acts when the list or the route table changes, and when the subscription timer fires. Whether the
-//! removals of an update are believed is decided in `list_guard`.
+//! Updates of the endpoint list and of the route table's weights: applies them when they arrive, and
+//! subscribes to the list when the subscription timer fires. `list_guard` decides whether the removals of an
+//! update are applied at once.
 
 use super::endpoints::Endpoint;
 use super::fleet_share::GOLDEN_RATIO;
@@ -11,28 +9,29 @@
 use crate::interface::*;
 use std::collections::BTreeMap;
 
-// A change must be known 6 s after discovery has it, however long asking may be put off otherwise: three
-// calls that fail, and the pauses before and after them, fit in. The first call is made within 2 s, each
-// further one within 1 s.
-/// Longest time (ms) that the first call is spread over, before the share that is drawn of it.
+// A change must be known 6 s after discovery has it, even if the settings allow a longer silence. Three
+// failed calls and the delays before and after them fit into that time: the first call is made within 2 s,
+// each further one within 1 s.
+/// Upper bound (ms) of the time of which the delay before the first call is a random share.
 const FIRST_CALL_MAX_MS: f64 = 5000.0;
-/// Longest time (ms) that a repeated call is spread over, before the share that is drawn of it.
+/// Upper bound (ms) of the time of which the delay before a repeated call is a random share.
 const REPEATED_CALL_MAX_MS: f64 = 1500.0;
-/// Share of that time within which the first call is made.
+/// Largest share of [`FIRST_CALL_MAX_MS`], or of a shorter longest silence, that delays the first call.
 const FIRST_CALL_SHARE: f64 = 0.4;
-/// Share of that time after which a call that failed is repeated, before backoff and jitter.
+/// Share of [`REPEATED_CALL_MAX_MS`], or of a shorter longest silence, that delays the repetition of a failed
+/// call, before backoff and jitter.
 const REPEATED_CALL_SHARE: f64 = 0.1;
 /// Largest factor of the backoff.
 const MAX_BACKOFF: f64 = 4.0;
-/// Range of the offsets that are derived from endpoint ids; a prime.
+/// Number of distinct offsets that are derived from endpoint ids; a prime.
 const ID_OFFSETS: u32 = 8191;
 
-/// When the list is asked for, and the weights that the route table gives.
+/// State of the list subscription, and the weights from the route table.
 pub(super) struct ListUpdates {
     backoff: f64,
     /// Whether the timer for the next call is set.
     pub(super) subscribe_timer_set: bool,
-    /// Weights of the route table, of endpoints that are listed or not.
+    /// Route table weights by endpoint, including endpoints that are not listed.
     route_weights: BTreeMap<BackendId, f64>,
 }
 
@@ -41,16 +40,16 @@
         ListUpdates { backoff: 1.0, subscribe_timer_set: false, route_weights: BTreeMap::new() }
     }
 
-    /// An endpoint's weight in the route table; 1 if it has none there.
+    /// Returns an endpoint's weight in the route table, or 1 if it has none there.
     fn route_weight(&self, id: BackendId) -> f64 {
         self.route_weights.get(&id).copied().unwrap_or(1.0)
     }
 }
 
 impl Balancer {
-    /// Subscribes to the list at the start, where it must be asked for: at once if the first event was an
-    /// empty list, since nothing can be served without one; else after a random delay, since instances that
-    /// start together would overload discovery.
+    /// Subscribes to the list at start, where the settings require it: at once if the first event is an empty
+    /// list, since nothing can be served without endpoints; otherwise after a random delay, since instances
+    /// that start together would overload discovery.
     pub(super) fn subscribe_at_start(&mut self, first: &Event, out: &mut Vec<Action>) {
         if !self.settings.must_subscribe {
             return;
@@ -60,26 +59,27 @@
             return;
         }
         let share = FIRST_CALL_SHARE * self.rng.f64();
-        self.subscribe_later(share, FIRST_CALL_MAX_MS, out);
+        self.schedule_call(share, FIRST_CALL_MAX_MS, out);
     }
 
-    /// Sets the timer for the next call to a share of `max_ms`, or of the longest silence if that is shorter.
-    fn subscribe_later(&mut self, share: f64, max_ms: f64, out: &mut Vec<Action>) {
+    /// Sets the timer for the next call to a share of `max_ms`, or of the longest silence if that is shorter,
+    /// unless it is already set.
+    fn schedule_call(&mut self, share: f64, max_ms: f64, out: &mut Vec<Action>) {
         if !std::mem::replace(&mut self.list_updates.subscribe_timer_set, true) {
             let delay_ms = share * self.settings.rules.max_silence_ms.min(max_ms);
             out.push(Timer::Subscribe.set(delay_ms));
         }
     }
 
-    /// Repeats a call that failed, with jitter and backoff: instances that failed together do not call
-    /// together.
+    /// Schedules the repetition of a failed call with backoff and jitter, so that instances whose calls
+    /// failed together do not repeat them together.
     fn repeat_failed_call(&mut self, out: &mut Vec<Action>) {
         let share = REPEATED_CALL_SHARE * self.list_updates.backoff * (0.5 + self.rng.f64());
         self.list_updates.backoff = (self.list_updates.backoff * 2.0).min(MAX_BACKOFF);
-        self.subscribe_later(share, REPEATED_CALL_MAX_MS, out);
+        self.schedule_call(share, REPEATED_CALL_MAX_MS, out);
     }
 
-    /// Applies the list, or changes to it.
+    /// Applies a full list or a delta, or schedules a new call after a failed one.
     pub(super) fn on_list(
         &mut self,
         now_ms: f64,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Applies an entry to its endpoint's record. A new process starts without what was measured of the old
+    /// Applies an entry to its endpoint's record. A new process starts without the measurements of the old
     /// one.
     fn apply_entry(&mut self, now_ms: f64, entry: Entry, out: &mut Vec<Action>) {
         let id = entry.backend;
@@ -119,7 +119,7 @@
         self.endpoint_set.changed.insert(id);
         let endpoint = self.endpoints.get_or_insert(id);
         if entry.phase == Phase::Gone {
-            // The rest of its entry may still be needed: the removal may turn out wrong.
+            // The rest of the old entry is kept: the removal may turn out to be wrong.
             endpoint.entry.phase = Phase::Gone;
             if !self.endpoint_set.has(id) {
                 self.close_idle_if_draining(id, out);
@@ -127,8 +127,8 @@
             return;
         }
         if !known || endpoint.entry.started_at_ms != entry.started_at_ms {
-            // Instances that learn of it together begin its warm-up budget at different offsets, so that
-            // their first sends do not coincide.
+            // Instances that learn of the process together start its warm-up budget at different offsets, so
+            // that their first sends do not coincide.
             let index = f64::from(self.settings.instance_index);
             let offset = (index + f64::from(id % ID_OFFSETS)) * GOLDEN_RATIO;
             *endpoint = Endpoint {
@@ -147,8 +147,8 @@
         self.close_idle_if_draining(id, out);
     }
 
-    /// Applies the changes to the set of endpoints that take work, and what follows from them. An endpoint
-    /// that is gone is forgotten once its calls are over.
+    /// Applies the noted changes to the set of endpoints that take work, and updates the weights and the
+    /// subset. The record of a removed endpoint is dropped once its calls are over.
     pub(super) fn update_endpoint_set(&mut self, now_ms: f64) {
         let mut changed = std::mem::take(&mut self.endpoint_set.changed);
         changed.retain(|id| {
@@ -167,7 +167,7 @@
         self.resize_subset(now_ms, 0.0);
     }
 
-    /// Applies the route table's weights; those that are not finite or negative are left out.
+    /// Applies the route table's weights; weights that are negative or not finite are ignored.
     pub(super) fn on_route_weights(&mut self, now_ms: f64, weights: Vec<(BackendId, f64)>) {
         let usable = |weight: f64| weight.is_finite() && weight >= 0.0;
         self.list_updates.route_weights = weights.into_iter().filter(|(_, weight)| usable(*weight)).collect();
@@ -180,8 +180,8 @@
         self.update_endpoint_set(now_ms);
     }
 
-    /// Closes idle connections to a draining endpoint: when its draining is known, and after each outcome
-    /// there.
+    /// Closes idle connections to an endpoint that is draining or removed: called when that becomes known and
+    /// after each outcome at the endpoint.
     pub(super) fn close_idle_if_draining(&self, id: BackendId, out: &mut Vec<Action>) {
         let draining = self.endpoints.get(&id).is_some_and(|endpoint| !endpoint.is_ready());
         if draining && self.settings.rules.idle_close_within_ms > 0.0 {
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,8 +1,6 @@
 //! The decisions of a proxy instance, without I/O: whether a request is sent, queued or shed, which endpoint
-//! gets it, and whether it is retried.
-//!
-//! [`Balancer`] holds the state of each rule, one part a module, and passes each event to the rule that
-//! handles it. The interface (settings, events, actions) is in `interface`.
+//! gets it, and whether it is retried. [`Balancer`] holds the state of all rules, one module per rule, and
+//! passes each event to the rule that handles it. Settings, events and actions are defined in `interface`.
 
 mod admission;
 mod class_latency;
@@ -51,17 +49,17 @@
 use crate::interface::*;
 use std::collections::{BTreeMap, HashMap};
 
-/// The decisions of one proxy instance. See the crate's documentation for how a proxy drives it.
+/// The load balancer of one proxy instance. The crate's documentation shows how a proxy drives it.
 pub struct Balancer {
     settings: Settings,
     rng: fastrand::Rng,
     started: bool,
     last_tick_ms: f64,
-    /// Looked up, never iterated: its order decides nothing.
+    /// Open requests by id. The map is never iterated, because its order is not deterministic.
     requests: HashMap<RequestId, Request>,
     admission: Admission,
     tenant_buckets: Vec<TokenBucket>,
-    /// By key of an ordered class.
+    /// Queues of the open requests of ordered classes, by key.
     key_queues: BTreeMap<u64, KeyQueue>,
     concurrency_limit: ConcurrencyLimit,
     retry_budget: RetryBudget,
@@ -78,7 +76,8 @@
 }
 
 impl Balancer {
-    /// Starts an instance without endpoints; `seed` seeds its only source of random numbers.
+    /// Creates a balancer without endpoints; `seed` seeds its only source of random numbers. Fails if the
+    /// settings are invalid.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         let prefers_local = ZoneSpill::prefers_local_zone(settings.goal.cross_zone_price);
@@ -106,7 +105,7 @@
         })
     }
 
-    /// Takes one event at clock time `now_ms` and appends the actions that follow from it.
+    /// Handles one event at clock time `now_ms` and appends the resulting actions to `out`.
     pub fn handle(&mut self, now_ms: f64, event: Event, out: &mut Vec<Action>) {
         if !self.started {
             self.start(now_ms, &event, out);
@@ -129,7 +128,7 @@
         self.send_queued(now_ms, out);
     }
 
-    /// Sets the first timers, on the first event.
+    /// Sets the first timers when the first event arrives.
     fn start(&mut self, now_ms: f64, first: &Event, out: &mut Vec<Action>) {
         self.started = true;
         self.last_tick_ms = now_ms;
@@ -138,7 +137,7 @@
         self.subscribe_at_start(first, out);
     }
 
-    /// A timer fired; tokens that no timer has are ignored.
+    /// Handles a timer that fired; unknown tokens are ignored.
     fn on_timer(&mut self, now_ms: f64, token: u64, out: &mut Vec<Action>) {
         match Timer::from_token(token) {
             Some(Timer::Tick) => self.tick(now_ms, out),
--- a/src/balancer/observation.rs
+++ b/src/balancer/observation.rs
@@ -1,6 +1,5 @@
-//! Observation: what the outcome of an attempt shows of its endpoint, its zone and the concurrency limit.
-//!
-//! It acts once for each attempt that ends. The conditions of ejection and return are in `outlier_detection`.
+//! Recording of attempt outcomes: each attempt that ends updates the statistics of its endpoint, its zone and
+//! the concurrency limit. The conditions for ejection and return are in `outlier_detection`.
 
 use super::Balancer;
 use super::class_latency::MAX_RELATIVE_LATENCY;
@@ -8,14 +7,14 @@
 use super::outlier_detection::ERROR_SMOOTHING;
 use crate::interface::*;
 
-/// Smallest mean latency (ms) to divide by.
+/// Lower bound of a mean latency (ms) used as a divisor.
 const MIN_MEAN_MS: f64 = 0.001;
 
 impl Balancer {
     /// Records the outcome of an attempt that was sent at `sent_ms`.
     ///
-    /// An attempt that its client cancelled after more than the mean latency counts as at least that slow: it
-    /// shows the state of its endpoint and zone, but not of the limit, which silent backends would shrink.
+    /// An attempt that was cancelled after more than the mean latency counts as at least that slow for its
+    /// endpoint and zone, but not for the concurrency limit, which silent backends would otherwise shrink.
     pub(super) fn record_outcome(&mut self, now_ms: f64, resolved: &Resolved, class: usize, sent_ms: f64) {
         let id = resolved.backend;
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
@@ -42,7 +41,8 @@
             }
             Outcome::Reset => self.record_failure(now_ms, id, false),
             Outcome::ConnectFailed => {
-                // An endpoint that is down shows nothing of the load: only one that is else well does.
+                // A failed connect indicates load only at an endpoint that is otherwise healthy; one that is
+                // down says nothing about the load.
                 if endpoint.error_rate < ERROR_SMOOTHING {
                     limit.record_drop();
                 }
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Records the latency of an answer, or of a call that was cancelled late.
+    /// Records the latency of a successful answer, or of a call that was cancelled late.
     fn record_latency(&mut self, now_ms: f64, resolved: &Resolved, class: usize) {
         let Some(endpoint) = self.endpoints.get_mut(&resolved.backend) else { return };
         let served = resolved.outcome == Outcome::Ok;
@@ -74,13 +74,13 @@
         }
         if served && endpoint.passes_trial(relative_latency) {
             endpoint.return_to_service(relative_latency);
-            self.endpoint_set.note_service(resolved.backend, endpoint);
+            self.endpoint_set.update_degraded(resolved.backend, endpoint);
         } else if endpoint.is_too_slow(now_ms) {
             self.eject(now_ms, resolved.backend);
         }
     }
 
-    /// Records a call that failed.
+    /// Records a failed call; it may confirm a suspected removal or eject the endpoint.
     fn record_failure(&mut self, now_ms: f64, id: BackendId, connect_failed: bool) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         self.outliers.record_error(endpoint, connect_failed);
--- a/src/balancer/ordered_sum.rs
+++ b/src/balancer/ordered_sum.rs
@@ -1,11 +1,11 @@
-//! Exact sums and searches over long sorted rows, at the cost of the entries that differ and not of the row.
-//!
-//! The sums are rounded as if all entries were added one by one, so that which entries are stored one by one
-//! changes no decision.
+//! Sums and searches over long sorted sequences, at a cost that depends on the entries that differ from 1 and
+//! not on the length. The sums are rounded as if all entries were added one by one, so that the choice of the
+//! entries that are stored individually changes no decision.
 
 use crate::interface::BackendId;
 
-/// Index of the first id that is not less than `id`, at `from` or later; quick if it is near `from`.
+/// Returns the index of the first id, at `from` or later, that is not less than `id`, by galloping search:
+/// the cost grows with the logarithm of the distance from `from`.
 pub(super) fn lower_bound_from(ids: &[BackendId], mut from: usize, id: BackendId) -> usize {
     let mut step = 1;
     while ids.get(from + step).is_some_and(|other| *other < id) {
@@ -16,7 +16,7 @@
     from + ids[from..end].partition_point(|other| *other < id)
 }
 
-/// A sum over a row of ones, except for the entries that are added one by one.
+/// Sum of a sequence whose entries are 1, except for those that are added individually.
 #[derive(Default, Clone, Copy)]
 pub(super) struct OrderedSum {
     sum: f64,
@@ -24,19 +24,19 @@
 }
 
 impl OrderedSum {
-    /// Adds the entry of that rank, which is higher than the ranks added before; entries between them are 1.
+    /// Adds the entry at `rank`, which must be higher than all ranks added before; entries in between are 1.
     pub(super) fn add(&mut self, rank: usize, value: f64) {
         self.sum = add_ones(self.sum, rank - self.next) + value;
         self.next = rank + 1;
     }
 
-    /// The sum over a row of that length.
+    /// Returns the sum of a sequence of `length` entries.
     pub(super) fn total(self, length: usize) -> f64 {
         add_ones(self.sum, length - self.next)
     }
 }
 
-/// Adds 1 `ones` times. Up to the next power of two no addition is rounded, and they are done in one step.
+/// Adds 1 to `sum` `ones` times. Additions below the next power of two are exact and done in one step.
 fn add_ones(mut sum: f64, mut ones: usize) -> f64 {
     const EXACT: f64 = (1_u64 << 52) as f64;
     while ones > 0 && sum + 1.0 != sum {
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -1,21 +1,21 @@
-//! Outlier detection: when an endpoint is ejected from service, and how it returns.
+//! Outlier detection: ejects endpoints from service and returns them after a successful trial.
 //!
 //! An endpoint is ejected
 //! - for errors, after a failed call: its error rate is over max(0.35, min(3 e, (1 + e) / 2)), where e is
 //!   the error rate over all endpoints;
-//! - for slowness, after an answer or a late cancellation: its mean relative latency is over 2.5, by more
-//!   than eight samples;
-//! - for a hang, on a tick: it is silent while others answer, for so long that eight answers were due.
+//! - for slowness, after an answer or a late cancellation: its mean relative latency is over 2.5, measured
+//!   over more than eight samples;
+//! - for a hang, on a tick: it has been silent while others answer for so long that eight answers were due.
 //!
-//! At most half of the endpoints are ejected, but always one may be: beyond that the cause is shared, and
-//! none is at fault.
+//! At most half of the endpoints are ejected, though one always may be: beyond that the cause is shared and
+//! no single endpoint is at fault.
 //!
-//! It stays out for 2 s, doubled with each further ejection up to 16 s. Then it may get a trial: one request
-//! at a time, of a class that may run twice. A successful answer with an error rate below 0.15 and a relative
-//! latency below 1.25 returns it to service. An error, a reset or a failed connect ejects it again, as does a
-//! trial that is too slow or hangs; any other end leaves it ejected and due for the next trial. Calls that
-//! were in flight at the ejection count alike: their failures lengthen it, their good answers may end it
-//! early.
+//! An ejection lasts 2 s, doubled with each further ejection up to 16 s. Then the endpoint may get a trial:
+//! one request at a time, of a class that may run twice. A successful answer with an error rate below 0.15
+//! and a relative latency below 1.25 returns it to service. An error, a reset or a failed connect ejects it
+//! again, as does a trial that is too slow or hangs; any other outcome leaves it ejected and due for the next
+//! trial. Calls that were in flight at the ejection count alike: their failures prolong it, and their
+//! successful answers may end it early.
 
 use super::Balancer;
 use super::endpoints::{Endpoint, Endpoints};
@@ -26,79 +26,82 @@
 pub(super) const ERROR_SMOOTHING: f64 = 0.125;
 /// Weight of a trial's success in the error rate of an ejected endpoint.
 const TRIAL_ERROR_SMOOTHING: f64 = 0.5;
-/// Weight of one outcome in the error rate of all endpoints.
+/// Weight of one outcome in the error rate over all endpoints.
 const OVERALL_ERROR_SMOOTHING: f64 = 0.02;
-/// Weight of a failed connect in an endpoint's error rate, as a multiple of another error's.
+/// Weight of a failed connect in an endpoint's error rate, as a multiple of any other error's weight.
 const CONNECT_FAILURE_WEIGHT: f64 = 3.0;
-/// Error rate over which an endpoint is ejected.
+/// Error rate above which an endpoint is ejected.
 const EJECTION_ERROR_RATE: f64 = 0.35;
-/// Multiple of the error rate of all endpoints that its own must exceed: below it the fault is shared.
+/// Multiple of the error rate over all endpoints that an ejected endpoint's own must exceed: below it the
+/// fault is shared.
 const EJECTION_ERROR_RATIO: f64 = 3.0;
 /// Error rate below which a successful trial returns an endpoint to service.
 const RETURN_ERROR_RATE: f64 = 0.15;
-/// Relative latency over which an endpoint is ejected: overloaded, it recovers only without calls.
+/// Relative latency above which an endpoint is ejected: an overloaded one recovers only without calls.
 const EJECTION_RELATIVE_LATENCY: f64 = 2.5;
 /// Relative latency of a trial below which an endpoint returns to service.
 const RETURN_RELATIVE_LATENCY: f64 = EJECTION_RELATIVE_LATENCY / 2.0;
-/// Answers that must have been measured for an ejection for slowness.
+/// Number of measured answers that an ejection for slowness requires more than.
 const MIN_SLOW_SAMPLES: f64 = 8.0;
-/// Answers over which an endpoint's relative latency is averaged.
+/// Number of answers over which an endpoint's relative latency is averaged.
 const RELATIVE_LATENCY_SAMPLES: f64 = 24.0;
-/// Answers of an average endpoint that are added to them, so that the first ones weigh little.
+/// Number of average answers assumed in advance of the measured ones, so that the first ones weigh little.
 const PRIOR_SAMPLES: f64 = 4.0;
-/// Standard errors over the median from which an endpoint counts as slower.
+/// Number of standard errors above the median from which an endpoint counts as slower.
 const SLOWER_Z_SCORE: f64 = 2.6;
-/// Standard errors below the median from which an endpoint counts as faster.
+/// Number of standard errors below the median from which an endpoint counts as faster.
 const FASTER_Z_SCORE: f64 = 1.7;
-/// Turns by which the fair turn of an endpoint is delayed that is almost significantly slower.
+/// Delay, in turns, of the fair turn of an endpoint that is almost significantly slower.
 const SUSPECTED_SLOW_DELAY: f64 = 8.0;
-/// Smallest squared coefficient of variation of the latencies that is assumed.
+/// Lower bound of the squared coefficient of variation of the latencies.
 const MIN_CV_SQUARED: f64 = 0.04;
-/// Answers over which the squared coefficient of variation is averaged.
+/// Number of answers over which the squared coefficient of variation is averaged.
 const CV_SQUARED_SAMPLES: f64 = 200.0;
 /// Duration (ms) of the first ejection.
 const FIRST_EJECTION_MS: f64 = 2000.0;
-/// Most times that the duration is doubled.
+/// Largest number of times that the ejection duration is doubled.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
-/// Largest share of the endpoints that is ejected.
+/// Largest share of the endpoints that may be ejected at once.
 const MAX_EJECTED_SHARE: f64 = 0.5;
-/// Expected answers that a silent endpoint must have missed to count as hung.
+/// Number of expected answers that a silent endpoint must have missed to count as hung.
 const HUNG_AFTER_MISSED_ANSWERS: f64 = 8.0;
-/// Mean latencies for which it must have been silent.
+/// Minimum silence of a hung endpoint, as a multiple of the mean latency.
 const HUNG_MIN_SILENT_MEANS: f64 = 2.0;
-/// Largest share of its silence for which all endpoints are silent: else this instance itself was paused.
+/// Largest share of a hung endpoint's silence during which all endpoints may be silent: a longer common
+/// silence means that this instance itself was paused.
 const MAX_SHARED_SILENCE: f64 = 0.25;
 
-/// What endpoints are compared with.
+/// Statistics over all endpoints that each endpoint is compared with.
 pub(super) struct OutlierDetection {
     /// Error rate over all endpoints.
     pub(super) error_rate: f64,
-    /// When any endpoint answered last.
+    /// Time (ms) of the last answer from any endpoint.
     pub(super) last_answer_ms: f64,
-    /// Median of the relative latencies in the subset: one slow endpoint of few moves the mean, not the
-    /// median.
+    /// Median of the relative latencies in the subset; unlike the mean, it is not moved by one slow endpoint
+    /// among few.
     median_relative_latency: f64,
-    /// Whether the median must be computed again.
+    /// Whether the median must be recomputed.
     pub(super) median_outdated: bool,
     /// Squared coefficient of variation of the answers' latencies.
     latency_cv_squared: f64,
-    /// Endpoints with calls in flight, and some whose last call ended since the last tick.
+    /// Endpoints with calls in flight, including some whose last call ended since the last tick.
     pub(super) endpoints_with_calls: BTreeSet<BackendId>,
 }
 
 impl Endpoint {
-    /// Whether it may get a trial: its ejection is over and none is in flight. True also of an idle one in
-    /// service.
+    /// Returns whether the endpoint may get a trial: its ejection time is over and no call is in flight. Also
+    /// true of an idle endpoint in service.
     pub(super) fn is_due_for_trial(&self, now_ms: f64) -> bool {
         now_ms >= self.ejected_until_ms && self.calls.is_empty()
     }
 
-    /// Whether the last answer, a trial's or that of a call from before the ejection, returns it to service.
+    /// Returns whether the last answer, to a trial or to a call from before the ejection, returns the
+    /// endpoint to service.
     pub(super) fn passes_trial(&self, relative_latency: f64) -> bool {
         self.ejected() && self.error_rate < RETURN_ERROR_RATE && relative_latency < RETURN_RELATIVE_LATENCY
     }
 
-    /// Returns it to service; its latency is measured anew.
+    /// Returns the endpoint to service and restarts the measurement of its latency.
     pub(super) fn return_to_service(&mut self, relative_latency: f64) {
         self.ejected_until_ms = 0.0;
         self.ejections = 0;
@@ -106,7 +109,7 @@
         self.samples = 0.0;
     }
 
-    /// Whether it is ejected for slowness.
+    /// Returns whether the endpoint is to be ejected for slowness.
     pub(super) fn is_too_slow(&self, now_ms: f64) -> bool {
         now_ms >= self.ejected_until_ms
             && self.relative_latency > EJECTION_RELATIVE_LATENCY
@@ -126,32 +129,33 @@
         }
     }
 
-    /// An endpoint's relative latency over the median.
+    /// Returns the ratio of an endpoint's relative latency to the median.
     fn ratio_to_median(&self, endpoint: &Endpoint) -> f64 {
         endpoint.relative_latency / self.median_relative_latency
     }
 
-    /// Standard errors by which an endpoint's relative latency exceeds the median.
+    /// Returns the number of standard errors by which an endpoint's relative latency exceeds the median.
     fn z_score(&self, endpoint: &Endpoint) -> f64 {
         let variance = self.latency_cv_squared.max(MIN_CV_SQUARED) * endpoint.samples.max(1.0);
         let standard_error = variance.sqrt() / (endpoint.samples + PRIOR_SAMPLES);
         (self.ratio_to_median(endpoint) - 1.0) / standard_error
     }
 
-    /// An endpoint's relative latency over the median, where the difference is significant; else 1.
+    /// Returns the ratio of an endpoint's relative latency to the median, or 1 where the difference is not
+    /// significant.
     pub(super) fn significant_relative_latency(&self, endpoint: &Endpoint) -> f64 {
         let by_chance = (-FASTER_Z_SCORE..=SLOWER_Z_SCORE).contains(&self.z_score(endpoint));
         if by_chance { 1.0 } else { self.ratio_to_median(endpoint) }
     }
 
-    /// Virtual time of an endpoint's fair turn. One that may be slower is delayed, the more likely that
-    /// is: by the time that it has made up for the delay, more answers show whether it was chance.
+    /// Returns the virtual time of an endpoint's fair turn. The turn is delayed by how likely the endpoint is
+    /// to be slower: by the time the delay is made up for, more answers show whether it was chance.
     pub(super) fn fair_turn(&self, endpoint: &Endpoint) -> f64 {
         let suspicion = (self.z_score(endpoint) / SLOWER_Z_SCORE).clamp(0.0, 1.0);
         endpoint.virtual_finish + SUSPECTED_SLOW_DELAY * suspicion.powi(2)
     }
 
-    /// Records a latency over the mean of its class.
+    /// Records a call's latency relative to the mean of its class.
     pub(super) fn record_latency(&mut self, endpoint: &mut Endpoint, relative_latency: f64) {
         let deviation = (relative_latency / endpoint.relative_latency - 1.0).powi(2);
         self.latency_cv_squared += (deviation - self.latency_cv_squared) / CV_SQUARED_SAMPLES;
@@ -167,21 +171,21 @@
         endpoint.error_rate -= endpoint.error_rate * smoothing;
     }
 
-    /// Records a failed call; a failed connect has a higher weight.
+    /// Records a failed call; a failed connect weighs more.
     pub(super) fn record_error(&mut self, endpoint: &mut Endpoint, connect_failed: bool) {
         let weight = if connect_failed { CONNECT_FAILURE_WEIGHT } else { 1.0 };
         endpoint.error_rate += (1.0 - endpoint.error_rate) * ERROR_SMOOTHING * weight;
         self.error_rate += (1.0 - self.error_rate) * OVERALL_ERROR_SMOOTHING;
     }
 
-    /// Whether an endpoint whose call failed is ejected, or ejected again. Where most calls fail, three times
-    /// the overall error rate cannot be reached: half-way from it to 1 is enough.
+    /// Returns whether an endpoint whose call failed is to be ejected, or ejected again. Where most calls
+    /// fail, three times the overall error rate cannot be reached, so half-way from that rate to 1 is enough.
     pub(super) fn has_too_many_errors(&self, endpoint: &Endpoint) -> bool {
         let shared = (EJECTION_ERROR_RATIO * self.error_rate).min((1.0 + self.error_rate) / 2.0);
         endpoint.ejected() || endpoint.error_rate > shared.max(EJECTION_ERROR_RATE)
     }
 
-    /// Computes the median again, if a latency or the subset changed.
+    /// Recomputes the median if a latency or the subset has changed.
     pub(super) fn update_median(&mut self, subset: &[BackendId], endpoints: &Endpoints) {
         if !std::mem::take(&mut self.median_outdated) {
             return;
@@ -197,7 +201,8 @@
 }
 
 impl Balancer {
-    /// Ejects an endpoint, unless so many are ejected that the cause must be shared.
+    /// Ejects an endpoint, or prolongs its ejection, unless so many are ejected that the cause must be
+    /// shared.
     pub(super) fn eject(&mut self, now_ms: f64, id: BackendId) {
         let ejected = self.endpoint_set.ejected_count() as f64;
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
@@ -208,11 +213,11 @@
         let doublings = endpoint.ejections.min(MAX_EJECTION_DOUBLINGS);
         endpoint.ejected_until_ms = now_ms + FIRST_EJECTION_MS * f64::from(1 << doublings);
         endpoint.ejections += 1;
-        self.endpoint_set.note_service(id, endpoint);
+        self.endpoint_set.update_degraded(id, endpoint);
         self.release_stalled(now_ms, id, 0.0);
     }
 
-    /// Whether an endpoint is silent while others answer.
+    /// Returns whether an endpoint has been silent for too long while others answer.
     fn is_hung(&self, now_ms: f64, id: BackendId) -> bool {
         let Some(endpoint) = self.endpoints.get(&id) else { return false };
         let oldest_call_ms = endpoint.calls.front().map_or(now_ms, |call| call.sent_ms);
@@ -229,11 +234,11 @@
 
     /// Ejects endpoints that stay silent while others answer.
     ///
-    /// Failure: a process that hangs accepts connections and never answers, so its calls hold slots until
-    /// they time out. Inputs: the endpoint's calls in flight, its silence (ms), the mean latency (ms). By
-    /// Little's law `in_flight * silence / latency` answers were due. A pause of this proxy itself silences
-    /// all endpoints alike and ejects none. Endpoints are ejected in the subset's order, up to the largest
-    /// share.
+    /// Guards against hung processes: they accept connections and never answer, so their calls hold slots
+    /// until they time out. Inputs: the endpoint's calls in flight, its silence (ms), the mean latency (ms).
+    /// By Little's law `in_flight * silence / latency` answers were due. A pause of this proxy itself
+    /// silences all endpoints alike and ejects none. Endpoints are ejected in the subset's order, up to
+    /// [`MAX_EJECTED_SHARE`].
     pub(super) fn eject_hung_endpoints(&mut self, now_ms: f64) {
         let with_calls = &self.outliers.endpoints_with_calls;
         let hung = with_calls.iter().filter(|id| self.is_hung(now_ms, **id));
--- a/src/balancer/platform_settings/json.rs
+++ b/src/balancer/platform_settings/json.rs
@@ -1,13 +1,12 @@
-//! The platform's JSON object, key by key as the platform names them.
-//!
-//! The keys are a contract with the platform, and the names of the types stand in the texts of errors
-//! ("expected struct Text"), which operators know: neither changes with our own terms.
+//! The platform's JSON object, with the platform's names for the keys. The keys are a contract with the
+//! platform, and the names of the types appear in error messages ("expected struct Text") that operators
+//! know, so neither follows this project's terms.
 
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer};
 
-/// A figure that must be finite and not negative.
-fn figure<'de, D: Deserializer<'de>>(d: D) -> Result<f64, D::Error> {
+/// Deserializes a number that must be finite and not negative.
+fn non_negative<'de, D: Deserializer<'de>>(d: D) -> Result<f64, D::Error> {
     let x = f64::deserialize(d)?;
     if x.is_finite() && x >= 0.0 { Ok(x) } else { Err(D::Error::custom("must be finite and not negative")) }
 }
@@ -21,9 +20,9 @@
     pub(super) locality: u16,
     #[serde(default)]
     pub(super) localities: Vec<String>,
-    #[serde(deserialize_with = "figure")]
+    #[serde(deserialize_with = "non_negative")]
     pub(super) tick: f64,
-    #[serde(deserialize_with = "figure")]
+    #[serde(deserialize_with = "non_negative")]
     pub(super) over_share_worth: f64,
     pub(super) discovery: Discovery,
     pub(super) classes: Vec<Class>,
@@ -48,15 +47,15 @@
 pub(super) struct Class {
     #[serde(default)]
     pub(super) name: String,
-    #[serde(deserialize_with = "figure")]
+    #[serde(deserialize_with = "non_negative")]
     pub(super) aim: f64,
-    #[serde(default, deserialize_with = "figure")]
+    #[serde(default, deserialize_with = "non_negative")]
     pub(super) give_up: f64,
-    #[serde(deserialize_with = "figure")]
+    #[serde(deserialize_with = "non_negative")]
     pub(super) points: f64,
     pub(super) semantics: Semantics,
     pub(super) group: DedupScope,
-    #[serde(deserialize_with = "figure")]
+    #[serde(deserialize_with = "non_negative")]
     pub(super) window: f64,
     #[serde(default)]
     pub(super) fifo_by_key: bool,
@@ -83,7 +82,7 @@
 pub(super) struct Tenant {
     #[serde(default)]
     pub(super) name: String,
-    #[serde(deserialize_with = "figure")]
+    #[serde(deserialize_with = "non_negative")]
     pub(super) quota_per_s: f64,
 }
 
@@ -92,48 +91,48 @@
 pub(super) struct Caps {
     pub(super) cancelling: bool,
     pub(super) retry_after: bool,
-    #[serde(deserialize_with = "figure")]
+    #[serde(deserialize_with = "non_negative")]
     pub(super) max_retry_after: f64,
     pub(super) try_limit: u32,
     #[serde(default)]
     pub(super) open_cap: usize,
     #[serde(default)]
     pub(super) may_duplicate: bool,
-    #[serde(default, deserialize_with = "figure")]
+    #[serde(default, deserialize_with = "non_negative")]
     pub(super) conn_idle: f64,
-    #[serde(default, deserialize_with = "figure")]
+    #[serde(default, deserialize_with = "non_negative")]
     pub(super) connect_timeout: f64,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct Guarantees {
-    #[serde(deserialize_with = "figure")]
+    #[serde(deserialize_with = "non_negative")]
     pub(super) cold_from: f64,
-    #[serde(deserialize_with = "figure")]
+    #[serde(deserialize_with = "non_negative")]
     pub(super) cold: f64,
-    #[serde(deserialize_with = "figure")]
+    #[serde(deserialize_with = "non_negative")]
     pub(super) fall_multiple: f64,
-    #[serde(default, deserialize_with = "figure")]
+    #[serde(default, deserialize_with = "non_negative")]
     pub(super) ask_within: f64,
-    #[serde(default, deserialize_with = "figure")]
+    #[serde(default, deserialize_with = "non_negative")]
     pub(super) release_within: f64,
-    #[serde(default, deserialize_with = "figure")]
+    #[serde(default, deserialize_with = "non_negative")]
     pub(super) settle_after_doubt: f64,
-    #[serde(default, deserialize_with = "figure")]
+    #[serde(default, deserialize_with = "non_negative")]
     pub(super) stop_sending_within: f64,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 pub(super) struct Goal {
-    #[serde(deserialize_with = "figure")]
+    #[serde(deserialize_with = "non_negative")]
     pub(super) worst_class: f64,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 pub(super) struct Prices {
-    #[serde(deserialize_with = "figure")]
+    #[serde(deserialize_with = "non_negative")]
     pub(super) cross_zone: f64,
 }
--- a/src/balancer/platform_settings/mod.rs
+++ b/src/balancer/platform_settings/mod.rs
@@ -1,6 +1,6 @@
-//! Reads an instance's settings from the platform's JSON object, once at its start: as text on the
-//! simulator's wire, as a part of the configuration of a real proxy. The platform's keys are
-//! mapped to our terms here and nowhere else.
+//! Reads an instance's settings, once at its start, from the platform's JSON object: text on the simulator's
+//! wire, or a part of the configuration of a real proxy. This is the only place that maps the platform's keys
+//! to this project's terms.
 
 mod json;
 
@@ -8,27 +8,27 @@
 use crate::interface as api;
 use serde::Deserializer;
 
-/// Why the settings cannot be read.
+/// Error of reading the settings.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// A key is missing, or has a value that cannot be used; the text names it.
+    /// A key is missing or has an unusable value; the text names the key.
     #[error("settings: {0}")]
     Key(String),
-    /// Text follows the object.
+    /// Further text follows the JSON object.
     #[error("settings: {0}; they are one JSON object, remove what follows it")]
     Trailing(String),
 }
 
-/// The settings, split by who reads them.
+/// The platform's settings, split into those of the balancer and those of the proxy around it.
 #[derive(Debug, Clone)]
 pub struct PlatformSettings {
-    /// What the decisions need.
+    /// Settings of the balancer.
     pub settings: api::Settings,
-    /// What only a proxy on real sockets needs.
+    /// Settings that only a proxy on real sockets needs.
     pub site: Site,
 }
 
-/// Names and figures that no decision needs; empty, 0 or false where the text leaves them out.
+/// Names and values that no decision needs; empty, 0 or false where the JSON object omits them.
 #[derive(Debug, Clone, Default)]
 pub struct Site {
     /// Names of the classes, in the order of the settings.
@@ -37,21 +37,21 @@
     pub tenants: Vec<String>,
     /// Names of the zones.
     pub zones: Vec<String>,
-    /// Time (ms) after which a backend closes an idle connection, at the latest.
+    /// Time (ms) by which a backend closes an idle connection.
     pub connection_idle_ms: f64,
-    /// Time (ms) after which a connect has failed.
+    /// Timeout (ms) of a connect.
     pub connect_timeout_ms: f64,
-    /// Most open requests of an instance.
+    /// Maximum number of open requests of an instance.
     pub max_open_requests: usize,
     /// Whether a request may have two attempts in flight at once.
     pub may_hedge: bool,
-    /// Time (ms) after the notice within which sends to a draining backend must end.
+    /// Time (ms) after the notice of draining within which sends to the backend must end.
     pub drain_grace_ms: f64,
-    /// Longest time (ms) that a client waits, over all its tries.
+    /// Longest time (ms) that any client waits, over all its attempts.
     pub longest_client_timeout_ms: f64,
 }
 
-/// Parses the text; an error names the key.
+/// Parses the settings from JSON text; an error names the key.
 pub fn parse(text: &[u8]) -> Result<PlatformSettings, Error> {
     let mut json = serde_json::Deserializer::from_slice(text);
     let settings = read(&mut json)?;
@@ -59,7 +59,7 @@
     Ok(settings)
 }
 
-/// Reads the object from where it stands; an error names the key.
+/// Reads the settings from a deserializer that is positioned at the object; an error names the key.
 pub fn read<'de, D: Deserializer<'de>>(from: D) -> Result<PlatformSettings, Error> {
     let text: Text = serde_path_to_error::deserialize(from).map_err(|e| Error::Key(e.to_string()))?;
     let site = site(&text);
--- a/src/balancer/priority.rs
+++ b/src/balancer/priority.rs
@@ -1,19 +1,19 @@
-//! Priority: how important a class's requests are, from the settings. The shares of the concurrency limit
-//! follow it (`admission`). It is computed once, at the start.
+//! Request priorities of the classes, computed once from the settings at start. `admission` derives each
+//! slice's share of the concurrency limit from them.
 
 use crate::interface::{Class, Settings};
 
-/// Priorities closer than this are one level.
+/// Difference below which two priorities count as the same level.
 pub(super) const SAME_PRIORITY: f64 = 1e-9;
 
-/// Priority of a class's requests.
+/// Priorities of a class's requests, within and over the tenant's quota.
 pub(super) struct Priority {
     pub(super) within_quota: f64,
     pub(super) over_quota: f64,
 }
 
-/// The priorities of the classes: their weights over the mean weight. The goal's weight on the worst-served
-/// class is priority that every class has alike.
+/// Computes each class's priority as its weight over the mean weight. The goal's weight on the worst-served
+/// class is the part of the priority that all classes have in common.
 pub(super) fn priorities(settings: &Settings) -> Vec<Priority> {
     let classes = &settings.classes;
     let mean = classes.iter().map(|c| c.priority_weight).sum::<f64>() / classes.len() as f64;
--- a/src/balancer/request.rs
+++ b/src/balancer/request.rs
@@ -1,36 +1,35 @@
-//! The life of a request: its attempts, their ends, and its own end.
-//!
-//! A request is kept from its arrival until it is answered and all its attempts have ended. Whether it is
-//! admitted is decided in `admission`, where it goes in `selection`, whether it runs again in `retry`.
+//! The lifecycle of a request. A request is tracked from its arrival until it is answered and all its
+//! attempts have ended. `admission` decides whether it is admitted, `selection` which endpoint it is sent to,
+//! and `retry` whether it is sent again.
 
 use super::Balancer;
 use super::endpoints::Call;
 use crate::interface::*;
 
-/// An attempt of a request.
+/// One attempt of a request at a backend.
 pub(super) struct Attempt {
     pub(super) backend: BackendId,
     pub(super) zone: u16,
     pub(super) cell: u16,
     pub(super) sent_ms: f64,
     pub(super) in_flight: bool,
-    /// Its outcome proved that it never ran.
+    /// Whether the outcome proved that the attempt never ran on the backend.
     pub(super) never_ran: bool,
-    /// It counts against the limit.
+    /// Whether the attempt counts against the concurrency limit.
     pub(super) holds_slot: bool,
 }
 
-/// A request that is not answered yet, or has attempts in flight.
+/// A request that is not answered yet or still has attempts in flight.
 pub(super) struct Request {
-    /// Key of an ordered class, else 0.
+    /// Ordering key of a request whose class is ordered; 0 otherwise.
     pub(super) key: u64,
     pub(super) class: usize,
     pub(super) slice: usize,
     pub(super) deadline_ms: f64,
-    /// Until when it may wait in a queue.
+    /// Time (ms) until which the request may wait in a queue.
     pub(super) queue_deadline_ms: f64,
     ended: bool,
-    /// Its body has not arrived completely: no backend can begin.
+    /// Whether the request body is still incomplete, so that no backend can begin to process it.
     pub(super) body_pending: bool,
     pub(super) attempts: Vec<Attempt>,
 }
@@ -49,12 +48,12 @@
         }
     }
 
-    /// Whether no attempt can have run.
+    /// Returns whether it is certain that no attempt ran.
     pub(super) fn never_ran(&self) -> bool {
         self.attempts.iter().all(|attempt| attempt.never_ran)
     }
 
-    /// The first attempt that may have run.
+    /// Returns the first attempt that may have run.
     pub(super) fn first_that_may_have_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| !attempt.never_ran)
     }
@@ -74,7 +73,7 @@
 }
 
 impl Balancer {
-    /// Sends the next attempt, if an endpoint can take it.
+    /// Sends the next attempt of a request and returns whether an endpoint could take it.
     pub(super) fn send(&mut self, now_ms: f64, id: RequestId, out: &mut Vec<Action>) -> bool {
         let Some(backend) = self.select(now_ms, id) else { return false };
         self.take_fair_turn(backend);
@@ -97,7 +96,7 @@
         true
     }
 
-    /// The backend of the attempt in flight can begin: from now on it is a call, timed and counted.
+    /// Counts and times the attempt in flight as a call, once its backend can begin to process the request.
     fn begin_attempt(&mut self, now_ms: f64, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = request.attempts.iter_mut().rfind(|a| a.in_flight) else { return };
@@ -115,7 +114,8 @@
         }
     }
 
-    /// The last byte of a request arrived. The time that its client took for it is not the backend's.
+    /// Handles the arrival of a request's last body byte. Timing begins only now, because the time that the
+    /// client took to send the body must not count as the backend's latency.
     pub(super) fn on_body_complete(&mut self, now_ms: f64, id: RequestId, deadline_ms: f64) {
         let Some(request) = self.requests.get_mut(&id).filter(|r| r.body_pending) else { return };
         request.body_pending = false;
@@ -123,8 +123,8 @@
         self.begin_attempt(now_ms, id);
     }
 
-    /// Ends a request: nothing more is sent for it, and attempts in flight are cancelled where that is
-    /// allowed. Its key's queue keeps its place until all its attempts have ended.
+    /// Ends a request: sends no further attempts and cancels those in flight where the settings allow it. The
+    /// request keeps its place in its key's queue until all its attempts have ended.
     pub(super) fn end_request(&mut self, now_ms: f64, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let ended_before = std::mem::replace(&mut request.ended, true);
@@ -140,7 +140,7 @@
         }
     }
 
-    /// An attempt ended: the request is over, runs again, waits for an endpoint, or is given up.
+    /// Handles the end of an attempt: the request ends, is retried, waits for an endpoint, or is given up.
     pub(super) fn on_resolved(&mut self, now_ms: f64, resolved: &Resolved, out: &mut Vec<Action>) {
         let id = resolved.request;
         let Some(ended) = self.close_attempt(now_ms, resolved) else { return };
@@ -156,14 +156,15 @@
         if ended.others_in_flight || retryable && self.retry(now_ms, id, ended.never_ran, out) {
             return;
         }
-        // A request without an attempt left would leave the queue unsent, again and again.
+        // A request without attempts left must not be queued: it would leave the queue unsent and be queued
+        // again, without end.
         if ended.never_ran && now_ms < ended.queue_deadline_ms && ended.may_send_more {
             return self.admission.enqueue(ended.slice, id);
         }
         self.reject_or_fail(now_ms, id, out);
     }
 
-    /// Marks an attempt as ended, if it is known and in flight.
+    /// Marks an attempt as ended; returns `None` if it is unknown or not in flight.
     fn close_attempt(&mut self, now_ms: f64, resolved: &Resolved) -> Option<EndedAttempt> {
         let request = self.requests.get_mut(&resolved.request)?;
         let attempt = request.attempts.get_mut(usize::from(resolved.attempt)).filter(|a| a.in_flight)?;
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -1,26 +1,25 @@
-//! Retries: when a failed attempt is sent again, and when not.
-//!
-//! After an attempt has failed, the request is sent again at once if all of this holds:
-//! - its failure is not the request's own fault (`Malformed`), and its body is still there;
-//! - it has attempts left, and more than a clock step (`tick_ms`) before its deadline;
-//! - it may run again: no attempt ran, or its class is idempotent, or its repeats are still dropped;
-//! - for a request that may have run, the retry budget has a token;
+//! Retry policy. After an attempt has failed, the request is sent again at once if all of these hold:
+//! - the failure is not the request's own fault (`Malformed`), and its body has not been consumed;
+//! - it has attempts left, and more than one clock step (`tick_ms`) before its deadline;
+//! - it may run again: no attempt ran, its class is idempotent, or backends still deduplicate its repeats;
+//! - if it may have run, the retry budget has a token;
 //! - an endpoint can take it (`selection`).
 //!
-//! Otherwise it waits in its slice's queue, if no attempt can have run, its queue time is not over, and it
-//! has attempts and its body left; or it is given up ([`Balancer::reject_or_fail`]).
+//! Otherwise it waits in its slice's queue, provided that no attempt can have run, its queue deadline has not
+//! passed, and it has attempts and its body left; failing that, it is given up
+//! ([`Balancer::reject_or_fail`]).
 
 use super::Balancer;
 use super::request::Request;
 use crate::interface::*;
 
-/// Tokens that each request adds to the retry budget: retries of what may have run are at most a tenth of the
-/// requests, beside a burst of [`MIN_BUDGET_TOKENS`].
+/// Tokens that each request adds to the retry budget: retries of requests that may have run are at most a
+/// tenth of all requests, beyond a burst of [`MIN_BUDGET_TOKENS`].
 const TOKENS_PER_REQUEST: f64 = 0.1;
-/// Tokens that the budget holds at least when full, and at the start.
+/// Minimum capacity of the retry budget in tokens, and its content at start.
 const MIN_BUDGET_TOKENS: f64 = 10.0;
 
-/// The budget for retries of requests that may have run.
+/// Token budget for retries of requests that may have run.
 pub(super) struct RetryBudget {
     tokens: f64,
 }
@@ -30,7 +29,8 @@
         RetryBudget { tokens: MIN_BUDGET_TOKENS }
     }
 
-    /// Adds a request's part; the budget holds at most a tenth of the concurrency limit, or the minimum.
+    /// Adds one request's tokens, up to a tenth of the concurrency limit or [`MIN_BUDGET_TOKENS`], whichever
+    /// is greater.
     pub(super) fn earn(&mut self, concurrency_limit: f64) {
         let earned = self.tokens + TOKENS_PER_REQUEST;
         self.tokens = earned.min(MIN_BUDGET_TOKENS.max(concurrency_limit * TOKENS_PER_REQUEST));
@@ -38,9 +38,9 @@
 }
 
 impl Balancer {
-    /// Whether a request may run once more somewhere: no attempt ran, its class is idempotent, or the
-    /// backends still drop its repeats. Their window counts from the first attempt that may have run, and is
-    /// taken a clock step (`tick_ms`) shorter.
+    /// Returns whether a request may safely run once more on some backend: no attempt ran, its class is
+    /// idempotent, or backends still deduplicate its repeats. The deduplication window counts from the first
+    /// attempt that may have run, and is taken one clock step (`tick_ms`) shorter.
     fn may_run_again(&self, now_ms: f64, request: &Request) -> bool {
         let Some(first) = request.first_that_may_have_run() else { return true };
         match self.settings.classes[request.class].idempotency {
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Whether a further try by the client is harmless. It may reach any backend: repeats must be dropped by
-    /// all.
+    /// Returns whether a retry by the client is harmless. It may reach any backend, so repeats must be
+    /// deduplicated by all of them.
     pub(super) fn client_may_retry(&self, now_ms: f64, request: &Request) -> bool {
         let anywhere = matches!(
             self.settings.classes[request.class].idempotency,
@@ -62,8 +62,8 @@
         self.may_run_again(now_ms, request) && (anywhere || request.never_ran())
     }
 
-    /// Sends another attempt, if the class, the deadline (more than a clock step away) and, for a request
-    /// that may have run, the budget allow.
+    /// Sends another attempt and returns whether it was sent. The class, the deadline (more than one clock
+    /// step away) and, for a request that may have run, the retry budget must allow it.
     pub(super) fn retry(
         &mut self,
         now_ms: f64,
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -1,10 +1,9 @@
-//! Selection: which endpoint gets the next attempt.
+//! Endpoint selection for the next attempt.
 //!
 //! Two endpoints that can take the attempt are drawn at random, by their weights in the route table, and the
-//! one with the lower cost is used (power of two choices). Of two with the same cost it is the one whose fair
-//! turn (weighted fair queueing by virtual time) comes first. Candidates are the subset's endpoints in one
-//! zone partition, then the subset, then all endpoints, and at last the subset with those that are out of
-//! service.
+//! one with the lower cost is used (power of two choices). Among equal costs, the earlier fair turn (weighted
+//! fair queueing by virtual time) decides. Candidates are the subset's endpoints in one zone partition, then
+//! the whole subset, then all endpoints, and finally the subset including endpoints that are out of service.
 
 use super::Balancer;
 use super::endpoint_set::LOCAL;
@@ -13,40 +12,41 @@
 use crate::interface::*;
 use std::cmp::Ordering;
 
-/// Random draws for one selection, including those that the route table's weights reject.
+/// Most random draws from one set of candidates, including those that the route table's weights reject.
 const MAX_DRAWS: usize = 96;
-/// Endpoints drawn by weight for one selection, including those that cannot take the attempt.
+/// Most endpoints drawn by weight from one set of candidates, including those that cannot take the attempt.
 const MAX_CANDIDATES: usize = 12;
-/// Virtual time (turns) that an endpoint without calls can fall behind, to be made up for later.
+/// Most virtual time (turns) that an idle endpoint can fall behind and later make up for.
 const MAX_CREDIT: f64 = 8.0;
-/// Smallest weight to divide by.
+/// Lower bound of a weight used as a divisor.
 const MIN_DIVISOR_WEIGHT: f64 = 1e-6;
 /// Cost of an error rate of 1, in calls: a failed call costs more than a slow one.
 const ERROR_COST: f64 = 8.0;
 /// Cost of a call to another zone, in calls, where crossing zones has a price.
 const CROSS_ZONE_COST: f64 = 0.5;
 
-/// Virtual time of the fair turns, and the weights that draws are relative to.
+/// State of endpoint selection: the virtual time of the fair turns, and the weights that normalize the draws.
 #[derive(Default)]
 pub(super) struct Selection {
-    /// Latest turn that was taken.
+    /// Virtual start of the latest fair turn that was taken.
     pub(super) virtual_time: f64,
     /// Mean weight of the endpoints that take work.
     pub(super) mean_weight: f64,
-    /// Heaviest weight of the route table among them.
+    /// Largest route table weight among the endpoints that take work.
     pub(super) max_route_weight: f64,
 }
 
-/// Endpoints to draw from.
+/// A set of endpoints to draw from.
 struct Candidates<'a> {
     ids: &'a [BackendId],
-    /// Nothing else is left: endpoints that are ejected or have weight 0 in the route table are used too.
+    /// Whether endpoints that are ejected or have weight 0 in the route table are used too, because no others
+    /// are left.
     last_resort: bool,
 }
 
 impl Balancer {
-    /// An endpoint gets a call: its next fair turn comes the later the smaller its weight. One without calls
-    /// for long gets a limited credit for its missed turns.
+    /// Advances an endpoint's fair turn when it gets a call: the smaller its weight, the later its next turn.
+    /// An endpoint that was idle for long gets only a limited credit for the turns it missed.
     pub(super) fn take_fair_turn(&mut self, id: BackendId) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         let virtual_start = endpoint.virtual_finish.max(self.selection.virtual_time - MAX_CREDIT);
@@ -54,12 +54,12 @@
         endpoint.virtual_finish = virtual_start + 1.0 / endpoint.route_weight.max(MIN_DIVISOR_WEIGHT);
     }
 
-    /// Whether an endpoint can take the next attempt of a request.
+    /// Returns whether an endpoint can take the next attempt of a request.
     ///
     /// It cannot while it drains, while its warm-up budget is used up, or if it had the previous attempt. An
-    /// ejected one can take a trial, a request that may run twice, once its time is up; one that the route
-    /// table gives weight 0 only as a last resort. Repeats of a keyed request stay in the zone or cell that
-    /// drops them.
+    /// ejected endpoint can take a trial (a request that may run twice) once its ejection time is over. An
+    /// endpoint with weight 0 in the route table is used only as a last resort. Repeats of a keyed request
+    /// stay within the zone or cell that deduplicates them.
     fn can_take(&self, now_ms: f64, request: &Request, id: BackendId, last_resort: bool) -> bool {
         let Some(endpoint) = self.endpoints.get(&id).filter(|e| e.is_ready()) else { return false };
         let idempotency = self.settings.classes[request.class].idempotency;
@@ -87,8 +87,9 @@
         }
     }
 
-    /// Expected wait at an endpoint: its calls of this instance over its weight, times its relative latency,
-    /// its errors and what it lacks of its capacity. A trial of an ejected one is free.
+    /// Estimates the cost of one more call at an endpoint: this instance's calls there over its weight,
+    /// scaled by its relative latency, its error rate and its missing capacity during warm-up. A trial of an
+    /// ejected endpoint costs nothing.
     fn cost(&self, now_ms: f64, endpoint: &Endpoint) -> f64 {
         let call_cost = if endpoint.ejected() && endpoint.calls.is_empty() {
             0.0
@@ -121,14 +122,15 @@
         selected
     }
 
-    /// The subset's endpoints in the local zone, or in other zones for the share of calls that is spilled.
+    /// Returns the subset's endpoints in the local zone, or those in other zones for the share of calls that
+    /// is spilled.
     fn preferred_zone(&self, rng: &mut fastrand::Rng) -> &[BackendId] {
-        let (local, remote) = self.subset.members.split_at(self.subset.segments[LOCAL].taken);
+        let (local, remote) = self.subset.members.split_at(self.subset.segments[LOCAL].len);
         let spilled = local.is_empty() || rng.f64() < self.zone_spill.fraction && !remote.is_empty();
         if spilled { remote } else { local }
     }
 
-    /// Draws two candidates that can take the attempt; the cheaper one, or the one that was found.
+    /// Draws up to two candidates that can take the attempt and returns the cheaper one.
     fn draw_cheaper(
         &self,
         now_ms: f64,
--- a/src/balancer/stalled_calls.rs
+++ b/src/balancer/stalled_calls.rs
@@ -1,21 +1,20 @@
-//! Stalled calls: calls that hold no slot of the concurrency limit although they are in flight.
-//!
-//! Failure: calls to an endpoint that hangs would hold their slots until they time out, and leave none for
-//! the others. It acts on each tick for calls that are in flight for long, and when an endpoint is ejected
-//! for all of its calls.
+//! Release of the concurrency slots of stalled calls while they are still in flight. Otherwise calls to a
+//! hung endpoint would hold their slots until they time out and leave none for the other endpoints. Slots are
+//! released on each tick for calls that have been in flight for long, and on an ejection for all calls of the
+//! ejected endpoint.
 
 use super::Balancer;
 use super::concurrency_limit::MIN_WINDOW_OUTCOMES;
 use super::request::Attempt;
 use crate::interface::BackendId;
 
-/// Mean latencies for which a call counts against the limit: even of an exponential distribution 2 % take
-/// longer.
+/// Time for which a call counts against the limit, as a multiple of the mean latency: even of an exponential
+/// distribution only 2 % of calls take longer.
 const STALLED_AFTER_MEANS: f64 = 4.0;
 
 impl Balancer {
-    /// On a tick, stops counting calls against the limit that are in flight for several mean latencies, and
-    /// forgets which endpoints have no calls any more.
+    /// Releases, on a tick, the slots of calls that have been in flight for [`STALLED_AFTER_MEANS`] mean
+    /// latencies, and drops endpoints without calls from the set of endpoints with calls.
     pub(super) fn release_stalled_calls(&mut self, now_ms: f64) {
         let endpoints = &self.endpoints;
         self.outliers
@@ -26,7 +25,8 @@
         }
     }
 
-    /// Calls of an endpoint that are in flight for so many means of their class hold no slot of the limit.
+    /// Releases the slots of an endpoint's calls that have been in flight for at least `means` times the mean
+    /// latency of their class, or its latency objective while too few samples are known.
     pub(super) fn release_stalled(&mut self, now_ms: f64, id: BackendId, means: f64) {
         for call in self.endpoints[&id].calls.clone() {
             let Some(request) = self.requests.get_mut(&call.request) else { continue };
--- a/src/balancer/timer.rs
+++ b/src/balancer/timer.rs
@@ -2,19 +2,19 @@
 
 use crate::interface::Action;
 
-/// A timer that the balancer sets.
+/// A kind of timer that the balancer sets.
 #[derive(Clone, Copy)]
 pub(super) enum Timer {
-    /// The periodic work.
+    /// Timer of the periodic work.
     Tick,
-    /// The next call for the list.
+    /// Timer of the next subscription call for the endpoint list.
     Subscribe,
-    /// The next call for the full list, while removals are suspected.
+    /// Timer of the next request for the full list while removals are suspected.
     Resync,
 }
 
 impl Timer {
-    /// The action that sets the timer.
+    /// Returns the action that sets the timer.
     pub(super) fn set(self, delay_ms: f64) -> Action {
         Action::SetTimer { delay_ms, token: self.token() }
     }
--- a/src/bin/proxy/engine/observe.rs
+++ b/src/bin/proxy/engine/observe.rs
@@ -36,7 +36,11 @@
             TrafficShare::Slow => Some(ExclusionReason::Slow),
         };
         let state = self.state.borrow();
-        state.balancer.standings(self.now_ms()).map(|(backend, share)| (backend, reason(share))).collect()
+        state
+            .balancer
+            .traffic_shares(self.now_ms())
+            .map(|(backend, share)| (backend, reason(share)))
+            .collect()
     }
 
     /// Milliseconds of Unix time on a clock that only goes forward.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,13 +1,13 @@
-//! The decisions of a load balancer for services that call services, as a library without I/O.
+//! The decisions of a load balancer for calls between services, as a library without I/O.
 //!
 //! A [`Balancer`] belongs to one proxy instance in front of one tier. It learns one concurrency limit for the
 //! calls of that instance, divides it among classes by their priority weight, sheds low-priority requests
-//! first once the limit is reached, and selects backends inside a subset of the tier that grows with its
-//! load. It is notified of what happens ([`interface::Event`]) at a given time and answers with what to do
-//! ([`interface::Action`]). It owns no clock, thread or socket: the same settings, seed and events give the
-//! same actions.
+//! first once the limit is reached, and selects backends within a subset of the tier that grows with its
+//! load. The proxy passes it each event ([`interface::Event`]) with the current time, and carries out the
+//! actions that it returns ([`interface::Action`]). It owns no clock, thread or socket: the same settings,
+//! seed and events give the same actions.
 //!
-//! A proxy embeds it like this:
+//! A proxy embeds it as follows:
 //!
 //! ```
 //! use load_balancer::Balancer;
@@ -75,7 +75,7 @@
 //!
 //! Events about requests, attempts or backends that are unknown or have ended are ignored.
 //!
-//! The one part with I/O is [`client`], the client of the control plane that a proxy may run with its
+//! The only part with I/O is [`client`], the client of the control plane that a proxy may run with its
 //! balancer; no decision depends on it.
 
 #![forbid(unsafe_code)]
@@ -93,8 +93,9 @@
 use interface::BackendId;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// The id that a proxy gives to the backend of that name, or the next one that is free. It is a hash of the
-/// name, the same at every instance: all order the backends by it, so that their subsets overlap evenly.
+/// Returns the id that a proxy gives to the backend named `host`, unless that id is taken and it gives the
+/// next free one. The id is a hash of the name and the same at every instance: all instances order the
+/// backends by it, so that their subsets overlap evenly.
 pub fn backend_id(host: &str) -> BackendId {
     let mut hasher = DefaultHasher::new();
     host.hash(&mut hasher);
--- a/tests/digest/life.rs
+++ b/tests/digest/life.rs
@@ -210,7 +210,7 @@
         let census = self.balancer.census();
         let weights: f64 = self.balancer.weights().map(|(_, weight)| weight).sum();
         writeln!(self.text, "{} {weights}", record::census(&census)).expect("a string takes it");
-        for (backend, standing) in self.balancer.standings(self.now) {
+        for (backend, standing) in self.balancer.traffic_shares(self.now) {
             writeln!(self.text, "{backend} {}", record::traffic_share(standing)).expect("a string takes it");
         }
     }
