--- a/src/balancer/interface/action.rs
+++ b/src/balancer/interface/action.rs
@@ -9,30 +9,30 @@
 pub enum Action {
     /// Send an attempt of a request.
     Send {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// The backend that the attempt is sent to.
+        /// Id of the backend that the attempt is sent to.
         backend: BackendId,
         /// Clock time (ms) at which the attempt is abandoned.
         deadline_ms: f64,
     },
     /// Final answer: the request is rejected, and a retry by the client is harmless.
     Reject {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
         /// Retry-After (ms) for the client; 0 sends none.
         retry_after_ms: f64,
     },
     /// Final answer: the request failed, and a retry by the client may run it twice.
     Fail {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
     },
     /// Cancel an attempt in flight.
     Cancel {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt within its request.
         attempt: AttemptNo,
     },
     /// Set a timer that fires an [`Event::TimerFired`].
@@ -44,7 +44,7 @@
     },
     /// Close idle connections to a backend.
     CloseIdle {
-        /// The backend.
+        /// Id of the backend.
         backend: BackendId,
     },
     /// Subscribe to the list of backends, or end the subscription.
@@ -55,7 +55,7 @@
     /// Send nothing more to a backend: it is draining or removed according to the list, or failed connects
     /// confirmed its removal.
     Withdraw {
-        /// The backend.
+        /// Id of the backend.
         backend: BackendId,
     },
     /// Request the full list, which may confirm suspected removals.
--- a/src/balancer/interface/attempt.rs
+++ b/src/balancer/interface/attempt.rs
@@ -59,7 +59,7 @@
     pub request: RequestId,
     /// Number of the attempt within its request.
     pub attempt: AttemptNo,
-    /// Backend that the attempt was sent to.
+    /// Id of the backend that the attempt was sent to.
     pub backend: BackendId,
     /// Outcome of the attempt.
     pub outcome: Outcome,
--- a/src/balancer/interface/event.rs
+++ b/src/balancer/interface/event.rs
@@ -18,7 +18,7 @@
     Request(Arrival),
     /// The last byte of a pending request body arrived, so that the backend can begin to process the request.
     BodyComplete {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
         /// Clock time (ms) at which the client gives up.
         deadline_ms: f64,
@@ -27,7 +27,7 @@
     Resolved(Resolved),
     /// The client disconnected; no answer is due any more.
     ClientGone {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
     },
     /// The number of processes changed that share this instance's budgets while one replaces another; each of
