--- a/tests/common/events.rs
+++ b/tests/common/events.rs
@@ -1,26 +1,33 @@
-//! What happens to the proxy: requests, outcomes, clients that leave, and time.
+//! Events delivered to the balancer: requests, outcomes, client disconnects and timers.
 
 use super::*;
 
 impl Proxy {
-    /// A new request; its id.
-    pub fn request(&mut self, class: usize, tenant: u16, left: f64) -> RequestId {
-        self.request_with_key(0, class, tenant, left)
+    /// Delivers a new request and returns its id.
+    pub fn request(&mut self, class: usize, tenant: u16, time_left_ms: f64) -> RequestId {
+        self.request_with_key(0, class, tenant, time_left_ms)
     }
 
-    /// A new request with a key; its id.
-    pub fn request_with_key(&mut self, key: u64, class: usize, tenant: u16, left: f64) -> RequestId {
-        self.arrive(key, class, tenant, left, false)
+    /// Delivers a new request with a key and returns its id.
+    pub fn request_with_key(&mut self, key: u64, class: usize, tenant: u16, time_left_ms: f64) -> RequestId {
+        self.arrive(key, class, tenant, time_left_ms, false)
     }
 
-    /// A new request whose body is still arriving; its id.
+    /// Delivers a new request with a pending body and returns its id.
     pub fn request_with_pending_body(&mut self, class: usize) -> RequestId {
         self.arrive(0, class, 0, f64::MAX, true)
     }
 
-    fn arrive(&mut self, key: u64, class: usize, tenant: u16, left: f64, body_pending: bool) -> RequestId {
-        let (request, deadline) = (self.next, self.now + left);
-        self.next += 1;
+    fn arrive(
+        &mut self,
+        key: u64,
+        class: usize,
+        tenant: u16,
+        time_left_ms: f64,
+        body_pending: bool,
+    ) -> RequestId {
+        let (request, deadline) = (self.next_request, self.now + time_left_ms);
+        self.next_request += 1;
         self.requests.insert(request, RequestRecord { key, class, deadline, sends: Vec::new(), ended: None });
         let class = class as u16;
         self.notify(Event::Request(Arrival {
@@ -34,55 +41,57 @@
         request
     }
 
-    /// The last byte of a request arrives: the attempt in flight begins.
-    pub fn complete_body(&mut self, request: RequestId, left: f64) {
-        let (now, a) = (self.now, self.requests.get_mut(&request).expect("a known request"));
-        a.deadline = now + left;
-        let out = a.sends.iter_mut().find(|s| s.outcome.is_none()).expect("an attempt is in flight");
-        (out.at, out.deadline) = (now, now + left);
+    /// Completes the body of a request; the time of its attempt counts from here.
+    pub fn complete_body(&mut self, request: RequestId, time_left_ms: f64) {
+        let (now, a) = (self.now, self.requests.get_mut(&request).expect("the request is known"));
+        a.deadline = now + time_left_ms;
+        let out =
+            a.sends.iter_mut().find(|s| s.outcome.is_none()).expect("the request has an attempt in flight");
+        (out.sent_at, out.deadline) = (now, now + time_left_ms);
         let deadline = a.deadline;
         self.notify(Event::BodyComplete { request, deadline_ms: deadline });
     }
 
-    /// Ends an attempt.
+    /// Resolves an attempt with an outcome.
     pub fn resolve(&mut self, request: RequestId, attempt: usize, outcome: Outcome) {
-        let a = self.requests.get_mut(&request).expect("a known request");
+        let a = self.requests.get_mut(&request).expect("the request is known");
         let s = &mut a.sends[attempt];
         assert!(s.outcome.is_none());
-        (s.outcome, s.over) = (Some(outcome), self.now);
-        let (backend, wait) = (s.backend, self.now - s.at);
+        (s.outcome, s.resolved_at) = (Some(outcome), self.now);
+        let (backend, latency_ms) = (s.backend, self.now - s.sent_at);
         if outcome == Outcome::Ok && a.ended.is_none() {
             self.close(request, "served");
         }
-        let closed = self.requests[&request].ended.is_some();
+        let request_ended = self.requests[&request].ended.is_some();
         let attempt = attempt as AttemptNo;
         self.notify(Event::Resolved(Resolved {
             request,
             attempt,
             backend,
             outcome,
-            latency_ms: wait,
-            request_ended: closed,
+            latency_ms,
+            request_ended,
             body_consumed: false,
         }));
         self.check_idle_close(backend);
     }
 
+    /// Ends a request whose client has disconnected.
     pub fn client_gone(&mut self, request: RequestId) {
         self.close(request, "client gone");
         self.notify(Event::ClientGone { request });
     }
 
-    /// Attempts in flight, oldest request first.
+    /// The attempts in flight, oldest request first.
     pub fn in_flight(&self) -> Vec<(RequestId, usize, Sent)> {
         let sends = |(&id, a): (&RequestId, &RequestRecord)| {
-            let of = a.sends.iter().enumerate().filter(|(_, s)| s.outcome.is_none());
-            of.map(|(n, s)| (id, n, s.clone())).collect::<Vec<_>>()
+            let pending = a.sends.iter().enumerate().filter(|(_, s)| s.outcome.is_none());
+            pending.map(|(n, s)| (id, n, s.clone())).collect::<Vec<_>>()
         };
         self.requests.iter().flat_map(sends).collect()
     }
 
-    /// Moves the clock, firing timers and attempts' time-outs on the way.
+    /// Advances the clock, firing timers and timing out attempts on the way.
     pub fn advance(&mut self, to: f64) {
         while self.now < to {
             self.now = (self.now + self.settings.tick_ms).min(to);
@@ -90,8 +99,9 @@
             let due: Vec<u64> = self.timers.iter().filter(|t| t.0 <= now).map(|t| t.1).collect();
             self.timers.retain(|t| t.0 > now);
             due.into_iter().for_each(|token| self.notify(Event::TimerFired { token }));
-            let late: Vec<_> = self.in_flight().into_iter().filter(|(_, _, s)| s.deadline <= now).collect();
-            late.into_iter().for_each(|(id, n, _)| self.resolve(id, n, Outcome::Timeout));
+            let timed_out: Vec<_> =
+                self.in_flight().into_iter().filter(|(_, _, s)| s.deadline <= now).collect();
+            timed_out.into_iter().for_each(|(id, n, _)| self.resolve(id, n, Outcome::Timeout));
             for (id, n) in std::mem::take(&mut self.cancelled) {
                 if self.requests.get(&id).is_some_and(|a| a.sends[n].outcome.is_none()) {
                     self.resolve(id, n, Outcome::Cancelled);
@@ -100,13 +110,14 @@
         }
     }
 
-    /// Drops the records of finished requests, so that long tests stay quick.
+    /// Drops the records of finished requests, which would slow down long tests.
     pub fn drop_finished(&mut self) {
         self.requests.retain(|_, a| a.ended.is_none() || a.sends.iter().any(|s| s.outcome.is_none()));
     }
 
-    /// Serves steadily: `per_tick` requests of a class each tick, every answer after `wait`; how many were rejected.
-    pub fn serve(&mut self, ms: f64, per_tick: usize, class: usize, wait: f64) -> usize {
+    /// Serves `per_tick` requests of a class each tick, each response after `latency_ms`, and returns the
+    /// number of rejected requests.
+    pub fn serve(&mut self, ms: f64, per_tick: usize, class: usize, latency_ms: f64) -> usize {
         let (end, mut rejected) = (self.now + ms, 0);
         while self.now < end {
             for _ in 0..per_tick {
@@ -114,7 +125,7 @@
             }
             self.advance(self.now + self.settings.tick_ms);
             for (id, n, s) in self.in_flight() {
-                if self.now - s.at >= wait {
+                if self.now - s.sent_at >= latency_ms {
                     self.resolve(id, n, Outcome::Ok);
                 }
             }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,6 @@
-//! A proxy's side of the interface: delivers legal events on a clock and keeps its own record of what was
-//! sent and answered, by which the rules are checked. It models no servers: a test gives the outcomes.
+//! The proxy's side of the balancer's interface: delivers valid events on a simulated clock and records every
+//! attempt and outcome, against which the rules are checked. Backends are not modelled: a test supplies the
+//! outcomes.
 #![allow(dead_code)]
 
 mod events;
@@ -9,7 +10,8 @@
 use load_balancer::interface::*;
 use std::collections::{BTreeMap, HashMap};
 
-pub const GRACE: f64 = 20.0;
+/// How long after its deadline a request may be answered.
+pub const DEADLINE_GRACE_MS: f64 = 20.0;
 
 pub fn class(objective_ms: f64, priority_weight: f64, idempotency: Idempotency) -> Class {
     Class { latency_objective_ms: objective_ms, priority_weight, idempotency, in_order: false }
@@ -42,43 +44,48 @@
     (1..=n).map(entry).collect()
 }
 
+/// An attempt sent to a backend.
 #[derive(Debug, Clone)]
 pub struct Sent {
     pub backend: BackendId,
-    pub at: f64,
+    pub sent_at: f64,
     pub deadline: f64,
     pub outcome: Option<Outcome>,
     /// When the outcome arrived.
-    pub over: f64,
+    pub resolved_at: f64,
 }
 
+/// A request with all its attempts.
 #[derive(Debug, Clone)]
 pub struct RequestRecord {
     pub key: u64,
     pub class: usize,
     pub deadline: f64,
     pub sends: Vec<Sent>,
-    /// When it ended and how: served, rejected, failed or client gone.
+    /// When and how the request ended: served, rejected, failed or client gone.
     pub ended: Option<(f64, &'static str)>,
 }
 
+/// A proxy that drives one balancer.
 pub struct Proxy {
     pub balancer: Balancer,
     pub settings: Settings,
     pub now: f64,
     pub requests: BTreeMap<RequestId, RequestRecord>,
     pub listed: HashMap<BackendId, Entry>,
+    /// When the proxy was asked to watch the list.
     pub watches: Vec<f64>,
     /// Backends withdrawn, in order.
     pub withdrawn: Vec<BackendId>,
-    /// When the full list was asked for.
+    /// When the full list was requested.
     pub resyncs: Vec<f64>,
-    /// When idle connections were last closed.
-    pub closed: HashMap<BackendId, f64>,
+    /// When the idle connections of each backend were last closed.
+    pub idle_closed_at: HashMap<BackendId, f64>,
     /// Attempts cancelled and still without an outcome.
     cancelled: Vec<(RequestId, usize)>,
+    /// Due time and token.
     timers: Vec<(f64, u64)>,
-    next: RequestId,
+    next_request: RequestId,
 }
 
 impl Proxy {
@@ -93,17 +100,18 @@
             watches: Vec::new(),
             withdrawn: Vec::new(),
             resyncs: Vec::new(),
-            closed: HashMap::new(),
+            idle_closed_at: HashMap::new(),
             cancelled: Vec::new(),
             timers: Vec::new(),
-            next: 1,
+            next_request: 1,
         };
         p.list(ListKind::Cached, list);
         p
     }
 
+    /// Delivers an endpoint list of the given kind.
     pub fn list(&mut self, kind: ListKind, entries: Vec<Entry>) {
-        // With a guard, the module itself reports which removals it believes.
+        // With a list guard, the balancer itself reports the removals that it accepts.
         let guarded = self.settings.list_guard.panic_threshold > 0.0;
         if kind != ListKind::Delta && kind != ListKind::Failed && !guarded {
             self.listed.values_mut().for_each(|e| e.phase = Phase::Gone);
--- a/tests/common/rules.rs
+++ b/tests/common/rules.rs
@@ -1,16 +1,21 @@
-//! The actions of the balancer, checked against the four rules and the proxy's own record.
+//! Checks of the balancer's actions against the four rules and the proxy's record of attempts.
 
 use super::*;
 
 impl Proxy {
-    /// Connections to a draining backend are closed when its draining is known and after each outcome there.
+    /// Checks that the idle connections to a draining backend were closed when the draining became known and
+    /// after each outcome there.
     pub(super) fn check_idle_close(&self, backend: BackendId) {
         if self.settings.rules.idle_close_within_ms > 0.0 && self.listed[&backend].phase == Phase::Draining {
-            assert_eq!(self.closed.get(&backend), Some(&self.now), "connections to {backend} are kept open");
+            assert_eq!(
+                self.idle_closed_at.get(&backend),
+                Some(&self.now),
+                "idle connections to draining backend {backend} were not closed"
+            );
         }
     }
 
-    /// Nothing is sent for a key while an earlier request is open, has an attempt in flight or may still run.
+    /// Checks that no earlier request of the same key is open, has an attempt in flight or may still run.
     fn check_order(&self, request: RequestId) {
         let a = &self.requests[&request];
         let ordered = |class: usize| self.settings.classes[class].in_order;
@@ -20,15 +25,15 @@
         for (id, earlier) in
             self.requests.range(..request).filter(|(_, e)| e.key == a.key && ordered(e.class))
         {
-            assert!(earlier.ended.is_some(), "{request} sent before {id} is over");
+            assert!(earlier.ended.is_some(), "{request} sent before {id} has ended");
             for s in &earlier.sends {
-                let settle = match s.outcome.expect("every attempt has its outcome") {
+                let settle_ms = match s.outcome.expect("no attempt of an ended request is in flight") {
                     Outcome::Timeout | Outcome::Reset | Outcome::Cancelled => {
                         self.settings.rules.key_settle_ms
                     }
                     _ => 0.0,
                 };
-                assert!(self.now >= s.over + settle, "{request} sent while {id} may still run");
+                assert!(self.now >= s.resolved_at + settle_ms, "{request} sent while {id} may still run");
             }
         }
     }
@@ -42,28 +47,31 @@
                 Action::Send { request, backend, deadline_ms } => self.on_send(request, backend, deadline_ms),
                 Action::Reject { request, .. } => self.on_reject(request),
                 Action::Fail { request } => self.close(request, "failed"),
-                Action::SetTimer { delay_ms: delay, token } => {
-                    assert!(delay.is_finite() && delay > 0.0, "timers lie ahead");
-                    self.timers.push((self.now + delay, token));
+                Action::SetTimer { delay_ms, token } => {
+                    assert!(
+                        delay_ms.is_finite() && delay_ms > 0.0,
+                        "a timer's delay must be finite and positive"
+                    );
+                    self.timers.push((self.now + delay_ms, token));
                 }
                 Action::CloseIdle { backend } => {
-                    self.closed.insert(backend, self.now);
+                    self.idle_closed_at.insert(backend, self.now);
                 }
                 Action::Watch { on } => {
-                    assert!(on);
+                    assert!(on, "the watch was turned off");
                     self.watches.push(self.now);
                 }
                 Action::Withdraw { backend } => {
                     self.withdrawn.push(backend);
-                    self.listed.get_mut(&backend).expect("listed").phase = Phase::Gone;
+                    self.listed.get_mut(&backend).expect("a withdrawn backend is listed").phase = Phase::Gone;
                 }
                 Action::Resync => self.resyncs.push(self.now),
                 Action::Cancel { request, attempt } => {
                     self.cancelled.push((request, usize::from(attempt)));
-                    assert!(self.settings.caps.cancelling, "cancelled where that is not allowed");
+                    assert!(self.settings.caps.cancelling, "cancelled although cancelling is not supported");
                     assert!(
                         self.requests[&request].sends.len() > usize::from(attempt),
-                        "cancelled what was never sent"
+                        "cancelled an attempt that was never sent"
                     );
                 }
             }
@@ -72,49 +80,58 @@
 
     fn on_send(&mut self, request: RequestId, backend: BackendId, deadline: f64) {
         self.check_order(request);
-        let entry = self.listed.get(&backend).expect("sent to a backend that no list named");
+        let entry = self.listed.get(&backend).expect("sent to a backend that was never listed");
         assert_eq!(entry.phase, Phase::Ready, "sent to a draining or gone backend");
         let (zone, cell) = (entry.zone, entry.cell);
         let arrived = self.requests.get_mut(&request).expect("sent a request that never arrived");
-        assert!(arrived.ended.is_none(), "sent after its end");
-        assert!(deadline <= arrived.deadline);
+        assert!(arrived.ended.is_none(), "sent after the request had ended");
+        assert!(deadline <= arrived.deadline, "the attempt's deadline is past the request's");
         assert!(arrived.sends.len() < self.settings.caps.max_attempts as usize, "too many attempts");
-        let out = arrived.sends.iter().filter(|s| s.outcome.is_none()).count();
-        assert_eq!(out, 0, "two attempts in flight at once");
+        let in_flight = arrived.sends.iter().filter(|s| s.outcome.is_none()).count();
+        assert_eq!(in_flight, 0, "two attempts in flight at once");
         if let Some(ran) = arrived.sends.iter().find(|s| s.outcome.is_none_or(|o| !o.never_ran())) {
-            let group = self.listed.get(&ran.backend).map(|e| (e.zone, e.cell));
+            let location = self.listed.get(&ran.backend).map(|e| (e.zone, e.cell));
             match self.settings.classes[arrived.class].idempotency {
                 Idempotency::Idempotent => {}
                 Idempotency::NonIdempotent => {
                     panic!("a request that is not idempotent and may have run was sent again")
                 }
                 Idempotency::Keyed { scope, dedup_window_ms } => {
-                    assert!(self.now < ran.at + dedup_window_ms, "repeated after the window");
-                    let (first_zone, first_cell) = group.expect("listed");
+                    assert!(
+                        self.now < ran.sent_at + dedup_window_ms,
+                        "repeated after the deduplication window"
+                    );
+                    let (first_zone, first_cell) =
+                        location.expect("the backend of the first attempt is listed");
                     assert!(scope != DedupScope::Zone || first_zone == zone, "repeated in another zone");
                     assert!(scope != DedupScope::Cell || first_cell == cell, "repeated in another cell");
                 }
             }
         }
-        arrived.sends.push(Sent { backend, at: self.now, deadline, outcome: None, over: 0.0 });
+        arrived.sends.push(Sent { backend, sent_at: self.now, deadline, outcome: None, resolved_at: 0.0 });
     }
 
     fn on_reject(&mut self, request: RequestId) {
         let a = &self.requests[&request];
         let idempotency = self.settings.classes[a.class].idempotency;
-        let unrun = a.sends.iter().all(|s| s.outcome.is_some_and(Outcome::never_ran));
-        let all = matches!(
+        let never_ran = a.sends.iter().all(|s| s.outcome.is_some_and(Outcome::never_ran));
+        let repeatable = matches!(
             idempotency,
             Idempotency::Idempotent | Idempotency::Keyed { scope: DedupScope::All, .. }
         );
-        assert!(unrun || all, "rejected what may have run");
+        assert!(never_ran || repeatable, "rejected a request that may have run and must not be repeated");
         self.close(request, "rejected");
     }
 
+    /// Records the end of a request and checks that it is the only one and in time.
     pub fn close(&mut self, request: RequestId, how: &'static str) {
         let a = self.requests.get_mut(&request).expect("ended a request that never arrived");
-        assert!(a.ended.is_none(), "answered twice");
-        assert!(self.now <= a.deadline + GRACE, "answered {} ms late", self.now - a.deadline);
+        assert!(a.ended.is_none(), "the request ended twice");
+        assert!(
+            self.now <= a.deadline + DEADLINE_GRACE_MS,
+            "ended {} ms after its deadline",
+            self.now - a.deadline
+        );
         a.ended = Some((self.now, how));
     }
 }
--- a/tests/decisions/bodies.rs
+++ b/tests/decisions/bodies.rs
@@ -1,36 +1,36 @@
-//! Bodies that are still arriving, and retries.
+//! Request bodies that are still arriving, and retries.
 
 use super::{healthy, plain, run};
 use crate::common::*;
 use load_balancer::interface::*;
 
-/// Bodies that arrive slowly hold no slot and do not count as a backend's silence; complete, they are calls like
-/// others.
+/// A pending body holds no slot and does not count as a stalled backend; once it is complete, the call holds
+/// a slot.
 #[test]
-fn a_slow_body_is_not_the_backends_time() {
+fn a_slow_request_body_does_not_count_against_the_backend() {
     let mut p = Proxy::new(plain(1), 1, entries(4));
     run(&mut p, 2000.0, healthy);
     let pending: Vec<_> = (0..40).map(|_| p.request_with_pending_body(0)).collect();
     assert_eq!(
         p.in_flight().iter().filter(|(id, ..)| pending.contains(id)).count(),
         40,
-        "each has an attempt"
+        "each request with a pending body has an attempt"
     );
     let end = p.now + 10_000.0;
     while p.now < end {
         let id = p.request(0, 0, 4000.0);
-        assert_eq!(p.requests[&id].sends.len(), 1, "another call is not queued");
+        assert_eq!(p.requests[&id].sends.len(), 1, "a complete request was queued behind pending bodies");
         p.advance(p.now + 5.0);
         for (id, n, s) in p.in_flight() {
-            if !pending.contains(&id) && p.now - s.at >= 50.0 {
+            if !pending.contains(&id) && p.now - s.sent_at >= 50.0 {
                 p.resolve(id, n, Outcome::Ok);
             }
         }
-        assert_eq!(p.balancer.census().excluded, 0, "a backend is ejected for its clients' slowness");
+        assert_eq!(p.balancer.census().excluded, 0, "a backend was ejected for slow clients");
     }
     pending.iter().for_each(|&id| p.complete_body(id, 4000.0));
     let late = p.request(0, 0, 4000.0);
-    assert_eq!(p.requests[&late].sends.len(), 0, "now they are calls in flight");
+    assert_eq!(p.requests[&late].sends.len(), 0, "complete bodies must hold slots");
     p.advance(p.now + 50.0);
     for (id, n, _) in p.in_flight() {
         p.resolve(id, n, Outcome::Ok);
@@ -38,14 +38,15 @@
     assert!(pending.iter().all(|id| p.requests[id].ended.is_some_and(|e| e.1 == "served")));
 }
 
-/// A request whose body was partly consumed is not sent again, even where nothing ran; it is rejected at once.
+/// A request whose body was partly consumed cannot be sent again, even if it never ran: it ends at once.
 #[test]
 fn a_consumed_body_is_not_sent_again() {
     let mut p = Proxy::new(plain(1), 1, entries(4));
     for (consumed, sends) in [(false, 2), (true, 1)] {
         let request = p.request_with_pending_body(0);
         let backend = p.requests[&request].sends[0].backend;
-        p.requests.get_mut(&request).expect("asked").sends[0].outcome = Some(Outcome::ConnectFailed);
+        p.requests.get_mut(&request).expect("the request is known").sends[0].outcome =
+            Some(Outcome::ConnectFailed);
         let outcome = Outcome::ConnectFailed;
         let resolved = Resolved {
             request,
@@ -62,22 +63,22 @@
     }
 }
 
-/// Retries of requests that may have run are a share of the traffic: no retry storm.
+/// Guards against retry storms: retries of requests that may have run are limited to a share of the traffic.
 #[test]
 fn retries_are_bounded() {
     let mut p = Proxy::new(plain(1), 1, entries(8));
-    let (mut asked, mut sent) = (0, 0);
+    let (mut requests, mut attempts) = (0, 0);
     for _ in 0..2000 {
         p.request(0, 0, 4000.0);
-        asked += 1;
+        requests += 1;
         p.advance(p.now + 5.0);
         for (id, n, s) in p.in_flight() {
-            if p.now - s.at >= 20.0 {
-                sent += 1;
+            if p.now - s.sent_at >= 20.0 {
+                attempts += 1;
                 p.resolve(id, n, Outcome::Error);
             }
         }
         p.drop_finished();
     }
-    assert!(sent * 10 <= asked * 12, "{sent} attempts for {asked} requests that all fail");
+    assert!(attempts * 10 <= requests * 12, "{attempts} attempts for {requests} requests that all fail");
 }
--- a/tests/decisions/limit.rs
+++ b/tests/decisions/limit.rs
@@ -5,7 +5,7 @@
 use load_balancer::interface::*;
 
 #[test]
-fn limit_grows_while_it_is_used_and_answers_are_quick() {
+fn limit_grows_while_it_is_reached_and_responses_are_quick() {
     let mut p = Proxy::new(plain(1), 1, entries(10));
     let start = fill(&mut p, 0, 0, 400);
     for _ in 0..200 {
@@ -15,21 +15,21 @@
         fill(&mut p, 0, 0, 100);
     }
     let grown = p.in_flight().len();
-    assert!(grown >= 4 * start, "{start} calls out at first, {grown} after 10 s of quick answers");
+    assert!(grown >= 4 * start, "{start} calls in flight at first, {grown} after 10 s of quick responses");
 }
 
-/// Guards against a limit that drifts on an idle instance.
+/// Guards against a limit that drifts while it is not reached.
 #[test]
-fn limit_stays_while_it_is_not_used() {
+fn limit_stays_while_it_is_not_reached() {
     let mut p = Proxy::new(plain(1), 1, entries(10));
     let start = fill(&mut Proxy::new(plain(1), 1, entries(10)), 0, 0, 400);
     p.serve(10_000.0, 1, 0, 10.0);
     let after = fill(&mut p, 0, 0, 400);
-    assert!(after <= start + 1, "{start} at first, {after} after a quiet time");
+    assert!(after <= start + 1, "{start} calls in flight at first, {after} after a time of low load");
 }
 
 #[test]
-fn limit_falls_when_answers_are_slow_and_many_are_dropped() {
+fn limit_falls_when_responses_are_slow_or_rejected() {
     for (wait, outcome) in [(900.0, Outcome::Ok), (60.0, Outcome::Rejected)] {
         let mut p = Proxy::new(plain(1), 1, entries(10));
         p.serve(3000.0, 4, 0, 40.0);
@@ -43,26 +43,26 @@
             fill(&mut p, 0, 0, 400);
         }
         let after = p.in_flight().len();
-        assert!(after < before * 3 / 4, "{outcome:?}: {before} calls out before, {after} after");
+        assert!(after < before * 3 / 4, "{outcome:?}: {before} calls in flight before, {after} after");
     }
 }
 
-/// A limit that has grown at low load must not let a queue grow to three times what the rate needs before answers
-/// are slower than the target.
+/// A limit that has grown at low load must not let the calls in flight reach three times what the rate needs
+/// while responses are still within the latency objective.
 #[test]
-fn limit_keeps_to_what_the_rate_needs_where_there_is_a_queue() {
+fn limit_stays_near_what_the_rate_needs_while_calls_queue() {
     let mut p = Proxy::new(plain(1), 1, entries(20));
     p.serve(6000.0, 1, 0, 100.0);
     let before = fill(&mut Proxy::new(plain(1), 1, entries(20)), 0, 0, 400);
     // 200 a second at 100 ms need 20 in flight; at 300 ms, within the objective, 40 of 60 only wait.
     p.serve(4000.0, 1, 0, 300.0);
-    let out = p.in_flight().len();
-    assert!((20..=38).contains(&out), "{out} calls out, {before} allowed at first");
+    let in_flight = p.in_flight().len();
+    assert!((20..=38).contains(&in_flight), "{in_flight} calls in flight, a limit of {before} at first");
 }
 
-/// The first answers after a change are the quick ones; a limit that grows on them alone overshoots.
+/// The first responses after a change are the quick ones; a limit that grows on these alone overshoots.
 #[test]
-fn a_few_quick_answers_do_not_grow_the_limit() {
+fn a_few_quick_responses_do_not_raise_the_limit() {
     let mut p = Proxy::new(plain(1), 1, entries(10));
     let start = fill(&mut p, 0, 0, 400);
     for _ in 0..40 {
@@ -73,26 +73,26 @@
         }
     }
     let after = fill(&mut p, 0, 0, 400);
-    assert!(after <= start + 1, "{start} at first, {after} on a few quick answers");
+    assert!(after <= start + 1, "{start} calls in flight at first, {after} after a few quick responses");
 }
 
-/// The limit must not stay high after the tier has shrunk, until latency shows it.
+/// The limit must follow a shrunk list at once, not only when latency has risen.
 #[test]
 fn limit_shrinks_with_the_list() {
-    let out = |gone: bool| {
+    let limit = |shrunk: bool| {
         let mut p = Proxy::new(plain(1), 1, entries(20));
-        if gone {
+        if shrunk {
             p.list(ListKind::Full, entries(5));
         }
         fill(&mut p, 0, 0, 400)
     };
-    let (full, shrunk) = (out(false), out(true));
-    assert!(shrunk * 3 <= full, "{full} calls out over 20 backends, {shrunk} over the remaining 5");
+    let (full, shrunk) = (limit(false), limit(true));
+    assert!(shrunk * 3 <= full, "{full} calls in flight with 20 backends, {shrunk} with the remaining 5");
 }
 
-/// In a release each backend is replaced by a new one: the limit must return each time.
+/// In a rolling release each backend is replaced by a new one: the limit must recover each time.
 #[test]
-fn limit_returns_with_the_successors_of_backends_that_left() {
+fn limit_recovers_when_backends_are_replaced() {
     let mut p = Proxy::new(plain(1), 1, entries(8));
     for old in 1..=8 {
         p.list(ListKind::Delta, vec![Entry { phase: Phase::Draining, ..entry(old) }]);
@@ -100,10 +100,10 @@
     }
     p.advance(p.now + 20_000.0);
     let (warm, first) = (fill(&mut p, 0, 0, 400), fill(&mut Proxy::new(plain(1), 1, entries(8)), 0, 0, 400));
-    assert!(first - warm <= 1, "{first} calls out at first, {warm} after the release");
+    assert!(first - warm <= 1, "{first} calls in flight at first, {warm} after the release");
 }
 
-/// An instance with few calls must not take a queue for its baseline, however early.
+/// An instance with few calls must not take early queueing delays for its baseline latency.
 #[test]
 fn an_early_queue_is_not_taken_for_the_baseline() {
     let mut p = Proxy::new(plain(1), 1, entries(5));
@@ -117,50 +117,51 @@
     }
     assert!(
         p.in_flight().len() < start,
-        "{start} calls at first, {} after answers at 0.7 objectives",
+        "{start} calls in flight at first, {} after responses at 0.7 of the objective",
         p.in_flight().len()
     );
 }
 
-/// Answers are lost while those that arrive are quick (incident idc7037). Timeouts alone must not shrink the limit
-/// to nothing, nor may lost calls hold slots until their deadline.
+/// Some responses are lost while the others are quick (incident idc7037). Timeouts alone must not lower the
+/// limit to its minimum, nor may lost calls hold slots until their deadline.
 #[test]
-fn lost_answers_do_not_shrink_the_limit_to_nothing() {
+fn lost_responses_do_not_lower_the_limit_to_its_minimum() {
     let mut p = Proxy::new(settings(1, vec![class(1000.0, 1.0, Idempotency::NonIdempotent)]), 1, entries(8));
-    let answer = |s: &Sent, now: f64| (now - s.at >= 150.0).then_some(Outcome::Ok);
-    run(&mut p, 6000.0, answer);
-    // One answer in six never comes, wherever the call went.
+    let outcome_of = |s: &Sent, now: f64| (now - s.sent_at >= 150.0).then_some(Outcome::Ok);
+    run(&mut p, 6000.0, outcome_of);
+    // One response in six is lost, whichever backend was called.
     let lossy = |s: &Sent, now: f64| {
-        if ((s.at / 5.0) as u64).is_multiple_of(6) { None } else { answer(s, now) }
+        if ((s.sent_at / 5.0) as u64).is_multiple_of(6) { None } else { outcome_of(s, now) }
     };
     let sends = run(&mut p, 30_000.0, lossy);
     let sent: usize = sends.values().sum();
     assert!(sent * 10 > 6000 * 9, "{sent} of 6000 requests sent");
 }
 
-/// A call in flight for many times its class's mean is lost or stuck: it holds no slot until its deadline.
+/// A call in flight for many times the mean latency of its class is stalled and must not hold a slot until
+/// its deadline.
 #[test]
 fn stalled_calls_hold_no_slots() {
     let mut p = Proxy::new(settings(1, vec![class(1000.0, 1.0, Idempotency::NonIdempotent)]), 1, entries(8));
     run(&mut p, 3000.0, healthy);
     let first = fill(&mut p, 0, 0, 400);
     p.advance(p.now + 150.0);
-    assert_eq!(fill(&mut p, 0, 0, 400), first, "three means: still in the queue, perhaps");
+    assert_eq!(fill(&mut p, 0, 0, 400), first, "after three times the mean a call still holds its slot");
     p.advance(p.now + 150.0);
     assert!(
         fill(&mut p, 0, 0, 400) >= 2 * first,
-        "six means: {} calls out, {first} at first",
+        "after six times the mean: {} calls in flight, {first} at first",
         p.in_flight().len()
     );
 }
 
-/// Latencies of 2 ms after latencies of 0.5 ms are no queue where the objective is far longer.
+/// A rise in latency, such as from 0.5 to 2 ms, is not queueing if it is a small part of the objective.
 #[test]
-fn limit_stays_where_answers_take_a_small_part_of_the_objective() {
+fn limit_stays_while_latency_is_a_small_part_of_the_objective() {
     let mut p = Proxy::new(plain(1), 1, entries(20));
     p.serve(6000.0, 1, 0, 5.0);
     let before = fill(&mut Proxy::new(plain(1), 1, entries(20)), 0, 0, 400);
     p.serve(4000.0, 1, 0, 20.0);
     let after = fill(&mut p, 0, 0, 400);
-    assert!(after >= before - 1, "{before} at first, {after} after answers that took four times as long");
+    assert!(after >= before - 1, "{before} calls in flight at first, {after} after four times the latency");
 }
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -1,4 +1,5 @@
-//! The decisions of the module, by kind of failure. Each test fails without the rule that it names.
+//! Tests of the balancer's decisions, one module for each part. Each test fails without the rule that it
+//! names.
 
 mod admission;
 mod bodies;
@@ -16,11 +17,13 @@
 use load_balancer::interface::*;
 use std::collections::BTreeMap;
 
+/// The settings of an instance with one class of idempotent requests.
 fn plain(instances: u32) -> Settings {
     settings(instances, vec![class(1000.0, 1.0, Idempotency::Idempotent)])
 }
 
-/// How many calls an instance has in flight when it gets more requests than it admits.
+/// Delivers requests and returns the number of attempts then in flight: the limit, if it is below the
+/// arrivals.
 fn fill(p: &mut Proxy, class: usize, tenant: u16, arrivals: usize) -> usize {
     (0..arrivals).for_each(|_| {
         p.request(class, tenant, 1e5);
@@ -29,23 +32,28 @@
 }
 
 fn sends_by_backend(p: &Proxy) -> BTreeMap<BackendId, usize> {
-    let mut by = BTreeMap::new();
-    p.requests.values().flat_map(|a| &a.sends).for_each(|s| *by.entry(s.backend).or_default() += 1);
-    by
+    let mut sends = BTreeMap::new();
+    p.requests.values().flat_map(|a| &a.sends).for_each(|s| *sends.entry(s.backend).or_default() += 1);
+    sends
 }
 
-/// Runs an instance at a steady rate; `answer` gives the outcome of a call, if it ends now.
-fn run(p: &mut Proxy, ms: f64, answer: impl Fn(&Sent, f64) -> Option<Outcome>) -> BTreeMap<BackendId, usize> {
+/// Sends a request every 5 ms for `ms` and returns the calls by backend; `outcome_of` gives the outcome of a
+/// call, if it ends now.
+fn run(
+    p: &mut Proxy,
+    ms: f64,
+    outcome_of: impl Fn(&Sent, f64) -> Option<Outcome>,
+) -> BTreeMap<BackendId, usize> {
     let (end, mut sends) = (p.now + ms, BTreeMap::new());
     while p.now < end {
         p.request(0, 0, 4000.0);
         let at = p.now;
         p.advance(at + 5.0);
         for (id, n, s) in p.in_flight() {
-            if s.at >= at {
+            if s.sent_at >= at {
                 *sends.entry(s.backend).or_default() += 1;
             }
-            if let Some(outcome) = answer(&s, p.now) {
+            if let Some(outcome) = outcome_of(&s, p.now) {
                 p.resolve(id, n, outcome);
             }
         }
@@ -54,6 +62,7 @@
     sends
 }
 
+/// The outcome of a call to a healthy backend, which responds after 50 ms.
 fn healthy(s: &Sent, now: f64) -> Option<Outcome> {
-    (now - s.at >= 50.0).then_some(Outcome::Ok)
+    (now - s.sent_at >= 50.0).then_some(Outcome::Ok)
 }
--- a/tests/decisions/settings.rs
+++ b/tests/decisions/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that are rejected.
+//! Rejection of invalid settings.
 
 use super::plain;
 use load_balancer::Balancer;
@@ -18,7 +18,7 @@
     for (field, change) in cases {
         let mut s = plain(2);
         change(&mut s);
-        let error = Balancer::new(s, 1).err().expect("rejected");
+        let error = Balancer::new(s, 1).err().expect("invalid settings are rejected");
         assert_eq!(error.field, field);
         assert!(error.to_string().contains(field));
     }
--- a/tests/decisions/zones.rs
+++ b/tests/decisions/zones.rs
@@ -1,28 +1,36 @@
-//! Zones, and what crossing them costs.
+//! Zone-aware routing: the price of crossing zones, spill and return.
 
 use super::{healthy, plain, run};
 use crate::common::*;
 use load_balancer::interface::*;
 use std::collections::BTreeMap;
 
-/// The share of an instance's last calls that left its zone, where answers take `near` ms and 50 ms in the other.
-fn share_that_left_the_zone(price: f64, near: f64) -> f64 {
+/// The share of calls that leave the zone where responses take `local_ms` in the instance's own zone and 50
+/// ms in the other.
+fn share_that_left_the_zone(price: f64, local_ms: f64) -> f64 {
     let mut p = two_zones(price);
     run(&mut p, 4000.0, healthy);
-    let answer =
-        |s: &Sent, now: f64| (now - s.at >= if s.backend <= 5 { near } else { 50.0 }).then_some(Outcome::Ok);
-    run(&mut p, 8000.0, answer);
-    share_outside(&run(&mut p, 2000.0, answer))
+    let outcome_of = |s: &Sent, now: f64| {
+        (now - s.sent_at >= if s.backend <= 5 { local_ms } else { 50.0 }).then_some(Outcome::Ok)
+    };
+    run(&mut p, 8000.0, outcome_of);
+    share_outside(&run(&mut p, 2000.0, outcome_of))
 }
 
-/// Where crossing zones has a price calls stay, until the zone's own latency costs more than the crossing.
+/// Calls stay in the zone until its latency costs more than the price of crossing.
 #[test]
-fn calls_leave_the_zone_only_for_more_than_its_price() {
-    assert_eq!(share_that_left_the_zone(0.2, 50.0), 0.0, "nothing is gained by leaving");
+fn calls_leave_the_zone_only_for_more_than_the_cross_zone_price() {
+    assert_eq!(share_that_left_the_zone(0.2, 50.0), 0.0, "calls left the zone for no gain in latency");
     let overloaded = share_that_left_the_zone(0.2, 700.0);
-    assert!(overloaded > 0.5, "{overloaded} left a zone that is 0.65 of the objective slower");
+    assert!(
+        overloaded > 0.5,
+        "a share of only {overloaded} left a zone that is 0.65 of the objective slower"
+    );
     let cheap = share_that_left_the_zone(0.0, 50.0);
-    assert!((0.3..0.7).contains(&cheap), "{cheap} left where crossing is free: all zones are one pool");
+    assert!(
+        (0.3..0.7).contains(&cheap),
+        "a share of {cheap} left although crossing is free and all zones are one pool"
+    );
 }
 
 /// Two zones of five backends, the instance in the first.
@@ -35,14 +43,17 @@
 
 /// A zone with one of four backends must not get nearly all calls of its instances (incident r9836).
 #[test]
-fn a_zone_smaller_than_a_subset_is_filled_up_from_beyond() {
+fn a_subset_larger_than_its_zone_includes_other_zones() {
     let mut s = plain(2);
     s.goal.cross_zone_price = 0.015;
     let zones = entries(4).into_iter().map(|e| Entry { zone: e.backend as u16 % 3, ..e }).collect();
     let mut p = Proxy::new(Settings { zone: 2, ..s }, 1, zones);
-    // A quarter of the members, so about a quarter of the calls, before any latency shows it.
+    // One backend of four must get about a quarter of the calls before any latency is measured.
     let sends = run(&mut p, 1000.0, healthy);
-    assert!((30..80).contains(&sends[&2]), "the zone's one of four got too much or too little: {sends:?}");
+    assert!(
+        (30..80).contains(&sends[&2]),
+        "the zone's one backend of four got too many or too few calls: {sends:?}"
+    );
 }
 
 /// The calls of a zone must not all go to its two warm backends while four are cold.
@@ -52,62 +63,63 @@
     s.goal.cross_zone_price = 0.015;
     let zones = entries(12).into_iter().map(|e| Entry { zone: e.backend as u16 % 2, ..e }).collect();
     let mut p = Proxy::new(s, 1, zones);
-    let of_its_zone = |sends: &BTreeMap<BackendId, usize>| -> usize {
+    let local_calls = |sends: &BTreeMap<BackendId, usize>| -> usize {
         sends.iter().filter(|(b, _)| **b % 2 == 0).map(|(_, n)| n).sum()
     };
-    let all = of_its_zone(&run(&mut p, 1000.0, healthy));
-    assert!(all > 180, "{all} of 200 calls stay in a zone that bears its half");
-    // Four of its six are new, so it bears 2.5 of the 8.5 that the list does, and its part would be the half.
+    let all = local_calls(&run(&mut p, 1000.0, healthy));
+    assert!(all > 180, "only {all} of 200 calls stay in a zone with half of the capacity");
+    // Four of the zone's six backends are cold, so it has 2.5 of the list's capacity of 8.5, and its share of
+    // the load is half.
     let started_at = p.now;
     p.list(ListKind::Delta, (1..=4).map(|b| Entry { started_at_ms: started_at, ..entry(2 * b) }).collect());
-    let part = of_its_zone(&run(&mut p, 1000.0, healthy));
-    assert!((80..150).contains(&part), "{part} of 200 calls stay in a zone that bears 0.29 of the list");
+    let partial = local_calls(&run(&mut p, 1000.0, healthy));
+    assert!((80..150).contains(&partial), "{partial} of 200 calls stay in a zone with 0.29 of the capacity");
 }
 
 fn share_outside(sends: &BTreeMap<BackendId, usize>) -> f64 {
-    let far: usize = sends.iter().filter(|(b, _)| **b > 5).map(|(_, n)| n).sum();
-    far as f64 / sends.values().sum::<usize>().max(1) as f64
+    let outside: usize = sends.iter().filter(|(b, _)| **b > 5).map(|(_, n)| n).sum();
+    outside as f64 / sends.values().sum::<usize>().max(1) as f64
 }
 
-/// A zone without calls sends no answers, and its last bad estimate must not keep calls away for good (incident
-/// idf6b26).
+/// A zone without calls yields no latencies, and its last high estimate must not keep calls away for good
+/// (incident idf6b26).
 #[test]
-fn a_zone_that_was_left_is_tried_again() {
+fn a_zone_without_calls_is_tried_again() {
     let mut p = two_zones(0.2);
     let slow = |s: &Sent, now: f64| {
-        (now - s.at >= if s.backend <= 5 { 1800.0 } else { 50.0 }).then_some(Outcome::Ok)
+        (now - s.sent_at >= if s.backend <= 5 { 1800.0 } else { 50.0 }).then_some(Outcome::Ok)
     };
     run(&mut p, 3000.0, healthy);
     run(&mut p, 15_000.0, slow);
     let away = share_outside(&run(&mut p, 2000.0, slow));
-    assert!(away > 0.8, "{away} outside a zone that takes 1.8 objectives");
+    assert!(away > 0.8, "a share of only {away} left a zone that takes 1.8 times the objective");
     run(&mut p, 60_000.0, healthy);
     let back = share_outside(&run(&mut p, 2000.0, healthy));
-    assert!(back < 0.1, "{back} still outside, a minute after the zone has recovered");
+    assert!(back < 0.1, "a share of {back} still leaves the zone a minute after its recovery");
 }
 
-/// Clients that leave before slow answers arrive must not hide the slowness of the zone.
+/// Clients that disconnect before slow responses arrive must not hide the latency of the zone.
 #[test]
 fn cancelled_calls_count_as_slow_for_their_zone() {
     let mut p = two_zones(0.2);
     run(&mut p, 3000.0, healthy);
-    let (end, mut far, mut all) = (p.now + 15_000.0, 0, 0);
+    let (end, mut outside, mut all) = (p.now + 15_000.0, 0, 0);
     while p.now < end {
         p.request(0, 0, 4000.0);
         p.advance(p.now + 5.0);
         for (id, n, s) in p.in_flight() {
             let open = p.requests[&id].ended.is_none();
-            // A third of the zone's answers come quickly: it is not silent.
-            if (s.backend > 5 || id % 3 == 0) && p.now - s.at >= 50.0 {
+            // A third of the zone's responses are quick, so the zone is not silent.
+            if (s.backend > 5 || id % 3 == 0) && p.now - s.sent_at >= 50.0 {
                 p.resolve(id, n, Outcome::Ok);
-            } else if open && s.backend <= 5 && p.now - s.at >= 900.0 {
+            } else if open && s.backend <= 5 && p.now - s.sent_at >= 900.0 {
                 p.client_gone(id);
             }
-            if s.at >= p.now - 5.0 && p.now > end - 3000.0 {
-                (far, all) = (far + usize::from(s.backend > 5), all + 1);
+            if s.sent_at >= p.now - 5.0 && p.now > end - 3000.0 {
+                (outside, all) = (outside + usize::from(s.backend > 5), all + 1);
             }
         }
         p.drop_finished();
     }
-    assert!(far * 2 > all, "{far} of {all} calls leave a zone whose clients all give up");
+    assert!(outside * 2 > all, "only {outside} of {all} calls leave a zone whose clients all disconnect");
 }
--- a/tests/digest/changes.rs
+++ b/tests/digest/changes.rs
@@ -1,16 +1,18 @@
-//! What changes around an instance: its list, the backends' starts, and the route table.
+//! Changes around an instance: list updates, backend restarts and route tables.
 
-use super::Life;
+use super::RandomRun;
 use load_balancer::interface::*;
 
-impl Life {
+impl RandomRun {
+    /// A random listed backend.
     pub(super) fn any_listed(&mut self) -> Option<BackendId> {
         let count = self.listed.len();
-        (count > 0).then(|| *self.listed.keys().nth(self.rng.usize(..count)).expect("within"))
+        (count > 0)
+            .then(|| *self.listed.keys().nth(self.rng.usize(..count)).expect("the index is within the list"))
     }
 
-    /// One to three entries change, come or go.
-    pub(super) fn change(&mut self) {
+    /// Changes, adds or removes one to three entries.
+    pub(super) fn change_entries(&mut self) {
         let mut entries = Vec::new();
         for _ in 0..=self.rng.usize(..3) {
             let Some(backend) = self.any_listed() else { return };
@@ -18,11 +20,11 @@
             match self.rng.u32(..8) {
                 0 => entry.phase = Phase::Draining,
                 1 => entry.phase = Phase::Gone,
-                2 => entry.zone = self.rng.u16(..self.conditions.zones),
+                2 => entry.zone = self.rng.u16(..self.scenario.zones),
                 3 => entry.weight += 0.1,
                 4 => entry.started_at_ms = self.now - 10.0,
                 5 => {
-                    let id = self.conditions.backends + self.rng.u32(1..30);
+                    let id = self.scenario.backends + self.rng.u32(1..30);
                     self.add(id);
                     let backend = id.wrapping_mul(2_654_435_761);
                     entry = self.listed[&backend].clone();
@@ -39,8 +41,8 @@
         self.notify(Event::List { kind: ListKind::Delta, entries });
     }
 
-    /// Some of the backends restart.
-    pub(super) fn restart(&mut self) {
+    /// Restarts a random share of the backends.
+    pub(super) fn restart_backends(&mut self) {
         let (now, share) = (self.now, self.rng.f64());
         let mut entries: Vec<Entry> = self.listed.values().cloned().collect();
         entries.retain(|_| self.rng.f64() < share);
@@ -49,7 +51,7 @@
         self.notify(Event::List { kind: ListKind::Delta, entries });
     }
 
-    /// The list service answers with a part of the list, or not at all; the full list follows, or does not.
+    /// Delivers a failed list request, or a part of the list that the full list may follow.
     pub(super) fn lose_entries(&mut self) {
         if self.rng.bool() {
             return self.notify(Event::List { kind: ListKind::Failed, entries: Vec::new() });
@@ -64,6 +66,7 @@
         }
     }
 
+    /// Delivers a route table with random weights for a part of the backends.
     pub(super) fn change_route_weights(&mut self) {
         let mut weights = Vec::new();
         for &id in self.listed.keys() {
--- a/tests/digest/record.rs
+++ b/tests/digest/record.rs
@@ -1,9 +1,9 @@
-//! The form in which decisions enter the digests. It is spelled out here, with the names that the interface had when the
-//! digests were recorded, so that a renamed action or field changes no digest and a changed decision does.
+//! The text form of decisions in the digests. It uses the names that the interface had when the digests were
+//! recorded, so that a renamed action or field changes no digest, and a changed decision does.
 
 use load_balancer::interface::{Action, Census, TrafficShare};
 
-/// One action, with all its fields.
+/// An action with all its fields.
 pub fn action(action: &Action) -> String {
     match action {
         Action::Send { request, backend, deadline_ms } => {
@@ -32,7 +32,7 @@
     format!("Census {{ listed: {listed}, excluded: {excluded}, unlisted: {unlisted} }}")
 }
 
-/// The share of the calls that a backend gets.
+/// The share of the calls that a backend may get.
 pub fn traffic_share(share: TrafficShare) -> &'static str {
     match share {
         TrafficShare::Full => "Full",
--- a/tests/digest/conditions.rs
+++ b/tests/digest/scenario.rs
@@ -1,32 +1,35 @@
-//! What random lives are drawn from: the settings of an instance and how much happens around it.
+//! The random scenario of a run: the settings of an instance and the rates of events around it.
 
 use load_balancer::interface::*;
 
-/// What a life is drawn from. Rates are out of a thousand steps.
-pub struct Conditions {
+/// The parameters of a random run.
+pub struct Scenario {
     pub seed: u64,
     pub settings: Settings,
     pub backends: u32,
     pub zones: u16,
-    pub arrivals: usize,
+    /// The most arrivals in a step.
+    pub max_arrivals: usize,
     pub cold_share: f64,
     pub faulty_share: f64,
-    pub weighted: bool,
+    pub has_weights: bool,
+    /// Rates of the events, per thousand steps.
     pub restarts: u32,
-    pub changes: u32,
-    pub losses: u32,
-    pub tables: u32,
-    pub peers: u32,
+    pub entry_changes: u32,
+    pub list_losses: u32,
+    pub route_table_changes: u32,
+    pub peer_changes: u32,
 }
 
 fn class(objective_ms: f64, priority_weight: f64, idempotency: Idempotency, in_order: bool) -> Class {
     Class { latency_objective_ms: objective_ms, priority_weight, idempotency, in_order }
 }
 
-impl Conditions {
-    pub fn draw(seed: u64) -> Self {
+impl Scenario {
+    /// Draws the parameters from a seed.
+    pub fn random(seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed ^ 0x5eed);
-        let dedup = |group, window| Idempotency::Keyed { scope: group, dedup_window_ms: window };
+        let dedup = |scope, dedup_window_ms| Idempotency::Keyed { scope, dedup_window_ms };
         let classes = vec![
             class(200.0, 1.0, Idempotency::Idempotent, false),
             class(300.0, 5.0, Idempotency::NonIdempotent, false),
@@ -35,7 +38,7 @@
             class(300.0, 2.0, dedup(DedupScope::All, 600.0), false),
         ];
         let instances = 1 + rng.u32(..60);
-        let most = if rng.bool() { 400 } else { 20 };
+        let max_backends = if rng.bool() { 400 } else { 20 };
         let settings = Settings {
             instance_index: rng.u32(..instances),
             instance_count: instances,
@@ -60,20 +63,20 @@
             },
             ..Settings::default()
         };
-        Conditions {
+        Scenario {
             seed,
             settings,
-            backends: 3 + rng.u32(..most),
+            backends: 3 + rng.u32(..max_backends),
             zones: 1 + rng.u16(..4),
-            arrivals: 1 + rng.usize(..8),
+            max_arrivals: 1 + rng.usize(..8),
             cold_share: 0.2,
             faulty_share: 0.1,
-            weighted: rng.bool(),
+            has_weights: rng.bool(),
             restarts: 5,
-            changes: 40,
-            losses: 2,
-            tables: 3,
-            peers: 3,
+            entry_changes: 40,
+            list_losses: 2,
+            route_table_changes: 3,
+            peer_changes: 3,
         }
     }
 }
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -1,8 +1,9 @@
-//! The four rules as properties over seeded random event sequences, checked by the proxy's own record.
+//! Tests of the four rules over seeded random event sequences, checked against the proxy's record of
+//! attempts.
 
-mod cold;
+mod cold_backends;
 #[path = "../common/mod.rs"]
 mod common;
 mod idle;
 mod keys;
-mod lives;
+mod random_runs;
--- a/tests/rules/lives.rs
+++ b/tests/rules/random_runs.rs
@@ -1,4 +1,4 @@
-//! The four rules over random lives of an instance.
+//! The four rules over random event sequences.
 
 use crate::common::*;
 use load_balancer::interface::*;
@@ -14,7 +14,7 @@
 ];
 
 fn all_idempotencies() -> Vec<Class> {
-    let dedup = |group, window| Idempotency::Keyed { scope: group, dedup_window_ms: window };
+    let dedup = |scope, dedup_window_ms| Idempotency::Keyed { scope, dedup_window_ms };
     vec![
         class(400.0, 1.0, Idempotency::Idempotent),
         class(500.0, 5.0, Idempotency::NonIdempotent),
@@ -26,30 +26,31 @@
     ]
 }
 
-/// One random life of an instance: requests of every class, every outcome, a list that changes all the time.
-fn life(seed: u64, change: impl Fn(&mut Settings)) {
+/// Runs an instance through random events: requests of every class, every outcome, frequent list changes.
+fn random_run(seed: u64, change: impl Fn(&mut Settings)) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut s = settings(1 + rng.u32(..4), all_idempotencies());
     s.tier = rng.u32(..3);
     s.tenants = vec![Tenant { quota_per_s: 50.0 }, Tenant { quota_per_s: 5.0 }];
     s.goal.worst_class_weight = 0.3;
     change(&mut s);
-    let with_place = |rng: &mut fastrand::Rng, mut e: Entry| {
+    let with_location = |rng: &mut fastrand::Rng, mut e: Entry| {
         (e.zone, e.cell) = (rng.u16(..3), rng.u16(..4));
         e
     };
-    let start: Vec<Entry> = entries(rng.u32(1..20)).into_iter().map(|e| with_place(&mut rng, e)).collect();
-    let mut p = Proxy::new(s, seed, start);
+    let initial: Vec<Entry> =
+        entries(rng.u32(1..20)).into_iter().map(|e| with_location(&mut rng, e)).collect();
+    let mut p = Proxy::new(s, seed, initial);
     for _ in 0..1500 {
         match rng.u32(..100) {
             0..40 => {
-                let (class, left) = (rng.usize(..7), 1.0 + rng.f64().powi(2) * 1500.0);
-                p.request_with_key(rng.u64(..12), class, rng.u16(..3), left);
+                let (class, time_left_ms) = (rng.usize(..7), 1.0 + rng.f64().powi(2) * 1500.0);
+                p.request_with_key(rng.u64(..12), class, rng.u16(..3), time_left_ms);
             }
             40..75 => {
-                let out = p.in_flight();
-                if !out.is_empty() {
-                    let (id, n, _) = out[rng.usize(..out.len())].clone();
+                let in_flight = p.in_flight();
+                if !in_flight.is_empty() {
+                    let (id, n, _) = in_flight[rng.usize(..in_flight.len())].clone();
                     p.resolve(id, n, OUTCOMES[rng.usize(..OUTCOMES.len())]);
                 }
             }
@@ -62,7 +63,7 @@
             }
             78..84 => {
                 let backend = rng.u32(1..25);
-                let mut e = with_place(&mut rng, entry(backend));
+                let mut e = with_location(&mut rng, entry(backend));
                 if let Some(known) = p.listed.get(&e.backend) {
                     (e.zone, e.cell) = (known.zone, known.cell);
                 }
@@ -79,11 +80,11 @@
             }
             85..86 => p.list(ListKind::Failed, vec![]),
             86..88 => {
-                // Events about unknown requests and timers are ignored.
+                // Events for unknown requests and timers must be ignored.
                 p.notify(Event::ClientGone { request: 1 << 50 });
                 p.notify(Event::TimerFired { token: 999 });
                 let (request, outcome) = (1 << 50, Outcome::Ok);
-                let stray = Resolved {
+                let unknown = Resolved {
                     request,
                     attempt: 3,
                     backend: 77,
@@ -92,7 +93,7 @@
                     request_ended: true,
                     body_consumed: false,
                 };
-                p.notify(Event::Resolved(stray));
+                p.notify(Event::Resolved(unknown));
             }
             _ => {
                 let to = p.now + rng.f64() * 60.0;
@@ -102,7 +103,7 @@
     }
     p.advance(p.now + 5000.0);
     let open = p.requests.values().filter(|a| a.ended.is_none()).count();
-    assert_eq!(open, 0, "seed {seed}: requests without a final answer");
+    assert_eq!(open, 0, "seed {seed}: requests that never ended");
     assert!(
         p.requests.values().any(|a| a.ended.is_some_and(|e| e.1 == "served")),
         "seed {seed}: nothing served"
@@ -110,21 +111,21 @@
 }
 
 #[test]
-fn rules_hold_over_random_lives() {
-    (0..60).for_each(|seed| life(seed, |_| {}));
+fn rules_hold_over_random_runs() {
+    (0..60).for_each(|seed| random_run(seed, |_| {}));
 }
 
 #[test]
-fn rules_hold_where_cancels_are_forbidden() {
-    (100..140).for_each(|seed| life(seed, |s| (s.caps.cancelling, s.caps.max_attempts) = (false, 2)));
+fn rules_hold_without_cancelling() {
+    (100..140).for_each(|seed| random_run(seed, |s| (s.caps.cancelling, s.caps.max_attempts) = (false, 2)));
 }
 
 #[test]
-fn rules_hold_where_the_list_must_be_asked() {
-    (200..230).for_each(|seed| life(seed, |s| s.must_subscribe = true));
+fn rules_hold_when_the_list_must_be_subscribed_to() {
+    (200..230).for_each(|seed| random_run(seed, |s| s.must_subscribe = true));
 }
 
-/// Guards against decisions that depend on hash order or a clock.
+/// Guards against decisions that depend on hash order or the system clock.
 #[test]
 fn same_events_give_same_actions() {
     let run = || {
@@ -139,12 +140,12 @@
     assert_eq!(run(), run());
 }
 
-/// A request can have less time left than the next tick takes: it is answered at once.
+/// A request whose deadline is before the next tick must be answered at once.
 #[test]
-fn a_request_with_hardly_any_time_left_is_answered_in_time() {
+fn a_request_with_a_short_deadline_is_answered_in_time() {
     let mut p = Proxy::new(settings(1, all_idempotencies()), 1, vec![]);
-    for left in [0.5, 5.0, 30.0, 60.0, 99.0, 101.0, 150.0] {
-        p.request(1, 0, left);
+    for time_left_ms in [0.5, 5.0, 30.0, 60.0, 99.0, 101.0, 150.0] {
+        p.request(1, 0, time_left_ms);
     }
     p.advance(p.now + 1000.0);
     assert!(p.requests.values().all(|a| a.ended.is_some_and(|e| e.1 == "rejected")));
--- a/tests/standing.rs
+++ b/tests/standing.rs
@@ -179,8 +179,8 @@
             p.request(0, 0, 1e5);
             p.advance(p.now + 50.0);
             let over = p.now - 400.0;
-            for (id, attempt, s) in p.in_flight().into_iter().filter(|(.., s)| s.at <= over) {
-                sends[s.backend as usize].push(s.at - START);
+            for (id, attempt, s) in p.in_flight().into_iter().filter(|(.., s)| s.sent_at <= over) {
+                sends[s.backend as usize].push(s.sent_at - START);
                 p.resolve(id, attempt, Outcome::Ok);
             }
             p.drop_finished();
