--- a/tests/common/events.rs
+++ b/tests/common/events.rs
@@ -43,24 +43,27 @@
 
     /// Completes the body of a request; the time of its attempt counts from here.
     pub fn complete_body(&mut self, request: RequestId, time_left_ms: f64) {
-        let (now, a) = (self.now, self.requests.get_mut(&request).expect("the request is known"));
-        a.deadline = now + time_left_ms;
-        let out =
-            a.sends.iter_mut().find(|s| s.outcome.is_none()).expect("the request has an attempt in flight");
-        (out.sent_at, out.deadline) = (now, now + time_left_ms);
-        let deadline = a.deadline;
+        let (now, record) = (self.now, self.requests.get_mut(&request).expect("the request is known"));
+        record.deadline = now + time_left_ms;
+        let attempt = record
+            .sends
+            .iter_mut()
+            .find(|s| s.outcome.is_none())
+            .expect("the request has an attempt in flight");
+        (attempt.sent_at, attempt.deadline) = (now, now + time_left_ms);
+        let deadline = record.deadline;
         self.notify(Event::BodyComplete { request, deadline_ms: deadline });
     }
 
     /// Resolves an attempt with an outcome.
     pub fn resolve(&mut self, request: RequestId, attempt: usize, outcome: Outcome) {
-        let a = self.requests.get_mut(&request).expect("the request is known");
-        let s = &mut a.sends[attempt];
+        let record = self.requests.get_mut(&request).expect("the request is known");
+        let s = &mut record.sends[attempt];
         assert!(s.outcome.is_none());
         (s.outcome, s.resolved_at) = (Some(outcome), self.now);
         let (backend, latency_ms) = (s.backend, self.now - s.sent_at);
-        if outcome == Outcome::Ok && a.ended.is_none() {
-            self.close(request, "served");
+        if outcome == Outcome::Ok && record.ended.is_none() {
+            self.close(request, RequestEnd::Served);
         }
         let request_ended = self.requests[&request].ended.is_some();
         let attempt = attempt as AttemptNo;
@@ -78,14 +81,14 @@
 
     /// Ends a request whose client has disconnected.
     pub fn client_gone(&mut self, request: RequestId) {
-        self.close(request, "client gone");
+        self.close(request, RequestEnd::ClientGone);
         self.notify(Event::ClientGone { request });
     }
 
     /// The attempts in flight, oldest request first.
     pub fn in_flight(&self) -> Vec<(RequestId, usize, Sent)> {
-        let sends = |(&id, a): (&RequestId, &RequestRecord)| {
-            let pending = a.sends.iter().enumerate().filter(|(_, s)| s.outcome.is_none());
+        let sends = |(&id, record): (&RequestId, &RequestRecord)| {
+            let pending = record.sends.iter().enumerate().filter(|(_, s)| s.outcome.is_none());
             pending.map(|(n, s)| (id, n, s.clone())).collect::<Vec<_>>()
         };
         self.requests.iter().flat_map(sends).collect()
@@ -103,7 +106,7 @@
                 self.in_flight().into_iter().filter(|(_, _, s)| s.deadline <= now).collect();
             timed_out.into_iter().for_each(|(id, n, _)| self.resolve(id, n, Outcome::Timeout));
             for (id, n) in std::mem::take(&mut self.cancelled) {
-                if self.requests.get(&id).is_some_and(|a| a.sends[n].outcome.is_none()) {
+                if self.requests.get(&id).is_some_and(|record| record.sends[n].outcome.is_none()) {
                     self.resolve(id, n, Outcome::Cancelled);
                 }
             }
@@ -112,7 +115,8 @@
 
     /// Drops the records of finished requests, which would slow down long tests.
     pub fn drop_finished(&mut self) {
-        self.requests.retain(|_, a| a.ended.is_none() || a.sends.iter().any(|s| s.outcome.is_none()));
+        self.requests
+            .retain(|_, record| record.ended.is_none() || record.sends.iter().any(|s| s.outcome.is_none()));
     }
 
     /// Serves `per_tick` requests of a class each tick, each response after `latency_ms`, and returns the
@@ -129,7 +133,11 @@
                     self.resolve(id, n, Outcome::Ok);
                 }
             }
-            rejected += self.requests.values().filter(|a| a.ended.is_some_and(|e| e.1 == "rejected")).count();
+            rejected += self
+                .requests
+                .values()
+                .filter(|record| record.ended.is_some_and(|e| e.1 == RequestEnd::Rejected))
+                .count();
             self.drop_finished();
         }
         rejected
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -55,6 +55,15 @@
     pub resolved_at: f64,
 }
 
+/// How a request ended.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum RequestEnd {
+    Served,
+    Rejected,
+    Failed,
+    ClientGone,
+}
+
 /// A request with all its attempts.
 #[derive(Debug, Clone)]
 pub struct RequestRecord {
@@ -62,8 +71,8 @@
     pub class: usize,
     pub deadline: f64,
     pub sends: Vec<Sent>,
-    /// When and how the request ended: served, rejected, failed or client gone.
-    pub ended: Option<(f64, &'static str)>,
+    /// When and how the request ended.
+    pub ended: Option<(f64, RequestEnd)>,
 }
 
 /// A proxy that drives one balancer.
--- a/tests/common/rules.rs
+++ b/tests/common/rules.rs
@@ -17,13 +17,13 @@
 
     /// Checks that no earlier request of the same key is open, has an attempt in flight or may still run.
     fn check_order(&self, request: RequestId) {
-        let a = &self.requests[&request];
+        let record = &self.requests[&request];
         let ordered = |class: usize| self.settings.classes[class].in_order;
-        if a.key == 0 || !ordered(a.class) {
+        if record.key == 0 || !ordered(record.class) {
             return;
         }
         for (id, earlier) in
-            self.requests.range(..request).filter(|(_, e)| e.key == a.key && ordered(e.class))
+            self.requests.range(..request).filter(|(_, e)| e.key == record.key && ordered(e.class))
         {
             assert!(earlier.ended.is_some(), "{request} sent before {id} has ended");
             for s in &earlier.sends {
@@ -46,7 +46,7 @@
             match action {
                 Action::Send { request, backend, deadline_ms } => self.on_send(request, backend, deadline_ms),
                 Action::Reject { request, .. } => self.on_reject(request),
-                Action::Fail { request } => self.close(request, "failed"),
+                Action::Fail { request } => self.close(request, RequestEnd::Failed),
                 Action::SetTimer { delay_ms, token } => {
                     assert!(
                         delay_ms.is_finite() && delay_ms > 0.0,
@@ -83,15 +83,15 @@
         let entry = self.listed.get(&backend).expect("sent to a backend that was never listed");
         assert_eq!(entry.phase, Phase::Ready, "sent to a draining or gone backend");
         let (zone, cell) = (entry.zone, entry.cell);
-        let arrived = self.requests.get_mut(&request).expect("sent a request that never arrived");
-        assert!(arrived.ended.is_none(), "sent after the request had ended");
-        assert!(deadline <= arrived.deadline, "the attempt's deadline is past the request's");
-        assert!(arrived.sends.len() < self.settings.caps.max_attempts as usize, "too many attempts");
-        let in_flight = arrived.sends.iter().filter(|s| s.outcome.is_none()).count();
+        let record = self.requests.get_mut(&request).expect("sent a request that never arrived");
+        assert!(record.ended.is_none(), "sent after the request had ended");
+        assert!(deadline <= record.deadline, "the attempt's deadline is past the request's");
+        assert!(record.sends.len() < self.settings.caps.max_attempts as usize, "too many attempts");
+        let in_flight = record.sends.iter().filter(|s| s.outcome.is_none()).count();
         assert_eq!(in_flight, 0, "two attempts in flight at once");
-        if let Some(ran) = arrived.sends.iter().find(|s| s.outcome.is_none_or(|o| !o.never_ran())) {
+        if let Some(ran) = record.sends.iter().find(|s| s.outcome.is_none_or(|o| !o.never_ran())) {
             let location = self.listed.get(&ran.backend).map(|e| (e.zone, e.cell));
-            match self.settings.classes[arrived.class].idempotency {
+            match self.settings.classes[record.class].idempotency {
                 Idempotency::Idempotent => {}
                 Idempotency::NonIdempotent => {
                     panic!("a request that is not idempotent and may have run was sent again")
@@ -108,30 +108,30 @@
                 }
             }
         }
-        arrived.sends.push(Sent { backend, sent_at: self.now, deadline, outcome: None, resolved_at: 0.0 });
+        record.sends.push(Sent { backend, sent_at: self.now, deadline, outcome: None, resolved_at: 0.0 });
     }
 
     fn on_reject(&mut self, request: RequestId) {
-        let a = &self.requests[&request];
-        let idempotency = self.settings.classes[a.class].idempotency;
-        let never_ran = a.sends.iter().all(|s| s.outcome.is_some_and(Outcome::never_ran));
+        let record = &self.requests[&request];
+        let idempotency = self.settings.classes[record.class].idempotency;
+        let never_ran = record.sends.iter().all(|s| s.outcome.is_some_and(Outcome::never_ran));
         let repeatable = matches!(
             idempotency,
             Idempotency::Idempotent | Idempotency::Keyed { scope: DedupScope::All, .. }
         );
         assert!(never_ran || repeatable, "rejected a request that may have run and must not be repeated");
-        self.close(request, "rejected");
+        self.close(request, RequestEnd::Rejected);
     }
 
     /// Records the end of a request and checks that it is the only one and in time.
-    pub fn close(&mut self, request: RequestId, how: &'static str) {
-        let a = self.requests.get_mut(&request).expect("ended a request that never arrived");
-        assert!(a.ended.is_none(), "the request ended twice");
+    pub fn close(&mut self, request: RequestId, end: RequestEnd) {
+        let record = self.requests.get_mut(&request).expect("ended a request that never arrived");
+        assert!(record.ended.is_none(), "the request ended twice");
         assert!(
-            self.now <= a.deadline + DEADLINE_GRACE_MS,
+            self.now <= record.deadline + DEADLINE_GRACE_MS,
             "ended {} ms after its deadline",
-            self.now - a.deadline
+            self.now - record.deadline
         );
-        a.ended = Some((self.now, how));
+        record.ended = Some((self.now, end));
     }
 }
--- a/tests/decisions/admission.rs
+++ b/tests/decisions/admission.rs
@@ -44,9 +44,9 @@
     let classes =
         vec![class(1000.0, 9.0, Idempotency::NonIdempotent), class(1000.0, 1.0, Idempotency::NonIdempotent)];
     let mut p = Proxy::new(settings(1, classes), 1, entries(5));
-    let out = fill(&mut p, 1, 0, 14); // the low slice fills the limit and queues four requests
+    let in_flight = fill(&mut p, 1, 0, 14); // the low slice fills the limit and queues four requests
     let low: Vec<_> = p.requests.iter().filter(|(_, a)| a.sends.is_empty()).map(|(&id, _)| id).collect();
-    assert_eq!((out, low.len()), (10, 4));
+    assert_eq!((in_flight, low.len()), (10, 4));
     fill(&mut p, 0, 0, 10); // the high slice fills its own share past the total
     let high = *p
         .requests
@@ -64,7 +64,7 @@
     );
     p.advance(p.now + 300.0);
     assert!(
-        low.iter().all(|id| p.requests[id].ended.is_some_and(|e| e.1 == "rejected")),
+        low.iter().all(|id| p.requests[id].ended.is_some_and(|e| e.1 == RequestEnd::Rejected)),
         "low-priority requests stayed queued past their queue deadline"
     );
 }
--- a/tests/decisions/bodies.rs
+++ b/tests/decisions/bodies.rs
@@ -35,7 +35,7 @@
     for (id, n, _) in p.in_flight() {
         p.resolve(id, n, Outcome::Ok);
     }
-    assert!(pending.iter().all(|id| p.requests[id].ended.is_some_and(|e| e.1 == "served")));
+    assert!(pending.iter().all(|id| p.requests[id].ended.is_some_and(|e| e.1 == RequestEnd::Served)));
 }
 
 /// A request whose body was partly consumed cannot be sent again, even if it never ran: it ends at once.
--- a/tests/decisions/ejection.rs
+++ b/tests/decisions/ejection.rs
@@ -17,8 +17,11 @@
         "calls still sent to a hung backend: {hanging:?}, {stuck} in flight"
     );
     run(&mut p, 30_000.0, healthy);
-    let back = run(&mut p, 3000.0, healthy);
-    assert!(back.get(&2).copied().unwrap_or(0) > 20, "the recovered backend did not return: {back:?}");
+    let recovered = run(&mut p, 3000.0, healthy);
+    assert!(
+        recovered.get(&2).copied().unwrap_or(0) > 20,
+        "the recovered backend did not return: {recovered:?}"
+    );
 }
 
 #[test]
@@ -30,8 +33,11 @@
     let failing = run(&mut p, 2000.0, bad);
     assert!(failing.get(&2).copied().unwrap_or(0) <= 3, "calls still sent to a failing backend: {failing:?}");
     run(&mut p, 30_000.0, healthy);
-    let back = run(&mut p, 3000.0, healthy);
-    assert!(back.get(&2).copied().unwrap_or(0) > 20, "the recovered backend did not return: {back:?}");
+    let recovered = run(&mut p, 3000.0, healthy);
+    assert!(
+        recovered.get(&2).copied().unwrap_or(0) > 20,
+        "the recovered backend did not return: {recovered:?}"
+    );
 }
 
 /// A recovered backend must get a trial, although its error rate makes it the more expensive candidate.
@@ -43,8 +49,11 @@
         let outcome = if s.backend == 2 { Outcome::Error } else { Outcome::Ok };
         (now - s.sent_at >= 300.0).then_some(outcome)
     });
-    let back = run(&mut p, 6000.0, healthy);
-    assert!(back.get(&2).copied().unwrap_or(0) > 20, "still ejected 6 s after its last error: {back:?}");
+    let recovered = run(&mut p, 6000.0, healthy);
+    assert!(
+        recovered.get(&2).copied().unwrap_or(0) > 20,
+        "still ejected 6 s after its last error: {recovered:?}"
+    );
 }
 
 /// Errors that backends return for malformed requests must not count against the backends.
@@ -160,6 +169,9 @@
     });
     assert!(longest_quiet_run >= 6, "no 1.5 s without calls, only {longest_quiet_run} periods of 250 ms");
     run(&mut p, 30_000.0, healthy);
-    let back = run(&mut p, 3000.0, healthy);
-    assert!(back.get(&2).copied().unwrap_or(0) > 20, "the recovered backend did not return: {back:?}");
+    let recovered = run(&mut p, 3000.0, healthy);
+    assert!(
+        recovered.get(&2).copied().unwrap_or(0) > 20,
+        "the recovered backend did not return: {recovered:?}"
+    );
 }
--- a/tests/decisions/limit.rs
+++ b/tests/decisions/limit.rs
@@ -7,7 +7,7 @@
 #[test]
 fn limit_grows_while_it_is_reached_and_responses_are_quick() {
     let mut p = Proxy::new(plain(1), 1, entries(10));
-    let start = fill(&mut p, 0, 0, 400);
+    let initial = fill(&mut p, 0, 0, 400);
     for _ in 0..200 {
         p.advance(p.now + 50.0);
         p.in_flight().into_iter().for_each(|(id, n, _)| p.resolve(id, n, Outcome::Ok));
@@ -15,17 +15,20 @@
         fill(&mut p, 0, 0, 100);
     }
     let grown = p.in_flight().len();
-    assert!(grown >= 4 * start, "{start} calls in flight at first, {grown} after 10 s of quick responses");
+    assert!(
+        grown >= 4 * initial,
+        "{initial} calls in flight at first, {grown} after 10 s of quick responses"
+    );
 }
 
 /// Guards against a limit that drifts while it is not reached.
 #[test]
 fn limit_stays_while_it_is_not_reached() {
     let mut p = Proxy::new(plain(1), 1, entries(10));
-    let start = fill(&mut Proxy::new(plain(1), 1, entries(10)), 0, 0, 400);
+    let initial = fill(&mut Proxy::new(plain(1), 1, entries(10)), 0, 0, 400);
     p.serve(10_000.0, 1, 0, 10.0);
     let after = fill(&mut p, 0, 0, 400);
-    assert!(after <= start + 1, "{start} calls in flight at first, {after} after a time of low load");
+    assert!(after <= initial + 1, "{initial} calls in flight at first, {after} after a time of low load");
 }
 
 #[test]
@@ -64,7 +67,7 @@
 #[test]
 fn a_few_quick_responses_do_not_raise_the_limit() {
     let mut p = Proxy::new(plain(1), 1, entries(10));
-    let start = fill(&mut p, 0, 0, 400);
+    let initial = fill(&mut p, 0, 0, 400);
     for _ in 0..40 {
         p.advance(p.now + 50.0);
         // Only the newest call is answered; all others stay in flight.
@@ -73,7 +76,7 @@
         }
     }
     let after = fill(&mut p, 0, 0, 400);
-    assert!(after <= start + 1, "{start} calls in flight at first, {after} after a few quick responses");
+    assert!(after <= initial + 1, "{initial} calls in flight at first, {after} after a few quick responses");
 }
 
 /// The limit must follow a shrunk list at once, not only when latency has risen.
@@ -99,8 +102,12 @@
         p.list(ListKind::Delta, vec![Entry { started_at_ms: p.now, ..entry(old + 8) }]);
     }
     p.advance(p.now + 20_000.0);
-    let (warm, first) = (fill(&mut p, 0, 0, 400), fill(&mut Proxy::new(plain(1), 1, entries(8)), 0, 0, 400));
-    assert!(first - warm <= 1, "{first} calls in flight at first, {warm} after the release");
+    let (after_release, initial) =
+        (fill(&mut p, 0, 0, 400), fill(&mut Proxy::new(plain(1), 1, entries(8)), 0, 0, 400));
+    assert!(
+        initial - after_release <= 1,
+        "{initial} calls in flight at first, {after_release} after the release"
+    );
 }
 
 /// An instance with few calls must not take early queueing delays for its baseline latency.
@@ -108,7 +115,7 @@
 fn an_early_queue_is_not_taken_for_the_baseline() {
     let mut p = Proxy::new(plain(1), 1, entries(5));
     p.serve(100.0, 1, 0, 40.0);
-    let start = fill(&mut p, 0, 0, 400);
+    let initial = fill(&mut p, 0, 0, 400);
     for _ in 0..30 {
         p.advance(p.now + 700.0);
         p.in_flight().into_iter().for_each(|(id, n, _)| p.resolve(id, n, Outcome::Ok));
@@ -116,8 +123,8 @@
         fill(&mut p, 0, 0, 100);
     }
     assert!(
-        p.in_flight().len() < start,
-        "{start} calls in flight at first, {} after responses at 0.7 of the objective",
+        p.in_flight().len() < initial,
+        "{initial} calls in flight at first, {} after responses at 0.7 of the objective",
         p.in_flight().len()
     );
 }
@@ -144,13 +151,13 @@
 fn stalled_calls_hold_no_slots() {
     let mut p = Proxy::new(settings(1, vec![class(1000.0, 1.0, Idempotency::NonIdempotent)]), 1, entries(8));
     run(&mut p, 3000.0, healthy);
-    let first = fill(&mut p, 0, 0, 400);
+    let initial = fill(&mut p, 0, 0, 400);
     p.advance(p.now + 150.0);
-    assert_eq!(fill(&mut p, 0, 0, 400), first, "after three times the mean a call still holds its slot");
+    assert_eq!(fill(&mut p, 0, 0, 400), initial, "after three times the mean a call still holds its slot");
     p.advance(p.now + 150.0);
     assert!(
-        fill(&mut p, 0, 0, 400) >= 2 * first,
-        "after six times the mean: {} calls in flight, {first} at first",
+        fill(&mut p, 0, 0, 400) >= 2 * initial,
+        "after six times the mean: {} calls in flight, {initial} at first",
         p.in_flight().len()
     );
 }
--- a/tests/decisions/zones.rs
+++ b/tests/decisions/zones.rs
@@ -91,11 +91,14 @@
     };
     run(&mut p, 3000.0, healthy);
     run(&mut p, 15_000.0, slow);
-    let away = share_outside(&run(&mut p, 2000.0, slow));
-    assert!(away > 0.8, "a share of only {away} left a zone that takes 1.8 times the objective");
+    let left_share = share_outside(&run(&mut p, 2000.0, slow));
+    assert!(left_share > 0.8, "a share of only {left_share} left a zone that takes 1.8 times the objective");
     run(&mut p, 60_000.0, healthy);
-    let back = share_outside(&run(&mut p, 2000.0, healthy));
-    assert!(back < 0.1, "a share of {back} still leaves the zone a minute after its recovery");
+    let share_after_recovery = share_outside(&run(&mut p, 2000.0, healthy));
+    assert!(
+        share_after_recovery < 0.1,
+        "a share of {share_after_recovery} still leaves the zone a minute after its recovery"
+    );
 }
 
 /// Clients that disconnect before slow responses arrive must not hide the latency of the zone.
--- a/tests/rules/keys.rs
+++ b/tests/rules/keys.rs
@@ -38,7 +38,7 @@
     let free = p.request_with_key(0, 0, 0, 3000.0);
     assert_eq!((p.in_flight().len(), p.requests[&free].sends.len()), (2, 1));
     p.advance(p.now + 2500.0);
-    assert!(queue[1..].iter().all(|id| p.requests[id].ended.is_some_and(|e| e.1 == "rejected")));
+    assert!(queue[1..].iter().all(|id| p.requests[id].ended.is_some_and(|e| e.1 == RequestEnd::Rejected)));
 }
 
 /// Idle connections are closed when draining becomes known, and again after each later outcome.
--- a/tests/rules/random_runs.rs
+++ b/tests/rules/random_runs.rs
@@ -105,7 +105,7 @@
     let open = p.requests.values().filter(|a| a.ended.is_none()).count();
     assert_eq!(open, 0, "seed {seed}: requests that never ended");
     assert!(
-        p.requests.values().any(|a| a.ended.is_some_and(|e| e.1 == "served")),
+        p.requests.values().any(|a| a.ended.is_some_and(|e| e.1 == RequestEnd::Served)),
         "seed {seed}: nothing served"
     );
 }
@@ -148,5 +148,5 @@
         p.request(1, 0, time_left_ms);
     }
     p.advance(p.now + 1000.0);
-    assert!(p.requests.values().all(|a| a.ended.is_some_and(|e| e.1 == "rejected")));
+    assert!(p.requests.values().all(|a| a.ended.is_some_and(|e| e.1 == RequestEnd::Rejected)));
 }
--- a/tests/rules_extreme_settings.rs
+++ b/tests/rules_extreme_settings.rs
@@ -58,7 +58,7 @@
 /// tells the client that a retry is harmless.
 fn check_rejections(p: &Proxy) {
     let rejected =
-        p.requests.values().filter_map(|a| a.ended.filter(|e| e.1 == "rejected").map(|e| (a, e.0)));
+        p.requests.values().filter_map(|a| a.ended.filter(|e| e.1 == RequestEnd::Rejected).map(|e| (a, e.0)));
     for (a, at) in rejected {
         let ran = a.sends.iter().find(|s| s.outcome.is_none_or(|o| !o.never_ran()));
         if let (Some(ran), Idempotency::Keyed { dedup_window_ms, .. }) =
@@ -130,7 +130,7 @@
 #[test]
 fn a_request_that_may_have_run_fails_past_the_window() {
     for (window, after, end) in
-        [(300.0, 200.0, None), (300.0, 300.0, Some("failed")), (0.0, 1.0, Some("failed"))]
+        [(300.0, 200.0, None), (300.0, 300.0, Some(RequestEnd::Failed)), (0.0, 1.0, Some(RequestEnd::Failed))]
     {
         let mut p = proxy_with_dedup_window(window);
         let id = p.request(0, 0, 2000.0);
@@ -159,5 +159,5 @@
     );
     p.advance(p.now + 200.0);
     p.resolve(id, 2, Outcome::Error);
-    assert_eq!(p.requests[&id].ended.map(|e| e.1), Some("failed"));
+    assert_eq!(p.requests[&id].ended.map(|e| e.1), Some(RequestEnd::Failed));
 }
