--- a/src/bin/registry/config.rs
+++ b/src/bin/registry/config.rs
@@ -1,6 +1,7 @@
-//! The registry's configuration: from the command line, the TOML file that it names, and defaults, in this order.
+//! The registry's configuration: the command line, the TOML file that it names and the defaults, in this order of
+//! precedence.
 //!
-//! Both are read once, before anything else. Their keys are described in `docs/registry.md`.
+//! Command line and file are read once, at the start. Their keys are described in `docs/registry.md`.
 
 use crate::error::StartError;
 use crate::http::Limits;
@@ -11,16 +12,16 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Default of the most connections open at once. A proxy has up to four (list, route table, reports, recorded segments),
-/// so this is enough for 12,500 proxies. At 15.7 KiB each (measured, `cargo bench --bench registry`) they take 767 MiB.
+/// Default maximum number of open connections. A proxy has up to four (list, route table, reports, recorded segments), so
+/// this is enough for 12,500 proxies. At 15.7 KiB each (measured, `cargo bench --bench registry`) they take 767 MiB.
 const DEFAULT_MAX_CONNECTIONS: usize = 50_000;
-/// Default of the longest body of a write, in bytes: 10,000 entries of 400 bytes, or a route table of 16,384 weights with
-/// names of 200. All bodies of writes that are being read together take at most 64 MiB, or as much as the longest one
-/// where that is more; reports and recorded segments have budgets of their own (`http/context.rs`).
+/// Default maximum length of the body of a write, in bytes: 10,000 entries of 400 bytes, or a route table of 16,384
+/// weights with names of 200 bytes. The bodies of all writes that are read at the same time take at most 64 MiB, or this
+/// length if it is more. Reports and recorded segments have separate budgets (`http/context.rs`).
 const DEFAULT_MAX_BODY_BYTES: usize = 4 << 20;
 
-/// The command line. A flag has precedence over the same key of the configuration file. The comments of the fields are
-/// the help texts.
+/// The command line. A flag takes precedence over the same key of the configuration file. The doc comments of the fields
+/// are the help texts.
 #[derive(Parser)]
 #[command(name = "registry", version, about = "The list service that the proxy's discovery reads")]
 pub(crate) struct Args {
@@ -53,7 +54,7 @@
     log_json: bool,
 }
 
-/// The configuration file. Every key may be left out, and an unknown one ends the start.
+/// The configuration file. Every key is optional, and an unknown key is an error.
 #[derive(Deserialize, Default)]
 #[serde(deny_unknown_fields)]
 struct ConfigFile {
@@ -77,23 +78,23 @@
     }
 }
 
-/// The configuration.
+/// The effective configuration of the registry.
 pub(crate) struct Config {
-    /// The address to listen on, as `HOST:PORT`.
+    /// Address to listen on, as `HOST:PORT`.
     pub(crate) listen: String,
-    /// The data directory.
+    /// Path of the data directory.
     pub(crate) data: PathBuf,
-    /// How records are synced to disk.
+    /// Mode in which records are synced to disk.
     pub(crate) sync: SyncMode,
-    /// Records between two snapshots, at least 1.
+    /// Number of records between two snapshots, at least 1.
     pub(crate) snapshot_every: u64,
-    /// Most deletions that are kept for deltas.
+    /// Maximum number of deletions that are kept for deltas.
     pub(crate) max_tombstones: usize,
-    /// Whether log lines are JSON.
+    /// True if log lines are written as JSON.
     pub(crate) log_json: bool,
-    /// The limits of the serving side.
+    /// Limits on connections and requests.
     pub(crate) limits: Limits,
-    /// The route table's configuration, if it is hosted.
+    /// Configuration of the route table; `None` if it is not hosted.
     pub(crate) routes: Option<RoutesConfig>,
 }
 
--- a/src/bin/registry/descriptors.rs
+++ b/src/bin/registry/descriptors.rs
@@ -1,22 +1,23 @@
-//! The process's limit on file descriptors, raised as far as the connections need it.
+//! Raises the process's limit on file descriptors as far as the configured connections need.
 //!
-//! Failure: every descriptor is taken by a connection, and the log or a snapshot can't be opened or synced. How it shows:
-//! writes are answered 503 until clients close their connections. Why the guard holds: connections are limited to
+//! Failure: connections take every descriptor, and the log or a snapshot can't be opened or synced. How it shows: writes
+//! are answered 503 until clients close their connections. Why the guard holds: the number of connections is limited to
 //! what the system's limit leaves after the descriptors that the rest of the process needs.
 
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use tracing::warn;
 
-/// Descriptors that are no connections: standard streams, the listener, the event loop, the log, a snapshot and a
-/// recorded segment while they are written, the directory while it is synced, and a connection that is closed as soon as
-/// it is accepted.
+/// Number of descriptors for other uses than connections: standard streams, the listener, the event loop, the log, a
+/// snapshot and a recorded segment while they are written, the directory while it is synced, and a connection that is
+/// closed as soon as it is accepted.
 const RESERVED_DESCRIPTORS: usize = 32;
 
-/// Raises the process's limit so that `connections` fit. Returns how many do, if the system allows fewer.
-pub(crate) fn allow_connections(connections: usize) -> usize {
-    let wanted = connections.saturating_add(RESERVED_DESCRIPTORS) as u64;
+/// Raises the process's limit for this number of connections. Returns the number that the limit allows, at most
+/// `connections`.
+pub(crate) fn raise_limit_for(connections: usize) -> usize {
+    let needed = connections.saturating_add(RESERVED_DESCRIPTORS) as u64;
     let Rlimit { current, maximum } = getrlimit(Resource::Nofile);
-    let target = wanted.min(maximum.unwrap_or(wanted));
+    let target = needed.min(maximum.unwrap_or(needed));
     let is_enough = current.is_none_or(|current| current >= target);
     let raised = Rlimit { current: Some(target), maximum };
     let is_raised = is_enough || setrlimit(Resource::Nofile, raised).is_ok();
@@ -26,7 +27,7 @@
         warn!(
             max_connections = connections,
             allowed = for_connections,
-            "the system allows fewer connections than configured, more are closed as they come; raise its limit (ulimit -n)"
+            "the descriptor limit allows fewer connections than configured; more are closed on accept; raise it (ulimit -n)"
         );
     }
     for_connections.min(connections)
--- a/src/bin/registry/error.rs
+++ b/src/bin/registry/error.rs
@@ -1,58 +1,58 @@
-//! Why the registry does not start. Each text says what an operator can do.
+//! Errors that keep the registry from starting. Each message says what an operator can do.
 
 use crate::store::OpenError;
 use std::io;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// An error that ends the start.
+/// An error that keeps the registry from starting.
 #[derive(Error, Debug)]
 pub(crate) enum StartError {
     /// The configuration file can't be read.
     #[error("config: {}: {error}; give a file that can be read, or none", path.display())]
     ConfigRead {
-        /// The file.
+        /// Path of the configuration file.
         path: PathBuf,
-        /// The system's error.
+        /// Error of the operating system.
         error: io::Error,
     },
-    /// The configuration file is no TOML, or has a wrong key or value.
+    /// The configuration file is not valid TOML, or has an unknown key or a wrong value.
     #[error("config: {}: {error}", path.display())]
     Config {
-        /// The file.
+        /// Path of the configuration file.
         path: PathBuf,
-        /// The place in the file, and what is allowed there.
+        /// Position in the file, and what is allowed there.
         error: toml::de::Error,
     },
     /// The data directory can't be opened.
     #[error("data: {}: {error}", path.display())]
     Data {
-        /// The directory.
+        /// Path of the data directory.
         path: PathBuf,
-        /// The reason, and what to do.
+        /// Cause, and what to do about it.
         error: OpenError,
     },
-    /// The address can't be listened on.
+    /// The listener can't be bound to the configured address.
     #[error("listen: {address}: {error}; give a free address of this machine")]
     Listen {
-        /// The address.
+        /// Configured address.
         address: String,
-        /// The system's error.
+        /// Error of the operating system.
         error: io::Error,
     },
     /// The operating system refuses a thread, an event loop or a signal handler.
-    #[error("{what}: {error}; look at the limits of this process (threads, descriptors)")]
+    #[error("{resource}: {error}; look at the limits of this process (threads, descriptors)")]
     System {
-        /// The thread's name, or `event loop` or `signal`.
-        what: &'static str,
-        /// The system's error.
+        /// Name of the thread, or `event loop` or `signal`.
+        resource: &'static str,
+        /// Error of the operating system.
         error: io::Error,
     },
 }
 
 impl StartError {
-    /// Makes an error of the operating system's refusal of `what`.
-    pub(crate) fn system(what: &'static str) -> impl FnOnce(io::Error) -> StartError {
-        move |error| StartError::System { what, error }
+    /// Returns a function that wraps the operating system's error for a resource that it refused.
+    pub(crate) fn system(resource: &'static str) -> impl FnOnce(io::Error) -> StartError {
+        move |error| StartError::System { resource, error }
     }
 }
--- a/src/bin/registry/http/answer.rs
+++ b/src/bin/registry/http/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to calls, and rejections with their reason.
+//! Answers to calls, and rejections with a reason.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -12,7 +12,7 @@
 /// The result of a call's handler.
 pub(super) type HandlerResult = Result<Answer, Rejection>;
 
-/// A call that is not served: its status, and the reason as plain text for the caller.
+/// The rejection of a call: a status, and the reason as plain text for the caller.
 #[derive(Debug)]
 pub(super) struct Rejection {
     status: StatusCode,
@@ -20,22 +20,23 @@
 }
 
 impl Rejection {
-    /// Rejects a call with this status and reason.
+    /// Creates a rejection with a status and a reason.
     pub(super) fn new(status: StatusCode, reason: impl Display) -> Rejection {
         Rejection { status, reason: reason.to_string() }
     }
 
-    /// Rejects a call that is malformed.
+    /// Creates the rejection of a malformed call (status 400).
     pub(super) fn bad_request(reason: impl Display) -> Rejection {
         Rejection::new(StatusCode::BAD_REQUEST, reason)
     }
 
-    /// Rejects a call that may succeed when it is sent again, or after the operator has acted.
+    /// Creates the rejection of a call that may succeed when it is retried, possibly only after an operator's
+    /// intervention (status 503).
     pub(super) fn unavailable(reason: impl Display) -> Rejection {
         Rejection::new(StatusCode::SERVICE_UNAVAILABLE, reason)
     }
 
-    /// Rejects a method that the path does not have; the reason names those that it has.
+    /// Creates the rejection of a method that the path does not support (status 405); the reason lists the supported ones.
     pub(super) fn method_not_allowed(reason: &str) -> Rejection {
         Rejection::new(StatusCode::METHOD_NOT_ALLOWED, reason)
     }
@@ -52,7 +53,7 @@
     }
 }
 
-/// An answer with this status and body. The body is JSON if the status is 200, else it is labelled plain text.
+/// Creates an answer. The content type is JSON if the status is 200, otherwise plain text.
 pub(super) fn answer(status: StatusCode, body: impl Into<Bytes>) -> Answer {
     let mut response = Response::new(Full::new(body.into()));
     *response.status_mut() = status;
@@ -61,17 +62,17 @@
     response
 }
 
-/// The answer with status 200 and a body that is JSON already.
+/// Creates an answer with status 200 and a body that is already encoded as JSON.
 pub(super) fn encoded(body: impl Into<Bytes>) -> Answer {
     answer(StatusCode::OK, body)
 }
 
-/// The answer with status 200 and a page as JSON.
+/// Creates an answer with status 200 and a page encoded as JSON.
 pub(super) fn json_page(page: &impl Serialize) -> HandlerResult {
     serde_json::to_vec(page).map(encoded).map_err(encoding_failed)
 }
 
-/// The rejection of a call whose answer can't be encoded.
+/// Creates the rejection of a call whose answer can't be encoded (status 500).
 pub(super) fn encoding_failed(error: serde_json::Error) -> Rejection {
     Rejection::new(StatusCode::INTERNAL_SERVER_ERROR, error)
 }
--- a/src/bin/registry/http/body.rs
+++ b/src/bin/registry/http/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of calls, read within a bound on their length, their time and their memory together.
+//! Reads the bodies of calls within bounds on their length, their transfer time and their total memory.
 
 use super::answer::Rejection;
 use bytes::Bytes;
@@ -12,25 +12,25 @@
 use tokio::sync::Semaphore;
 use tokio::time::timeout;
 
-/// Why a body was not read. The texts are answered to the caller.
+/// Error for a body that could not be read. The messages are answered to the caller.
 #[derive(Error, Debug)]
 pub(super) enum BodyError {
-    /// The bodies that are being read take all the memory for this kind.
+    /// The bodies of this kind that are being read use up the memory budget.
     #[error("too many bodies at once; send it again in a second")]
     BudgetExhausted,
-    /// The body did not arrive within the time.
+    /// The body did not arrive within the timeout.
     #[error("the body did not come in time")]
     Timeout,
-    /// The body is longer than allowed.
+    /// The body exceeds the maximum length.
     #[error("at most {max_bytes} bytes; send less at once")]
     TooLong {
-        /// The bound.
+        /// Maximum length of the body, in bytes.
         max_bytes: usize,
     },
     /// The connection failed, or the body's framing is wrong.
     #[error("{0}")]
     Read(Box<dyn Error + Send + Sync>),
-    /// The body is not the JSON that the call takes.
+    /// The body is not valid JSON for this call.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
 }
@@ -49,24 +49,24 @@
 
 /// Reads the bodies of one kind of call.
 ///
-/// Failure: many large bodies at once, as when a fleet returns, would exhaust the process's memory. How it shows: the
-/// registry is killed, and every proxy loses its watch. Why the guard holds: each body takes its length from the budget
-/// before it is read, a body of unknown length takes the longest, and a call that finds too little left is answered
-/// 503 at once. Each kind has a budget of its own, so that none keeps another from being read.
+/// Failure: many large bodies at the same time, as when a fleet reconnects, would exhaust the process's memory. How it
+/// shows: the registry is killed, and every proxy loses its watch. Why the guard holds: each body reserves its length
+/// from the budget before it is read, a body of unknown length reserves the maximum, and a call for which too little is
+/// left is answered 503 immediately. Each kind of call has a separate budget, so that none blocks another.
 pub(super) struct BodyReader {
     budget_kib: Semaphore,
     max_bytes: usize,
-    /// Time in which a body must arrive.
+    /// Maximum time for a body to arrive.
     timeout: Duration,
 }
 
 impl BodyReader {
-    /// Reads bodies of at most `max_bytes`, at any time `budget_kib` KiB together.
+    /// Creates a reader for bodies of at most `max_bytes`, and of at most `budget_kib` KiB together at any time.
     pub(super) fn new(budget_kib: usize, max_bytes: usize, timeout: Duration) -> BodyReader {
         BodyReader { budget_kib: Semaphore::new(budget_kib), max_bytes, timeout }
     }
 
-    /// Reads a body.
+    /// Reads the body of a request.
     pub(super) async fn bytes(&self, request: Request<Incoming>) -> Result<Bytes, BodyError> {
         let max_bytes = self.max_bytes;
         let length = request.body().size_hint().exact().unwrap_or(max_bytes as u64).min(max_bytes as u64);
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Reads a body as JSON.
+    /// Reads the body of a request and decodes it as JSON.
     pub(super) async fn json<T: DeserializeOwned>(&self, request: Request<Incoming>) -> Result<T, BodyError> {
         let body = self.bytes(request).await?;
         Ok(serde_json::from_slice(&body)?)
--- a/src/bin/registry/http/context.rs
+++ b/src/bin/registry/http/context.rs
@@ -1,46 +1,47 @@
-//! What the handlers of calls are given: the shared state, the queue to the writer thread, and the readers of bodies.
+//! The context of the HTTP handlers: the shared state, the queue to the writer thread and the readers of bodies.
 
 use super::body::BodyReader;
 use crate::writer::{Shared, WriteQueue};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Memory for bodies of writes, in KiB.
+/// Memory budget for the bodies of writes, in KiB.
 const WRITE_BUDGET_KIB: usize = 64 << 10;
-/// Memory for bodies of reports, in KiB.
+/// Memory budget for the bodies of reports, in KiB.
 const REPORT_BUDGET_KIB: usize = 16 << 10;
-/// Memory for bodies of recorded segments, in KiB.
+/// Memory budget for the bodies of recorded segments, in KiB.
 const SEGMENT_BUDGET_KIB: usize = 32 << 10;
-/// Longest report, in bytes.
+/// Maximum length of a report, in bytes.
 const MAX_REPORT_BYTES: usize = 1 << 20;
 
-/// The limits of the serving side, from the configuration.
+/// Limits on connections and requests, from the configuration.
 #[derive(Clone, Copy)]
 pub(crate) struct Limits {
-    /// Most connections open at once; further ones are closed as soon as they are accepted.
+    /// Maximum number of open connections; further ones are closed as soon as they are accepted.
     pub(crate) max_connections: usize,
-    /// Time in which the head of a request, and then its body, must arrive, and in which an answer must be taken.
+    /// Maximum time for the head of a request to arrive, then for its body, and for each write of an answer.
     pub(crate) io_timeout: Duration,
-    /// Longest body of a write, in bytes.
+    /// Maximum length of the body of a write, in bytes.
     pub(crate) max_body_bytes: usize,
 }
 
-/// What each handler is given.
+/// The context that every handler gets.
 pub(super) struct Context {
-    /// The state.
+    /// State shared with the writer thread.
     pub(super) shared: Arc<Shared>,
-    /// The queue to the writer thread.
+    /// Queue to the writer thread.
     pub(super) writes: WriteQueue,
-    /// Reads bodies of writes.
+    /// Reader for the bodies of writes.
     pub(super) write_bodies: BodyReader,
-    /// Reads bodies of proxies' reports.
+    /// Reader for the bodies of proxies' reports.
     pub(super) report_bodies: BodyReader,
-    /// Reads bodies of recorded segments.
+    /// Reader for the bodies of recorded segments.
     pub(super) segment_bodies: BodyReader,
 }
 
 impl Context {
-    /// The context of a server with these limits. The budget of writes always fits one write of the longest kind.
+    /// Creates the context of a server with these limits. The budget of writes has room for at least one write of the
+    /// maximum length.
     pub(super) fn new(shared: Arc<Shared>, writes: WriteQueue, limits: Limits) -> Context {
         let write_budget_kib = WRITE_BUDGET_KIB.max(limits.max_body_bytes / 1024 + 1);
         let reader = |budget_kib, max_bytes| BodyReader::new(budget_kib, max_bytes, limits.io_timeout);
--- a/src/bin/registry/http/leases.rs
+++ b/src/bin/registry/http/leases.rs
@@ -1,4 +1,4 @@
-//! `/registry/leases`: who holds which duty. Requests are decided by the writer thread; see `crate::lease`.
+//! `/registry/leases`: leases on duties. The writer thread decides on requests; see `crate::lease`.
 
 use super::answer::{Answer, HandlerResult, Rejection, encoded};
 use super::context::Context;
@@ -9,14 +9,14 @@
 use hyper::{Method, Request};
 use serde_json::json;
 
-/// GET: all leases that are on disk.
+/// Handles GET: answers all leases that are on disk.
 pub(super) fn list_leases(shared: &Shared) -> Answer {
     let state = shared.state();
     let leases: Vec<&Lease> = state.leases.values().collect();
     encoded(json!({"leases": leases}).to_string())
 }
 
-/// PUT without a token acquires, PUT with a token renews, DELETE releases.
+/// Handles PUT, which acquires a lease without a token and renews it with one, and DELETE, which releases it.
 pub(super) async fn request_lease(request: Request<Incoming>, context: &Context) -> HandlerResult {
     let is_release = request.method() == Method::DELETE;
     let lease_request: LeaseRequest = context.write_bodies.json(request).await?;
--- a/src/bin/registry/http/lists.rs
+++ b/src/bin/registry/http/lists.rs
@@ -1,8 +1,8 @@
-//! `/registry/instances`: the list of a service, watches on it, and registrations.
+//! `/registry/instances`: the list of a service, watches of it, and registrations.
 
 use super::answer::{HandlerResult, Rejection, encoded, encoding_failed};
 use super::context::Context;
-use super::query::{WatchQuery, service, watch};
+use super::query::{WatchQuery, parse_service, watch};
 use super::write_reply::write_and_answer;
 use crate::writer::{Fence, Shared, WriteOperation};
 use hyper::Request;
@@ -12,21 +12,21 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Shortest TTL of a registration, in milliseconds.
+/// Minimum TTL of a registration, in milliseconds.
 const MIN_TTL_MS: u64 = 100;
-/// Longest TTL of a registration, in milliseconds: a day.
+/// Maximum TTL of a registration, in milliseconds: one day.
 const MAX_TTL_MS: u64 = 86_400_000;
-/// Most entries in one write.
+/// Maximum number of entries in one write.
 const MAX_ENTRIES: usize = 10_000;
 
-/// The body of a registration. Its entries have the form of the list's; each is to be renewed within the TTL.
+/// The body of a registration. Its entries have the same form as in the list; each has to be renewed within the TTL.
 #[derive(Deserialize)]
-// "Write" is kept: it stands in error texts answered to callers ("expected struct Write").
+// The name "Write" is kept because it appears in errors answered to callers ("expected struct Write").
 #[serde(rename = "Write", deny_unknown_fields)]
 struct Registration {
     ttl_ms: u64,
     hosts: Vec<Entry>,
-    /// The duty in whose name the write is done: it is rejected unless the token is that of the present holder.
+    /// Duty that the caller must hold: the write is rejected unless the token is that of the duty's current holder.
     fence: Option<Fence>,
 }
 
@@ -44,29 +44,29 @@
     }
 }
 
-/// GET: the list of a service, or what changed in it after a version. With `wait_ms` it waits until there is a change.
+/// Handles GET: answers the list of a service, or its changes after a version. With `wait_ms` the call waits for a change.
 pub(super) async fn read_list(query: &str, shared: &Shared) -> HandlerResult {
-    let service = service(query).map_err(Rejection::bad_request)?;
+    let service = parse_service(query).map_err(Rejection::bad_request)?;
     let WatchQuery { after, wait, .. } =
         watch(query, "the list", &["service"]).map_err(Rejection::bad_request)?;
     if let Some(after) = after.filter(|_| !wait.is_zero()) {
-        // Subscribed before the version is read, so that no change in between is missed. The watch is a part of this
-        // future: it ends when the caller's connection is dropped.
-        let mut service_watch = shared.wakers.wait(&service);
+        // The watch starts before the version is read, so that no change in between is missed. It is part of this future,
+        // so it ends when the caller's connection is dropped.
+        let mut service_watch = shared.wakers.watch(&service);
         if shared.version(&service) == after {
-            let _ = timeout(wait, service_watch.newer_than(after)).await;
+            let _ = timeout(wait, service_watch.wait_for_newer_than(after)).await;
         }
     }
-    shared.page(&service, after).map(encoded).map_err(encoding_failed)
+    shared.encoded_list(&service, after).map(encoded).map_err(encoding_failed)
 }
 
-/// PUT: registers, renews or deletes entries.
+/// Handles PUT: registers, renews or deletes entries.
 pub(super) async fn write_entries(
     query: &str,
     request: Request<Incoming>,
     context: &Context,
 ) -> HandlerResult {
-    let service = service(query).map_err(Rejection::bad_request)?;
+    let service = parse_service(query).map_err(Rejection::bad_request)?;
     let registration: Registration = context.write_bodies.json(request).await?;
     registration.check()?;
     let operation = WriteOperation::Entries {
--- a/src/bin/registry/http/mod.rs
+++ b/src/bin/registry/http/mod.rs
@@ -1,7 +1,7 @@
-//! The registry's calls over HTTP/1.1.
+//! The registry's HTTP/1.1 interface.
 //!
-//! One task a connection; a handler reads the shared state, or sends a write to the writer thread and waits for its
-//! reply. `server.rs` accepts connections, `route` below finds the handler of a call.
+//! Each connection has its own task. A handler reads the shared state, or sends a write to the writer thread and waits
+//! for the reply. `server.rs` accepts connections, and `route` in this file selects the handler of a call.
 
 mod answer;
 mod body;
@@ -22,10 +22,10 @@
 use hyper::{Method, Request, StatusCode};
 use route_table::RouteTablePath;
 
-/// The reason of a call to a path that does not exist.
+/// Reason answered to a call for an unknown path.
 const NO_PATH: &str = "no such path; the list is at /registry/instances, the leases are at /registry/leases";
 
-/// Passes a call to its handler.
+/// Dispatches a call to its handler.
 async fn route(request: Request<Incoming>, context: &Context) -> HandlerResult {
     let path = request.uri().path().to_string();
     let method = request.method().clone();
--- a/src/bin/registry/http/server.rs
+++ b/src/bin/registry/http/server.rs
@@ -1,4 +1,4 @@
-//! Accepts connections and serves the calls on them.
+//! Accepts connections and serves their calls.
 
 use super::answer::Answer;
 use super::context::{Context, Limits};
@@ -18,10 +18,10 @@
 use tokio_io_timeout::TimeoutStream;
 use tracing::{debug, warn};
 
-/// Pause after a connection could not be accepted.
+/// Delay before the next attempt after a connection could not be accepted.
 const ACCEPT_RETRY: Duration = Duration::from_millis(50);
 
-/// Serves until it is dropped.
+/// Accepts and serves connections until the future is dropped.
 pub(crate) async fn serve(listener: TcpListener, shared: Arc<Shared>, writes: WriteQueue, limits: Limits) {
     let permits = Arc::new(Semaphore::new(limits.max_connections));
     let context = Arc::new(Context::new(shared, writes, limits));
@@ -29,15 +29,15 @@
         let (stream, peer) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(e) => {
-                // Failure: the process is out of descriptors, and accepting fails at once, again and again. Without a
-                // pause this loop would keep a core busy until some are closed.
-                warn!(error = %e, "accept failed");
+                // Failure: the process has no free descriptors, and every attempt to accept fails immediately. Without a
+                // delay this loop would use up a core until descriptors are closed.
+                warn!(error = %e, "accepting a connection failed; retrying after a delay");
                 tokio::time::sleep(ACCEPT_RETRY).await;
                 continue;
             }
         };
         let Ok(permit) = permits.clone().try_acquire_owned() else {
-            debug!(%peer, "connection closed: every place is taken");
+            debug!(%peer, "connection closed: the maximum number of connections is open");
             continue;
         };
         let context = context.clone();
@@ -48,10 +48,11 @@
     }
 }
 
-/// Serves a connection until its client closes it or is too slow.
+/// Serves a connection until its client closes it or exceeds a timeout.
 ///
-/// Failure: a client that sends nothing, or takes nothing of its answer, would keep its connection for ever, and a few
-/// thousand of them would take every permit. The time bounds the head of each request, and each wait for a write.
+/// Failure: a client that sends nothing, or reads nothing of its answer, would keep its connection open forever, and a few
+/// thousand of them would take every permit. `io_timeout` bounds the time until the head of each request has arrived, and
+/// the time of each write.
 async fn serve_connection(stream: TcpStream, peer: SocketAddr, context: Arc<Context>, io_timeout: Duration) {
     let _ = stream.set_nodelay(true);
     let mut stream = TimeoutStream::new(stream);
--- a/src/bin/registry/http/write_reply.rs
+++ b/src/bin/registry/http/write_reply.rs
@@ -1,4 +1,5 @@
-//! Sends writes to the writer thread, and maps its replies to HTTP: the one place where a write's outcome gets a status.
+//! Sends writes to the writer thread and maps its replies to HTTP. This is the only place that maps the outcome of a write
+//! to a status.
 
 use super::NO_PATH;
 use super::answer::{HandlerResult, Rejection, answer, encoded};
@@ -9,10 +10,10 @@
 use serde_json::{Value, json};
 use tokio::sync::oneshot;
 
-/// The reason when the writer thread has ended, which only a fault in it can cause.
+/// Reason answered when the writer thread has ended, which only a bug in it can cause.
 const WRITER_STOPPED: &str = "the writer has stopped";
 
-/// Sends a write to the writer thread and answers once it is on disk, or has failed.
+/// Sends a write to the writer thread, and answers once it is on disk or has failed.
 pub(super) async fn write_and_answer(operation: WriteOperation, writes: &WriteQueue) -> HandlerResult {
     let (reply, receiver) = oneshot::channel();
     if writes.send(WriteRequest { operation, reply }).is_err() {
@@ -33,7 +34,7 @@
     }
 }
 
-/// The status of each error. A duty that another holds is answered as JSON, all others by their text.
+/// Maps an error to its status. A duty that another process holds is answered as JSON, every other error as its message.
 fn answer_error(error: WriteError) -> HandlerResult {
     let status = match &error {
         WriteError::Lease(LeaseError::Held { lease, remaining_ms }) => {
--- a/src/bin/registry/lease/mod.rs
+++ b/src/bin/registry/lease/mod.rs
@@ -1,18 +1,18 @@
 //! Leases (Gray and Cheriton, "Leases", SOSP 1989): at most one process at a time holds a duty, for a limited time.
 //!
-//! Each grant carries a fencing token above those of all earlier grants. Whoever is asked to act for a duty compares
-//! tokens and so tells an earlier holder from the present one. Times are those of the registry's monotonic clock; a
-//! holder measures its own time from the moment at which it sent its request.
+//! Each grant carries a fencing token above those of all earlier grants. A service that acts on behalf of a holder
+//! compares tokens to reject earlier holders. Times are those of the registry's monotonic clock; a holder measures its
+//! lease on its own clock from the moment at which it sent the request.
 //!
-//! The writer thread owns the [`LeaseTable`] and asks it in its step "decide". A lease ends in one of two ways:
+//! The writer thread owns the [`LeaseTable`] and consults it in its step "decide". A lease ends in one of two ways:
 //!
 //! - its holder releases it: [`LeaseTable::request`] with a token and without a TTL;
-//! - it is not renewed within its TTL: [`LeaseTable::expire`] ends it in the writer's next batch. From the moment at
-//!   which the TTL is over [`LeaseTable::holds`] is false, also before that batch.
+//! - it is not renewed within its TTL: [`LeaseTable::expire`] ends it in the writer's next batch. [`LeaseTable::holds`]
+//!   is false from the moment at which the TTL expires, also before that batch.
 //!
 //! Either end is written to the log as a release record. A restart ends no lease: each one on disk runs for its full
-//! TTL again. A registry whose disk was replaced knows no leases, and grants tokens above the earlier ones, because
-//! every start continues at the present time in microseconds (see `store::recovery`).
+//! TTL again. A registry whose disk was replaced has no leases, and still grants tokens above the earlier ones, because
+//! every start continues at the current time in microseconds (see `store::recovery`).
 
 mod request;
 
@@ -25,36 +25,36 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Most duties that are held at once; it bounds the memory and the snapshot.
+/// Maximum number of duties held at the same time; it bounds the memory and the snapshot.
 const MAX_LEASES: usize = 10_000;
 
-/// A duty's holder, as the log, the snapshot and the answers to callers hold it.
+/// A lease on a duty, in the form of the log, the snapshot and the answers to callers.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq, Eq)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Lease {
-    /// The duty that is held.
+    /// Name of the duty.
     pub(crate) duty: String,
-    /// The name of the process that holds it.
+    /// Name of the process that holds the duty.
     pub(crate) holder: String,
-    /// The fencing token: above those of all earlier grants of any duty.
+    /// Fencing token, above those of all earlier grants of any duty.
     pub(crate) token: u64,
-    /// How long the lease lasts from each grant or renewal on, in milliseconds.
+    /// Duration of the lease from each grant or renewal, in milliseconds.
     pub(crate) ttl_ms: u64,
 }
 
-/// Why a well-formed lease request was rejected. Apart from `Held`, which is answered as JSON, the texts are answered to
-/// the caller.
+/// Error for a well-formed lease request that was rejected. The messages are answered to the caller, except for `Held`,
+/// which is answered as JSON.
 #[derive(Error, Clone, Debug, PartialEq, Eq)]
 pub(crate) enum LeaseError {
     /// Another lease holds the duty.
     #[error("held by {}, for {remaining_ms} ms without renewal", lease.holder)]
     Held {
-        /// The present lease.
+        /// Current lease on the duty.
         lease: Lease,
-        /// Time until it ends unless it is renewed, in milliseconds.
+        /// Time until that lease ends unless it is renewed, in milliseconds.
         remaining_ms: u64,
     },
-    /// The caller does not hold the duty, or holds it no longer.
+    /// The caller does not hold the duty, or no longer holds it.
     #[error("not held, or no longer, by this holder with this token")]
     NotHeld,
     /// [`MAX_LEASES`] duties are held.
@@ -62,24 +62,24 @@
     TooMany,
 }
 
-/// What a decision on a lease changes on disk.
+/// The change on disk that a decision on a lease requires.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum LeaseChange {
-    /// A grant, or a renewal with another TTL, is to be written.
+    /// Write a grant, or a renewal with a different TTL.
     Write(Lease),
-    /// The release of this duty, or its end without renewal, is to be written.
+    /// Write the release of this duty or the expiry of its lease.
     Release(String),
-    /// Nothing is to be written: the deadline of a renewal is in memory only, since a restart gives every lease its
-    /// full TTL again.
+    /// Write nothing. The deadline of a renewal is kept in memory only, since a restart gives every lease its full TTL
+    /// again.
     Unchanged,
 }
 
-/// A lease request that was accepted.
+/// The decision on a lease request that was accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct LeaseDecision {
-    /// The lease as the caller is answered it.
+    /// Lease that is answered to the caller.
     pub(crate) lease: Lease,
-    /// What is to be written before the caller is answered.
+    /// Change that has to be on disk before the caller is answered.
     pub(crate) change: LeaseChange,
 }
 
@@ -90,7 +90,7 @@
     ends_at: Instant,
 }
 
-/// What a duty's lease was before a decision, to be restored if the decision can't be written.
+/// The lease of a duty before a decision, to be restored if the decision can't be written.
 struct UndoEntry {
     duty: String,
     previous: Option<ActiveLease>,
@@ -99,15 +99,15 @@
 /// The leases that are held, with their deadlines. Owned by the writer thread.
 pub(crate) struct LeaseTable {
     by_duty: HashMap<String, ActiveLease>,
-    /// The highest token granted so far.
+    /// Highest token granted so far.
     last_token: u64,
-    /// The decisions since the last [`LeaseTable::settle`], oldest first.
+    /// Undo entries of the decisions since the last [`LeaseTable::finish_batch`], oldest first.
     undo: Vec<UndoEntry>,
 }
 
 impl LeaseTable {
-    /// Takes over the leases read from disk. Each gets its full TTL, since the log does not hold the time of its last
-    /// renewal. `last_token` is the highest token that may have been granted.
+    /// Creates a table of the leases read from disk. Each gets its full TTL, since the time of its last renewal is not in
+    /// the log. `last_token` is the highest token that may have been granted.
     pub(crate) fn new<'a>(leases: impl Iterator<Item = &'a Lease>, last_token: u64, now: Instant) -> Self {
         let by_duty = leases
             .map(|lease| {
@@ -120,8 +120,8 @@
 
     /// Grants, renews or releases a duty.
     ///
-    /// A request without a token gets a new token or is rejected, also under the name of the present holder: that
-    /// holder may be an earlier process of the same name, which still acts.
+    /// A request without a token gets a new token or is rejected, even if it has the name of the current holder: that
+    /// holder may be an earlier process of the same name that is still running.
     pub(crate) fn request(
         &mut self,
         request: &LeaseRequest,
@@ -146,33 +146,33 @@
         }
     }
 
-    /// Whether a token is that of the present holder of a duty.
+    /// Returns true if a token is that of the current holder of a duty.
     pub(crate) fn holds(&self, duty: &str, token: u64, now: Instant) -> bool {
         self.by_duty.get(duty).is_some_and(|active| active.lease.token == token && active.ends_at > now)
     }
 
-    /// Ends the leases that were not renewed in time. Returns the releases that are to be written.
+    /// Ends the leases that were not renewed in time and returns the releases to be written.
     pub(crate) fn expire(&mut self, now: Instant) -> Vec<LeaseChange> {
-        let is_over = |active: &ActiveLease| active.ends_at <= now;
-        let over = self.by_duty.iter().filter(|(_, active)| is_over(active));
-        let duties: Vec<String> = over.map(|(duty, _)| duty.clone()).collect();
+        let is_expired = |active: &ActiveLease| active.ends_at <= now;
+        let expired = self.by_duty.iter().filter(|(_, active)| is_expired(active));
+        let duties: Vec<String> = expired.map(|(duty, _)| duty.clone()).collect();
         for duty in &duties {
             self.set(duty, None);
         }
         duties.into_iter().map(LeaseChange::Release).collect()
     }
 
-    /// Moves the end of every lease back by the time in which the registry was stalled. During that time nobody could
-    /// renew; no holder relies on the end of its lease, so a later end is safe.
-    pub(crate) fn extend(&mut self, by: Duration) {
+    /// Postpones the end of every lease by the time in which the registry was stalled, when no holder could renew. No
+    /// holder relies on the end of its lease, so a later end is safe.
+    pub(crate) fn extend(&mut self, stalled: Duration) {
         for active in self.by_duty.values_mut() {
-            active.ends_at += by;
+            active.ends_at += stalled;
         }
     }
 
-    /// Ends the batch: keeps the decisions since the last call if they are on disk, else undoes them, newest first.
+    /// Ends a batch: keeps the decisions since the last call if they are on disk, otherwise undoes them, newest first.
     /// Tokens of undone grants are not granted again.
-    pub(crate) fn settle(&mut self, is_on_disk: bool) {
+    pub(crate) fn finish_batch(&mut self, is_on_disk: bool) {
         let undo = std::mem::take(&mut self.undo);
         if is_on_disk {
             return;
@@ -201,16 +201,18 @@
             token: self.last_token,
             ttl_ms,
         };
-        self.start(&lease, now);
+        self.start_ttl(&lease, now);
         Ok(LeaseDecision { change: LeaseChange::Write(lease.clone()), lease })
     }
 
-    /// Failure: a longer TTL that is not on disk would, after a restart, be shorter than its holder believes, and
-    /// another process would be granted the duty while the holder still acts. So a changed TTL is written.
+    /// Renews a lease. A changed TTL is written to disk.
+    ///
+    /// Failure: after a restart, a longer TTL that is not on disk would be shorter than its holder assumes, and another
+    /// process would be granted the duty while the holder still acts.
     fn renew(&mut self, lease: Lease, ttl_ms: u64, now: Instant) -> LeaseDecision {
         let is_same_ttl = lease.ttl_ms == ttl_ms;
         let lease = Lease { ttl_ms, ..lease };
-        self.start(&lease, now);
+        self.start_ttl(&lease, now);
         let change = if is_same_ttl { LeaseChange::Unchanged } else { LeaseChange::Write(lease.clone()) };
         LeaseDecision { lease, change }
     }
@@ -220,8 +222,8 @@
         LeaseDecision { change: LeaseChange::Release(lease.duty.clone()), lease }
     }
 
-    /// Starts the TTL of a lease.
-    fn start(&mut self, lease: &Lease, now: Instant) {
+    /// Stores a lease whose TTL starts now.
+    fn start_ttl(&mut self, lease: &Lease, now: Instant) {
         let ends_at = now + Duration::from_millis(lease.ttl_ms);
         self.set(&lease.duty, Some(ActiveLease { lease: lease.clone(), ends_at }));
     }
--- a/src/bin/registry/lease/request.rs
+++ b/src/bin/registry/lease/request.rs
@@ -1,42 +1,42 @@
-//! Lease requests as callers send them, and their checks.
+//! Lease requests of callers, and their validation.
 
 use serde::Deserialize;
 use thiserror::Error;
 
-/// Longest name of a duty or a holder, in bytes.
+/// Maximum length of the name of a duty or a holder, in bytes.
 pub(super) const MAX_NAME_BYTES: usize = 253;
-/// Shortest TTL of a lease, in milliseconds.
+/// Minimum TTL of a lease, in milliseconds.
 const MIN_TTL_MS: u64 = 100;
-/// Longest TTL of a lease, in milliseconds: with a longer one a dead holder would keep its duty for too long.
+/// Maximum TTL of a lease, in milliseconds. With a longer one, the duty of a dead holder would stay blocked for too long.
 const MAX_TTL_MS: u64 = 3_600_000;
 
-/// A request to acquire, renew or release a duty, as callers send it.
+/// The body of a request to acquire, renew or release a duty.
 ///
-/// Without a token it acquires; with a token and a TTL it renews; with a token and without a TTL it releases.
+/// A request without a token acquires, one with a token and a TTL renews, and one with a token and without a TTL releases.
 #[derive(Deserialize, Clone, Debug)]
-// "Ask" is kept: it stands in error texts answered to callers ("expected struct Ask").
+// The name "Ask" is kept because it appears in errors answered to callers ("expected struct Ask").
 #[serde(rename = "Ask", deny_unknown_fields)]
 pub(crate) struct LeaseRequest {
-    /// The duty.
+    /// Name of the duty.
     pub(crate) duty: String,
-    /// The name of the calling process.
+    /// Name of the calling process.
     pub(crate) holder: String,
-    /// The token of the caller's lease, if it holds the duty.
+    /// Fencing token of the caller's lease; `None` to acquire the duty.
     pub(crate) token: Option<u64>,
-    /// The TTL that the caller wants, in milliseconds; none to release.
+    /// Requested TTL, in milliseconds; `None` to release the duty.
     pub(crate) ttl_ms: Option<u64>,
 }
 
-/// Why a lease request is malformed. The texts are answered to the caller.
+/// Error for a malformed lease request. The messages are answered to the caller.
 #[derive(Error, Debug, PartialEq)]
 pub(crate) enum LeaseRequestError {
-    /// A name that is empty, too long or has control characters, which could not be read in a log.
+    /// A name is empty, too long or has control characters, which would make log lines unreadable. The field is the key.
     #[error("{0}: must be 1 to {MAX_NAME_BYTES} printable characters")]
     Name(&'static str),
-    /// A TTL out of range.
+    /// The TTL is out of range.
     #[error("ttl_ms: from {MIN_TTL_MS} to {MAX_TTL_MS}")]
     Ttl,
-    /// Neither a TTL, to acquire, nor a token, to release.
+    /// The request has neither a TTL, to acquire, nor a token, to release.
     #[error("ttl_ms: is missing; a lease needs one, a release a token")]
     MissingTtl,
 }
--- a/src/bin/registry/main.rs
+++ b/src/bin/registry/main.rs
@@ -1,12 +1,12 @@
-//! registry: the project's own discovery service. It answers the lists of backends as the protocol states, durably and
-//! with watches, and keeps leases; where configured it hosts the route table.
+//! registry: the project's own discovery service. It stores the lists of backends durably, answers them as the protocol
+//! specifies, with watches, and grants leases. If configured, it also hosts the route table.
 //!
 //! A start reads the configuration (`config`), opens the data directory (`store`), starts the route table
-//! (`route_table`) and the writer thread (`writer`), then serves HTTP (`http`) until SIGTERM. Every write that was answered
-//! as stored is on disk at any time, so a stop needs no further step and a kill loses nothing.
+//! (`route_table`) and the writer thread (`writer`), then serves HTTP (`http`) until SIGTERM. A write is answered as
+//! stored only once it is on disk, so a stop needs no further step and a kill loses no answered write.
 //!
-//! Comments state a guard in one form: "Failure" is what would go wrong without it, "How it shows" what operators or
-//! clients would see then, and "Why the guard holds" why the code excludes it.
+//! Comments on safeguards have a common form: "Failure" is what would go wrong without the safeguard, "How it shows" is
+//! what operators or clients would see then, and "Why the guard holds" is why the code rules it out.
 
 #![forbid(unsafe_code)]
 #![warn(clippy::cognitive_complexity)]
@@ -41,7 +41,7 @@
             return ExitCode::from(2);
         }
     };
-    start_logs(config.log_json);
+    init_logging(config.log_json);
     match run(config) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
@@ -51,8 +51,8 @@
     }
 }
 
-/// Logs to standard error, at `info` unless `RUST_LOG` says otherwise.
-fn start_logs(as_json: bool) {
+/// Sets up logging to standard error, at level `info` unless `RUST_LOG` sets another filter.
+fn init_logging(as_json: bool) {
     let filter = tracing_subscriber::EnvFilter::try_from_default_env().unwrap_or_else(|_| "info".into());
     let logs = tracing_subscriber::fmt().with_writer(std::io::stderr).with_env_filter(filter);
     if as_json {
@@ -62,18 +62,18 @@
     }
 }
 
-/// Starts every part, and serves until SIGTERM.
+/// Starts all components and serves until SIGTERM.
 fn run(mut config: Config) -> Result<(), StartError> {
-    config.limits.max_connections = descriptors::allow_connections(config.limits.max_connections);
-    let (log, state) = open_data(&config)?;
+    config.limits.max_connections = descriptors::raise_limit_for(config.limits.max_connections);
+    let (log, state) = open_store(&config)?;
     let route_table = match config.routes.take() {
         Some(routes) => Some(RouteTableService::start(routes, &state, &config.data)?),
         None => None,
     };
     let shared = Arc::new(Shared::new(state, route_table));
-    let writes = start_writer(log, shared.clone(), config.snapshot_every)?;
-    // One thread serves; the writer thread waits for the disk. More serving threads would need another feature of tokio,
-    // which the proxy's build would then have too.
+    let writes = spawn_writer(log, shared.clone(), config.snapshot_every)?;
+    // One thread serves all connections; only the writer thread waits for the disk. More serving threads would need
+    // another feature of tokio, which would then also be part of the proxy's build.
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -82,13 +82,13 @@
 }
 
 /// Reads the state from the data directory, and writes a snapshot if one is due.
-fn open_data(config: &Config) -> Result<(Log, State), StartError> {
+fn open_store(config: &Config) -> Result<(Log, State), StartError> {
     let started = Instant::now();
     let OpenedStore { mut log, state, recovery } =
         Log::open(&config.data, config.sync, config.max_tombstones)
             .map_err(|error| StartError::Data { path: config.data.clone(), error })?;
     if recovery.cut_bytes > 0 {
-        // The text is kept: operators look for it (docs/registry.md).
+        // The text of this line is kept because operators search for it (docs/registry.md).
         warn!(
             bytes = recovery.cut_bytes,
             after_records = recovery.records,
@@ -111,8 +111,8 @@
     Ok((log, state))
 }
 
-/// Starts the writer thread; it ends when the queue and its clones are dropped.
-fn start_writer(log: Log, shared: Arc<Shared>, snapshot_every: u64) -> Result<WriteQueue, StartError> {
+/// Starts the writer thread, which ends when the returned queue and all its clones are dropped.
+fn spawn_writer(log: Log, shared: Arc<Shared>, snapshot_every: u64) -> Result<WriteQueue, StartError> {
     let (writes, requests) = mpsc::channel();
     std::thread::Builder::new()
         .name("writer".into())
@@ -121,7 +121,7 @@
     Ok(writes)
 }
 
-/// Listens and serves until SIGTERM.
+/// Binds the listener and serves until SIGTERM.
 async fn serve(config: Config, shared: Arc<Shared>, writes: WriteQueue) -> Result<(), StartError> {
     let Config { listen, data, sync, limits, .. } = config;
     let listen_failed = |error| StartError::Listen { address: listen.clone(), error };
--- a/src/bin/registry/store/log.rs
+++ b/src/bin/registry/store/log.rs
@@ -1,4 +1,4 @@
-//! The log on disk, as the writer thread appends to it, and its compaction into a snapshot.
+//! The log on disk, to which the writer thread appends, and its compaction into a snapshot.
 
 use super::frame::frame;
 use super::snapshot::Snapshot;
@@ -8,14 +8,14 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// Longest record, in bytes. On reading, a longer one counts as damaged.
+/// Maximum length of a record, in bytes. A longer one is treated as corrupt when the log is read.
 pub(crate) const MAX_RECORD_BYTES: usize = 16 << 20;
-/// Length of the log, in bytes, from which on it is compacted however few its records are, since a start reads all of it.
+/// Length of the log, in bytes, at which it is compacted however few records it has, since a start reads all of it.
 const MAX_LOG_BYTES: u64 = 512 << 20;
 
-/// How records are synced to disk.
+/// The mode in which records are synced to disk.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Deserialize, clap::ValueEnum)]
-// "Sync" is kept: it stands in error texts about the configuration file.
+// The name "Sync" is kept because it appears in error messages about the configuration file.
 #[serde(rename = "Sync", rename_all = "lowercase")]
 pub(crate) enum SyncMode {
     /// One `fsync` for all the writes that arrived together.
@@ -28,17 +28,18 @@
 pub(crate) struct Log {
     directory: PathBuf,
     file: File,
-    /// Bytes of intact records in the log.
+    /// Length of the intact records in the log, in bytes.
     length: u64,
-    /// Records written since the last snapshot.
+    /// Number of records written since the last snapshot.
     records_since_snapshot: u64,
     sync: SyncMode,
-    /// Set when a failed write could not be undone: a start would cut the log there, and records after it would be lost.
+    /// Set when a failed write could not be undone. The next start would cut the log off there, and later records would
+    /// be lost.
     is_broken: bool,
 }
 
 impl Log {
-    /// The log in an open file of this length, with so many records.
+    /// Creates a log on an open file that has this length in bytes and this number of records.
     pub(super) fn new(directory: &Path, file: File, length: u64, records: u64, sync: SyncMode) -> Log {
         Log {
             directory: directory.to_path_buf(),
@@ -50,11 +51,11 @@
         }
     }
 
-    /// Appends the records and syncs them. On failure the log is put back as it was before.
+    /// Appends the records and syncs them. On failure the log is restored to its previous length.
     ///
-    /// Failure: a full disk leaves part of a record at the log's end. How it shows: a start cuts the log there and loses
-    /// every record appended later. Why the guard holds: the file is cut back to its intact length, and if that
-    /// fails too, no further record is accepted until a restart.
+    /// Failure: a full disk leaves part of a record at the log's end. How it shows: the next start cuts the log off there
+    /// and loses every record appended later. Why the guard holds: the file is truncated to its intact length, and if
+    /// that fails too, no further record is accepted until a restart.
     pub(crate) fn append(&mut self, records: &[Record]) -> io::Result<()> {
         if self.is_broken {
             return Err(io::Error::other(
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Writes the records as the mode says; the bytes written.
+    /// Writes and syncs the records in the configured mode. Returns the number of bytes written.
     fn write(&mut self, records: &[Record]) -> io::Result<u64> {
         let mut written = 0;
         let mut unsynced = Vec::new();
@@ -97,18 +98,19 @@
         Ok(bytes.len() as u64)
     }
 
-    /// Whether it is time for a snapshot.
+    /// Returns true if the log has `snapshot_every` records or [`MAX_LOG_BYTES`] since the last snapshot.
     pub(crate) fn is_snapshot_due(&self, snapshot_every: u64) -> bool {
         self.records_since_snapshot >= snapshot_every || self.length >= MAX_LOG_BYTES
     }
 
-    /// Compaction: writes the state as the snapshot, then empties the log. Returns the snapshot's length in bytes.
+    /// Compacts the log: writes the state as the snapshot, then empties the log. Returns the snapshot's length in bytes.
     ///
-    /// Failure: a crash in the middle. Before the rename the earlier snapshot and the log are as they were. Between the
-    /// rename and the cut the log still holds records that are in the snapshot too. A start skips those with a version,
-    /// since it is not newer than the snapshot's. Leases, their releases and renewals of entries have no version and are
-    /// applied again, in their order. Leases so end in the same state; an entry's TTL does, unless a change with a
-    /// version set it after the last renewal in the log: then that renewal's TTL holds until the next write.
+    /// Failure: a crash during the compaction. Before the rename, the earlier snapshot and the log are unchanged. Between
+    /// the rename and the truncation, the log still has records that the snapshot contains. A start skips those with a
+    /// version, which is not newer than the snapshot's. Leases, their releases and renewals of entries have no version
+    /// and are applied again, in their order. For leases the result is the same. For the TTL of an entry it is the same
+    /// unless a change with a version set it after the last renewal in the log: then the TTL of that renewal is in effect
+    /// until the next write.
     pub(crate) fn compact(&mut self, state: &State) -> io::Result<u64> {
         let record = frame(&serde_json::to_vec(&Snapshot::of(state)).map_err(io::Error::other)?);
         let temporary = self.directory.join("snapshot.tmp");
@@ -125,7 +127,7 @@
     }
 }
 
-/// Syncs a directory, so that files created or renamed in it survive a power cut.
+/// Syncs a directory, so that files created or renamed in it survive a power failure.
 pub(super) fn sync_directory(directory: &Path) -> io::Result<()> {
     File::open(directory)?.sync_all()
 }
--- a/src/bin/registry/store/record.rs
+++ b/src/bin/registry/store/record.rs
@@ -1,33 +1,34 @@
-//! The records of the log, as JSON.
+//! The records of the log, and their JSON encoding.
 //!
-//! Changes of the unnamed service have the form from before there were named services: a plain [`Change`]. All other
-//! records are an object with one key, which names their kind. Directories of earlier builds stay readable so.
+//! A change of the unnamed service has the format from before named services were introduced: a plain [`Change`]. Every
+//! other record is an object with one key, which is the kind of the record. This keeps data directories of earlier builds
+//! readable.
 
 use crate::lease::Lease;
 use load_balancer::catalog::{Change, ServiceName, Update};
 use load_balancer::route_table::RouteRecord;
 use serde::{Deserialize, Serialize};
 
-/// One change of the state.
+/// One change of the registry's state.
 pub(crate) enum Record {
     /// A change or a renewal of an entry.
     Update {
-        /// The entry's service.
+        /// Service of the entry.
         service: ServiceName,
-        /// The change or renewal.
+        /// Change or renewal of the entry.
         update: Update,
     },
-    /// A start of the registry: versions and tokens continue from this version.
+    /// A start of the registry; versions and fencing tokens continue from this version.
     Start(u64),
-    /// A lease was granted, or renewed with another TTL.
+    /// The grant of a lease, or its renewal with a different TTL.
     Lease(Lease),
-    /// The lease on this duty has ended.
+    /// The end of the lease on this duty.
     Release(String),
-    /// The route table with its proposal and its rollout, as they are from now on.
+    /// The new route table with its proposal and its rollout.
     Routes(Box<RouteRecord>),
 }
 
-/// The form of every record that is not a change of the unnamed service.
+/// The JSON form of every record that is not a change of the unnamed service.
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
 enum TaggedRecord {
@@ -40,7 +41,7 @@
 }
 
 impl Record {
-    /// The record's payload in the log.
+    /// Encodes the record as its payload in the log.
     pub(crate) fn encode(&self) -> serde_json::Result<Vec<u8>> {
         match self {
             Record::Update { service, update } if service.is_unnamed() => match update {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// The record of a payload; none if this build does not know its form.
+    /// Decodes a payload. Returns `None` if this build does not know its format.
     pub(crate) fn decode(payload: &[u8]) -> Option<Record> {
         let unnamed = |update| Record::Update { service: ServiceName::default(), update };
         if let Ok(change) = serde_json::from_slice::<Change>(payload) {
--- a/src/bin/registry/store/recovery.rs
+++ b/src/bin/registry/store/recovery.rs
@@ -1,18 +1,18 @@
-//! Opening a data directory: reads the state, cuts a torn write off the log, starts a new range of versions.
+//! Opening of a data directory: reads the state, cuts a torn write off the log and starts a new range of versions.
 //!
-//! Runs once, before the registry listens.
+//! This runs once, before the registry listens.
 //!
 //! # A replaced disk
 //!
-//! Failure: the data directory is empty, an older copy, or has lost its last records, and the registry gives out
-//! versions or fencing tokens a second time. A proxy that holds such a version from before would take a delta of another
-//! history and keep backends that are gone; an earlier lease holder would pass a fence. How it shows: versions of one
-//! service fall, and watches are answered with deltas that do not fit. Why the guard holds: every start appends
-//! [`Record::Start`] with the present Unix time in microseconds, or one more than everything on disk where that is
-//! higher, and versions and tokens continue from there. A registry gives out less than one version a microsecond, so all
-//! earlier ones are below the start, however many records were lost. A lost version lies in the gap below the start, so
-//! that the catalog answers it with the full list (`load_balancer::catalog`, `History`). This needs a clock that was
-//! not set back since the lost versions were given out.
+//! Failure: the data directory is empty, is an older copy or has lost its last records, and the registry assigns versions
+//! or fencing tokens a second time. A proxy with such a version from before would apply a delta of a different history
+//! and keep backends that were removed, and the token of an earlier lease holder would be accepted. How it shows: versions
+//! of a service go down, and watches get deltas that do not match their lists. Why the guard holds: every start appends
+//! [`Record::Start`] with the current Unix time in microseconds, or a version above everything on disk if that is higher,
+//! and versions and tokens continue from there. A registry assigns fewer than one version per microsecond, so all earlier
+//! ones are below the start, however many records were lost. A lost version lies in the gap below the start, and the
+//! catalog answers it with the full list (`load_balancer::catalog`, `History`). This requires that the clock was not set
+//! back after the lost versions were assigned.
 
 use super::error::OpenError;
 use super::frame::unframe;
@@ -24,37 +24,37 @@
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Longest snapshot, in bytes.
+/// Maximum length of a snapshot, in bytes.
 const MAX_SNAPSHOT_BYTES: usize = 1 << 30;
-/// Fewest bytes that a change takes on disk. From the bytes cut off the log it bounds how many versions they held.
+/// Minimum length of a change on disk, in bytes. It bounds the number of versions in the bytes that are cut off the log.
 pub(super) const MIN_CHANGE_BYTES: u64 = 64;
 
-/// What a start found in the data directory.
+/// The findings of a start in the data directory.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RecoveryReport {
-    /// The version of the snapshot, if there was one.
+    /// Version of the snapshot; `None` if there was no snapshot.
     pub(crate) snapshot_seq: Option<u64>,
-    /// Intact records read from the log.
+    /// Number of intact records read from the log.
     pub(crate) records: u64,
-    /// Bytes cut off the log's end: a write that was torn by a crash, or damaged by the disk.
+    /// Number of bytes cut off the end of the log: a write that was torn by a crash, or corrupted on disk.
     pub(crate) cut_bytes: u64,
 }
 
-/// A data directory that was opened.
+/// The result of opening a data directory.
 pub(crate) struct OpenedStore {
-    /// Its log, to be appended to.
+    /// Log, open for appending.
     pub(crate) log: Log,
-    /// The state that was read from it.
+    /// State read from the snapshot and the log.
     pub(crate) state: State,
-    /// What was found in it.
+    /// Findings during the recovery.
     pub(crate) recovery: RecoveryReport,
 }
 
 impl Log {
-    /// Opens a data directory, or creates it, and reads the state from it.
+    /// Opens a data directory and reads the state from it.
     ///
-    /// At most `max_tombstones` deletions are kept for deltas. The directory and an empty log are created where they are
-    /// missing. Until snapshot and log were read without an error, nothing that was in the directory is changed.
+    /// At most `max_tombstones` deletions are kept for deltas. The directory and an empty log are created if they are
+    /// missing. Existing files are not changed until the snapshot and the log were read without an error.
     pub(crate) fn open(
         directory: &Path,
         sync: SyncMode,
@@ -92,23 +92,24 @@
     serde_json::from_slice(payload).map(Some).map_err(OpenError::SnapshotOfLaterBuild)
 }
 
-/// Applies the log's records to the state, and cuts the log after the last intact one. Returns its length then.
+/// Applies the log's records to the state, and truncates the log after the last intact one. Returns the resulting length
+/// of the log in bytes.
 ///
-/// Failure: a crash during a write leaves a frame that is cut short, has the wrong checksum or consists of zeros. How it
-/// shows: records appended after it would not be read by the next start, although they were answered as stored. Why the cut
-/// is safe: a torn write was never synced, so it was never answered. Where the disk has damaged an older record, answered
-/// ones behind it are lost too; the gap below the start covers their versions.
+/// Failure: a crash during a write leaves a frame that is truncated, has a wrong checksum or consists of zeros. How it
+/// shows: records appended after it would not be read by the next start, although they were answered as stored. Why the
+/// truncation is safe: a torn write was never synced, so it was never answered as stored. If the disk has corrupted an
+/// older record, answered records after it are lost too; the gap below the start covers their versions.
 fn replay_log(file: &mut File, state: &mut State, report: &mut RecoveryReport) -> Result<u64, OpenError> {
     let mut bytes = Vec::new();
     file.read_to_end(&mut bytes)?;
     let mut offset = 0;
     while let Some((payload, frame_length)) = unframe(&bytes[offset..], MAX_RECORD_BYTES) {
-        // Eight zeros are a frame with an empty payload and the right checksum; a crash may leave them at the end.
+        // Eight zero bytes are a valid frame with an empty payload; a crash may leave zeros at the end of the file.
         if payload.is_empty() {
             break;
         }
-        let unknown = OpenError::RecordOfLaterBuild { number: report.records + 1, offset };
-        state.apply(Record::decode(payload).ok_or(unknown)?);
+        let unknown_format = OpenError::RecordOfLaterBuild { number: report.records + 1, offset };
+        state.apply(Record::decode(payload).ok_or(unknown_format)?);
         report.records += 1;
         offset += frame_length;
     }
@@ -120,8 +121,8 @@
     Ok(offset as u64)
 }
 
-/// The version from which this start continues: the Unix time in microseconds, and in any case above everything on disk
-/// and everything that the bytes cut off the log can have held.
+/// Returns the version from which this start continues: the Unix time in microseconds, or, if that is not higher, a
+/// version above everything on disk and above every version that the bytes cut off the log can have had.
 fn first_version(state: &State, cut_bytes: u64) -> u64 {
     let unix_us = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
     let newest_on_disk = state.catalog.newest().max(state.token);
--- a/src/bin/registry/store/snapshot.rs
+++ b/src/bin/registry/store/snapshot.rs
@@ -1,7 +1,7 @@
 //! The snapshot: the state at one version, as one JSON object.
 //!
-//! The unnamed service has the keys from before there were named services (`horizon`, `changes`), and a snapshot of the
-//! unnamed service alone has no others, so that builds from before named services can read it.
+//! The unnamed service is stored under the keys from before named services were introduced (`horizon`, `changes`). A
+//! snapshot with only the unnamed service has no keys for named services, so that builds from before them can read it.
 
 use super::State;
 use crate::lease::Lease;
@@ -10,18 +10,18 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// The state at one version. The order of the fields is the order of the keys on disk.
+/// The registry's state at one version. The order of the fields is the order of the keys on disk.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct Snapshot {
-    /// The newest version of all services.
+    /// Newest version of all services.
     pub(super) seq: u64,
-    /// The horizon of the unnamed service; without `services`, of all services.
+    /// Horizon of the unnamed service; without `services`, the horizon of all services.
     horizon: u64,
-    /// Ranges of versions that were never given out.
+    /// Ranges of versions that were never assigned, as pairs of exclusive bounds.
     #[serde(default)]
     gaps: VecDeque<(u64, u64)>,
-    /// The highest fencing token.
+    /// Highest fencing token, as in [`State::token`].
     #[serde(default)]
     token: u64,
     #[serde(default)]
@@ -34,24 +34,24 @@
     services: Option<Services>,
 }
 
-/// The part of a snapshot for services that have a name.
+/// The named services in a snapshot.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Services {
-    /// Gaps that end at or before this version are not remembered.
+    /// Version up to which gaps were discarded: none that ends at or before it is kept.
     horizon: u64,
-    /// The newest version of any service that was dropped.
+    /// Newest version of any service that was dropped.
     dropped: u64,
-    /// Every named service.
+    /// All named services.
     list: Vec<ServiceSnapshot>,
 }
 
 impl Snapshot {
-    /// The snapshot of a state.
+    /// Creates the snapshot of a state.
     pub(super) fn of(state: &State) -> Snapshot {
         let CatalogSnapshot { newest, gaps, horizon, dropped_version, mut services } =
             state.catalog.snapshot();
-        // Services are sorted by name, and the empty name is first.
+        // Services are sorted by name, so the unnamed service with its empty name is first.
         let has_unnamed = services.first().is_some_and(|service| service.name.is_unnamed());
         let unnamed = has_unnamed.then(|| services.remove(0));
         let unnamed_horizon = unnamed.as_ref().map_or(dropped_version, |service| service.horizon);
@@ -68,11 +68,11 @@
         }
     }
 
-    /// The state that the snapshot was made of, without the version of the last start.
+    /// Restores the state of which the snapshot was made, without the version of the last start.
     pub(super) fn restore(self, max_tombstones: usize) -> State {
         let unnamed =
             ServiceSnapshot { name: ServiceName::default(), horizon: self.horizon, changes: self.changes };
-        // A snapshot from before there were named services has one horizon, which holds for every name.
+        // A snapshot from before named services has one horizon, which applies to every service.
         let Services { horizon, dropped, mut list } =
             self.services.unwrap_or(Services { horizon: self.horizon, dropped: 0, list: Vec::new() });
         list.push(unnamed);
--- a/src/bin/registry/store/state.rs
+++ b/src/bin/registry/store/state.rs
@@ -6,25 +6,25 @@
 use load_balancer::route_table::RouteRecord;
 use std::collections::BTreeMap;
 
-/// The state as the snapshot and the log give it. It changes only by records that are on disk.
+/// The state that results from the snapshot and the log. It changes only by records that are on disk.
 pub(crate) struct State {
-    /// The lists of all services.
+    /// Lists of all services.
     pub(crate) catalog: Catalog,
-    /// The highest fencing token that was granted, or the version of a later start.
+    /// Highest fencing token that was granted, or the version of the last start if that is higher.
     pub(crate) token: u64,
-    /// The leases on disk, by duty.
+    /// Leases on disk, by duty.
     pub(crate) leases: BTreeMap<String, Lease>,
-    /// The route table with its proposal and its rollout; none before the first one.
+    /// Route table with its proposal and its rollout; `None` before the first one.
     pub(crate) routes: Option<RouteRecord>,
 }
 
 impl State {
-    /// The state of an empty data directory.
+    /// Creates the state of an empty data directory.
     pub(super) fn new(max_tombstones: usize) -> State {
         State { catalog: Catalog::new(max_tombstones), token: 0, leases: BTreeMap::new(), routes: None }
     }
 
-    /// Applies a record. One with a version that a snapshot holds already changes nothing; leases, their releases and
+    /// Applies a record. A record whose version is already in the snapshot has no effect. Leases, their releases and
     /// renewals of entries have no version and are applied again (see [`Log::compact`](super::Log::compact)).
     pub(crate) fn apply(&mut self, record: Record) {
         match record {
@@ -36,7 +36,7 @@
             }
             Record::Release(duty) => drop(self.leases.remove(&duty)),
             Record::Routes(routes) => {
-                let is_newer = self.routes.as_ref().is_none_or(|present| present.change < routes.change);
+                let is_newer = self.routes.as_ref().is_none_or(|current| current.change < routes.change);
                 if is_newer {
                     self.routes = Some(*routes);
                 }
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Lets versions and tokens continue from `seq`.
+    /// Continues versions and fencing tokens from `seq`.
     pub(super) fn start(&mut self, seq: u64) {
         self.token = self.token.max(seq);
         self.catalog.start(seq);
--- a/src/bin/registry/writer/commit.rs
+++ b/src/bin/registry/writer/commit.rs
@@ -1,4 +1,4 @@
-//! Step "commit" of the writer: the records of a batch go to the log, then into the state that is served.
+//! Step "commit" of the writer: writes the records of a batch to the log, then applies them to the served state.
 
 use super::decide::{Batch, PendingReply};
 use super::records::records;
@@ -10,37 +10,38 @@
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// Time after which the end of an entry that could not be written is written again.
+/// Delay until the deletion of an expired entry is retried after it could not be written.
 const EXPIRY_RETRY: Duration = Duration::from_secs(1);
 
-/// Whether a batch is on disk, else the disk's error.
+/// `Ok` if a batch is on disk, otherwise the disk's error.
 pub(super) type CommitResult = Result<(), String>;
 
 impl Writer {
-    /// Writes a batch. Afterwards the leases and the route table agree with the disk, whether the write succeeded or
-    /// failed; ends of TTLs that could not be written are due again. The deadlines that the batch's registrations have
-    /// set stay also after a failure. Returns the replies that are due, and the result that they depend on.
+    /// Writes a batch. Afterwards the leases and the route table match the disk, whether the write succeeded or failed.
+    /// Deletions of expired entries that could not be written are retried after [`EXPIRY_RETRY`]. The deadlines that the
+    /// batch's registrations have set stay in effect after a failure. Returns the replies to send, and the result on which
+    /// they depend.
     pub(super) fn commit(&mut self, batch: Batch, now: Instant) -> (Vec<PendingReply>, CommitResult) {
         let Batch { registrations, expired, lease_changes, route_decision, replies } = batch;
         let mut records = records(&self.shared.state(), registrations, &expired);
         records.extend(lease_changes.into_iter().filter_map(lease_record));
         records.extend(route_decision.iter().map(|record| Record::Routes(Box::new(record.clone()))));
         let result = self.log.append(&records).map_err(|e| e.to_string());
-        self.leases.settle(result.is_ok());
+        self.leases.finish_batch(result.is_ok());
         match &result {
             Ok(()) => {
                 publish(&self.shared, records);
                 if self.log.is_snapshot_due(self.snapshot_every) {
-                    // Lists are answered meanwhile: this thread is the only one that writes the state.
+                    // Lists are served meanwhile: only this thread locks the state for writing.
                     write_snapshot(&mut self.log, &self.shared.state());
                 }
                 if !expired.is_empty() {
-                    info!(count = expired.len(), "entries deleted: their TTL lapsed");
+                    info!(count = expired.len(), "deleted entries whose TTL expired");
                 }
             }
             Err(e) => {
-                warn!(error = %e, records = records.len(), "write failed, nothing of it was answered as stored");
-                self.deadlines.retry(expired, now + EXPIRY_RETRY);
+                warn!(error = %e, records = records.len(), "writing a batch to the log failed; its writes are answered with an error");
+                self.deadlines.reschedule(expired, now + EXPIRY_RETRY);
             }
         }
         if let (Some(service), Some(record)) = (self.shared.route_table.as_deref(), route_decision) {
@@ -58,7 +59,7 @@
     }
 }
 
-/// Applies records that are on disk to the state, then wakes the watches of the services that they change.
+/// Applies records that are on disk to the served state, then wakes the watches of the services that they change.
 fn publish(shared: &Shared, records: Vec<Record>) {
     let mut changed_services = HashSet::new();
     let mut state = shared.state.write().unwrap_or_else(|poisoned| poisoned.into_inner());
@@ -70,12 +71,11 @@
     }
     drop(state);
     for service in changed_services {
-        shared.changed(&service, shared.version(&service));
+        shared.service_changed(&service, shared.version(&service));
     }
 }
 
-/// Writes a snapshot and starts the log anew. On failure the log stays as it was, and the snapshot is tried again after
-/// the next batch.
+/// Writes a snapshot and empties the log. On failure the log is kept, and the snapshot is retried after the next batch.
 pub(crate) fn write_snapshot(log: &mut Log, state: &State) {
     let started = Instant::now();
     match log.compact(state) {
@@ -89,6 +89,8 @@
                 "snapshot written, log compacted"
             );
         }
-        Err(e) => warn!(error = %e, "snapshot failed, the log is kept"),
+        Err(e) => {
+            warn!(error = %e, "writing the snapshot failed; the log is kept, and the next batch retries")
+        }
     }
 }
--- a/src/bin/registry/writer/deadlines.rs
+++ b/src/bin/registry/writer/deadlines.rs
@@ -1,4 +1,5 @@
-//! When the TTL of each entry is over. Kept in memory only: after a restart every entry gets its full TTL again.
+//! The times at which the TTLs of entries expire. They are kept in memory only: after a restart every entry gets its full
+//! TTL again.
 
 use super::records::{EntryId, Registration};
 use crate::store::State;
@@ -6,16 +7,16 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// The deadline of every listed entry of every service.
+/// The expiry deadline of every listed entry of every service.
 pub(super) struct Deadlines {
     by_id: HashMap<EntryId, Instant>,
-    /// No deadline is before this time, so that nothing has to be looked for until then. It may be too early, after
-    /// the entry that set it was renewed.
+    /// Lower bound of all deadlines: no entry expires before this time, so no scan is needed until then. It is too early
+    /// if the entry that set it was renewed since.
     earliest: Option<Instant>,
 }
 
 impl Deadlines {
-    /// The deadlines of all entries read from disk, each with its full TTL from `now` on.
+    /// Creates the deadlines of all entries read from disk, each with its full TTL from `now` on.
     pub(super) fn new(state: &State, now: Instant) -> Deadlines {
         let entries = state.catalog.all_entries().map(|(service, change)| {
             let id = EntryId { service: service.clone(), host: change.entry.host.clone() };
@@ -25,8 +26,8 @@
         Deadlines { earliest: by_id.values().min().copied(), by_id }
     }
 
-    /// Follows a registration, a renewal or a deletion.
-    pub(super) fn take(&mut self, registration: &Registration, now: Instant) {
+    /// Updates the deadline of an entry after its registration, renewal or deletion.
+    pub(super) fn update(&mut self, registration: &Registration, now: Instant) {
         let id = registration.id();
         if registration.entry.health == Health::Deleted {
             self.by_id.remove(&id);
@@ -45,17 +46,17 @@
         expired
     }
 
-    /// Lets entries expire again at a time, after their end could not be written.
-    pub(super) fn retry(&mut self, expired: Vec<EntryId>, at: Instant) {
+    /// Schedules entries to expire again at a later time, after their deletion could not be written.
+    pub(super) fn reschedule(&mut self, expired: Vec<EntryId>, at: Instant) {
         for id in expired {
             self.set(id, at);
         }
     }
 
-    /// Moves every deadline back by the time in which the registry was stalled, since nobody could renew.
-    pub(super) fn extend(&mut self, by: Duration) {
+    /// Postpones every deadline by the time in which the registry was stalled, since no entry could be renewed.
+    pub(super) fn extend(&mut self, stalled: Duration) {
         for deadline in self.by_id.values_mut().chain(&mut self.earliest) {
-            *deadline += by;
+            *deadline += stalled;
         }
     }
 
--- a/src/bin/registry/writer/decide.rs
+++ b/src/bin/registry/writer/decide.rs
@@ -1,4 +1,4 @@
-//! Step "decide" of the writer: requests become the records of a batch, or errors.
+//! Step "decide" of the writer: turns requests into the changes of a batch, or into errors.
 
 use super::Writer;
 use super::records::{EntryId, Registration};
@@ -13,20 +13,20 @@
 /// The decisions of one batch.
 #[derive(Default)]
 pub(super) struct Batch {
-    /// Entries that are to be stored, in the order of their requests.
+    /// Entries to be stored, in the order of their requests.
     pub(super) registrations: Vec<Registration>,
-    /// Entries whose TTL is over.
+    /// Entries whose TTL has expired.
     pub(super) expired: Vec<EntryId>,
-    /// Changes of leases, in the order of their decisions.
+    /// Changes of leases, in the order in which they were decided.
     pub(super) lease_changes: Vec<LeaseChange>,
-    /// The decision on the route table: at most one a batch, since the next is decided from the one on disk.
+    /// Decision on the route table. There is at most one per batch, since the next one is based on the one on disk.
     pub(super) route_decision: Option<RouteRecord>,
-    /// The replies that are due once the batch is on disk.
+    /// Replies to send once the batch is on disk.
     pub(super) replies: Vec<PendingReply>,
 }
 
 impl Batch {
-    /// Whether there is nothing to write and nobody to answer.
+    /// Returns true if there is nothing to write and no reply to send.
     pub(super) fn is_empty(&self) -> bool {
         self.replies.is_empty()
             && self.expired.is_empty()
@@ -35,28 +35,28 @@
     }
 }
 
-/// A caller that gets its reply once the batch is on disk.
+/// A reply to be sent once the batch is on disk.
 pub(super) struct PendingReply {
-    /// The decision on its request.
+    /// Decision on the caller's request.
     pub(super) decision: Result<Decision, WriteError>,
-    /// Where the reply goes.
+    /// Channel on which the caller waits for the reply.
     pub(super) sender: ReplySender,
 }
 
-/// A request that was accepted.
+/// The decision on a request that was accepted.
 pub(super) enum Decision {
-    /// Entries of this service are to be stored; their version is known once they are on disk.
+    /// Entries of this service are to be stored. The reply is their version, which is known once they are on disk.
     Entries(ServiceName),
-    /// The reply is known already.
-    Known(WriteOutcome),
+    /// The outcome is known before the write.
+    Outcome(WriteOutcome),
 }
 
 impl Writer {
-    /// Decides on the route table's tick, then on every request, then on entries and leases whose TTL is over.
+    /// Decides on the route table's tick, then on every request, then on entries and leases whose TTL has expired.
     ///
-    /// Renewals of entries go first. Failure: a renewal that arrived in time but shares its batch with the end of the
-    /// TTL would find its entry ended. A lease has no such grace: [`LeaseTable::request`] rejects its renewal once the
-    /// TTL is over, in whatever order.
+    /// Renewals of entries are applied before expiries. Failure: a renewal that arrived in time, in the same batch in
+    /// which the TTL expires, would find its entry deleted. Leases get no such grace: [`LeaseTable::request`] rejects a
+    /// renewal once the TTL has expired, in whatever order.
     ///
     /// [`LeaseTable::request`]: crate::lease::LeaseTable::request
     pub(super) fn decide(&mut self, requests: Vec<WriteRequest>, now: Instant) -> Batch {
@@ -65,15 +65,15 @@
             self.decide_request(request, &mut batch, now);
         }
         for registration in &batch.registrations {
-            self.deadlines.take(registration, now);
+            self.deadlines.update(registration, now);
         }
         batch.lease_changes.extend(self.leases.expire(now));
         batch.expired = self.deadlines.take_expired(now);
         batch
     }
 
-    /// Decides on one request, or defers it: a proposal waits for the next batch where this one has a decision on the
-    /// route table already.
+    /// Decides on one request, or defers it: a proposal is deferred to the next batch if this one already has a decision
+    /// on the route table.
     fn decide_request(&mut self, request: WriteRequest, batch: &mut Batch, now: Instant) {
         let is_proposal = matches!(request.operation, WriteOperation::Proposal { .. });
         if is_proposal && batch.route_decision.is_some() {
@@ -84,14 +84,14 @@
             WriteOperation::Lease(lease_request) => match self.leases.request(&lease_request, now) {
                 Ok(decision) => {
                     batch.lease_changes.push(decision.change.clone());
-                    Ok(Decision::Known(WriteOutcome::Lease(decision)))
+                    Ok(Decision::Outcome(WriteOutcome::Lease(decision)))
                 }
                 Err(error) => Err(WriteError::Lease(error)),
             },
             WriteOperation::Proposal { proposal, fence } => {
                 self.decide_proposal(proposal, &fence, now).map(|record| {
                     batch.route_decision = Some(record.clone());
-                    Decision::Known(WriteOutcome::Proposal(Box::new(record)))
+                    Decision::Outcome(WriteOutcome::Proposal(Box::new(record)))
                 })
             }
             WriteOperation::Entries { fence: Some(fence), .. } if !self.is_held(&fence, now) => {
@@ -110,19 +110,19 @@
         self.leases.holds(&fence.duty, fence.token, now)
     }
 
-    /// The decision that time brings for the route table, such as the next stage of a rollout.
+    /// Returns the decision on the route table that is due by now, such as the next stage of a rollout.
     fn decide_route_tick(&self) -> Option<RouteRecord> {
         let service = self.shared.route_table.as_deref()?;
         let record = service.tick(&self.shared.state())?;
         if let Err(why) = RouteTableService::check_length(&record) {
-            error!(%why, "a decision on the route table cannot be written");
+            error!(%why, "decision on the route table dropped: its record is too long for the log");
             service.settle(record, false);
             return None;
         }
         Some(record)
     }
 
-    /// The record of a proposal, if it is accepted.
+    /// Returns the record of a proposal if it is accepted.
     fn decide_proposal(
         &self,
         proposal: Proposal,
--- a/src/bin/registry/writer/records.rs
+++ b/src/bin/registry/writer/records.rs
@@ -1,43 +1,43 @@
-//! The records that registrations and expired entries become, with their versions.
+//! Turns registrations and expired entries into records, and assigns their versions.
 
 use crate::store::{Record, State};
 use load_balancer::catalog::{Change, Entry, Health, ServiceName, Update};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// An entry among those of all services.
+/// Identifies an entry among those of all services.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct EntryId {
-    /// Its service.
+    /// Service of the entry.
     pub(super) service: ServiceName,
-    /// Its host name, unique in the service.
+    /// Host name of the entry, unique in the service.
     pub(super) host: String,
 }
 
-/// An entry that is to be stored.
+/// An entry to be stored, or to be deleted if its health is `DELETED`.
 pub(super) struct Registration {
-    /// Its service.
+    /// Service of the entry.
     pub(super) service: ServiceName,
-    /// The entry; a `DELETED` one takes its host off the list.
+    /// Entry with its new state; a `DELETED` one removes its host from the list.
     pub(super) entry: Entry,
-    /// How long it lives without renewal.
+    /// Time to live without a renewal.
     pub(super) ttl: Duration,
 }
 
 impl Registration {
-    /// The entry that is stored.
+    /// Returns the identity of the entry.
     pub(super) fn id(&self) -> EntryId {
         EntryId { service: self.service.clone(), host: self.entry.host.clone() }
     }
 }
 
-/// The records of a batch's registrations and of its entries whose TTL is over, in this order. Versions continue from
-/// the newest in the state.
+/// Returns the records of a batch's registrations and expired entries, in this order. Versions continue from the newest
+/// one in the state.
 pub(super) fn records(state: &State, registrations: Vec<Registration>, expired: &[EntryId]) -> Vec<Record> {
     let deletions = expired.iter().filter_map(|id| deletion(state, id));
     let mut seq = state.catalog.newest();
     let mut records = Vec::new();
-    // Entries as the records before leave them, where these change them.
+    // Last change of each entry that earlier records of this batch change.
     let mut changed: HashMap<EntryId, Change> = HashMap::new();
     for registration in registrations.into_iter().chain(deletions) {
         let id = registration.id();
@@ -52,7 +52,7 @@
     records
 }
 
-/// The deletion of an entry whose TTL is over.
+/// Returns the deletion of an entry whose TTL has expired.
 fn deletion(state: &State, id: &EntryId) -> Option<Registration> {
     let change = state.catalog.get(&id.service, &id.host)?;
     let entry = Entry { health: Health::Deleted, ..change.entry.clone() };
@@ -60,8 +60,8 @@
     Some(Registration { service: id.service.clone(), entry, ttl })
 }
 
-/// What a registration changes in the entry: a change at the version `next_seq`, a renewal with another TTL, or nothing.
-/// A plain renewal writes nothing, and so does the deletion of an entry that is not listed.
+/// Returns the update that a registration causes: a change at version `next_seq`, a renewal with a different TTL, or
+/// `None`. Neither a renewal with the same TTL nor the deletion of an entry that is not listed is written.
 fn update(previous: Option<&Change>, registration: Registration, next_seq: u64) -> Option<Update> {
     let Registration { entry, ttl, .. } = registration;
     let ttl_ms = ttl.as_millis() as u64;
--- a/src/bin/registry/writer/request.rs
+++ b/src/bin/registry/writer/request.rs
@@ -9,21 +9,21 @@
 use thiserror::Error;
 use tokio::sync::oneshot;
 
-/// A write that was done. What it had to write is on disk; a renewal of a lease with the same TTL writes nothing.
+/// The outcome of a write that succeeded. Its records are on disk; a renewal of a lease with the same TTL has none.
 #[derive(Clone, Debug)]
 pub(crate) enum WriteOutcome {
-    /// The entries are visible from this version of their service on.
+    /// The entries are stored.
     Entries {
-        /// The version.
+        /// Version of their service from which on the entries are visible.
         seq: u64,
     },
     /// A lease was granted, renewed or released.
     Lease(LeaseDecision),
-    /// A proposal was accepted; the record that it became.
+    /// A proposal was accepted and became this record.
     Proposal(Box<RouteRecord>),
 }
 
-/// Why a write was not done. Nothing of it is on disk. The texts are answered to the caller.
+/// Error for a write that failed, of which nothing is on disk. The messages are answered to the caller.
 #[derive(Error, Clone, Debug)]
 pub(crate) enum WriteError {
     /// The records could not be written or synced.
@@ -32,7 +32,7 @@
     /// The lease request was rejected.
     #[error(transparent)]
     Lease(LeaseError),
-    /// The fencing token is not that of the duty's present holder.
+    /// The fencing token is not that of the duty's current holder.
     #[error("fence: not the token of the duty's present holder")]
     Fenced,
     /// The proposal was rejected.
@@ -46,47 +46,48 @@
     NoRouteTable,
 }
 
-/// What a caller wants to be written.
+/// A write that a caller requests.
 pub(crate) enum WriteOperation {
     /// Registers, renews or deletes entries of a service.
     Entries {
-        /// The service.
+        /// Service of the entries.
         service: ServiceName,
-        /// The entries; a `DELETED` one takes its host off the list.
+        /// Entries to store; a `DELETED` one removes its host from the list.
         entries: Vec<Entry>,
-        /// How long each entry lives without renewal.
+        /// Time to live of each entry without a renewal.
         ttl: Duration,
-        /// The duty in whose name the write is done, if any.
+        /// Duty that the caller must hold for the write; `None` if it needs none.
         fence: Option<Fence>,
     },
     /// Acquires, renews or releases a lease.
     Lease(LeaseRequest),
-    /// Proposes another route table.
+    /// Proposes a new route table.
     Proposal {
-        /// The proposal.
+        /// Proposed route table.
         proposal: Proposal,
-        /// The duty in whose name it is made.
+        /// Duty that the caller must hold for the proposal.
         fence: Fence,
     },
 }
 
-/// The duty in whose name a write is done. The write is rejected unless the token is that of the duty's present holder.
+/// A duty that the caller of a write must hold. The write is rejected unless the token is that of the duty's current
+/// holder.
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Fence {
-    /// The duty.
+    /// Name of the duty.
     pub(crate) duty: String,
-    /// The token of the caller's lease on it.
+    /// Fencing token of the caller's lease on the duty.
     pub(crate) token: u64,
 }
 
-/// Where the reply to a write goes.
+/// The channel on which the caller of a write waits for the reply.
 pub(crate) type ReplySender = oneshot::Sender<Result<WriteOutcome, WriteError>>;
 
-/// A write on its way to the writer thread.
+/// A write that is sent to the writer thread.
 pub(crate) struct WriteRequest {
-    /// What is to be written.
+    /// Operation to perform.
     pub(crate) operation: WriteOperation,
-    /// Where the reply goes.
+    /// Channel for the reply.
     pub(crate) reply: ReplySender,
 }
--- a/src/bin/registry/writer/shared.rs
+++ b/src/bin/registry/writer/shared.rs
@@ -1,31 +1,31 @@
-//! The state that the writer thread shares with the serving side. The writer changes it, the serving side reads it.
+//! The state that the writer thread shares with the HTTP handlers. The writer changes it, the handlers read it.
 
 use super::wake::Wakers;
 use crate::route_table::RouteTableService;
 use crate::store::State;
 use bytes::Bytes;
-use load_balancer::catalog::{PageCache, ServiceName};
+use load_balancer::catalog::{ListCache, ServiceName};
 use std::sync::{Arc, Mutex, MutexGuard, RwLock, RwLockReadGuard};
 
-/// Most bytes of encoded lists that are cached, over all services.
-const MAX_PAGE_CACHE_BYTES: usize = 32 << 20;
+/// Maximum memory of cached encoded lists over all services, in bytes.
+const MAX_LIST_CACHE_BYTES: usize = 32 << 20;
 
-/// The shared state. It always agrees with the disk: the writer applies a record only once it is synced.
+/// The shared state. It always matches the disk: the writer applies a record only once it is synced.
 pub(crate) struct Shared {
-    /// The state as it is on disk.
+    /// State as it is on disk.
     pub(super) state: RwLock<State>,
-    /// The waiting watches, by their service.
+    /// Waiting watches, by service.
     pub(crate) wakers: Arc<Wakers>,
-    pages: Mutex<PageCache>,
-    /// The route table, where this registry hosts it.
+    lists: Mutex<ListCache>,
+    /// Route table service; `None` if this registry does not host the route table.
     pub(crate) route_table: Option<Arc<RouteTableService>>,
 }
 
 impl Shared {
-    /// Shares a state as it was read from disk.
+    /// Creates the shared state from the state read from disk.
     pub(crate) fn new(state: State, route_table: Option<Arc<RouteTableService>>) -> Self {
-        let pages = Mutex::new(PageCache::new(MAX_PAGE_CACHE_BYTES));
-        Shared { state: RwLock::new(state), wakers: Arc::default(), pages, route_table }
+        let lists = Mutex::new(ListCache::new(MAX_LIST_CACHE_BYTES));
+        Shared { state: RwLock::new(state), wakers: Arc::default(), lists, route_table }
     }
 
     /// Locks the state for reading.
@@ -33,23 +33,27 @@
         self.state.read().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// A service's version.
+    /// Returns the version of a service's list.
     pub(crate) fn version(&self, service: &ServiceName) -> u64 {
         self.state().catalog.version(service)
     }
 
-    /// The list of a service as JSON, or what changed in it after a version.
-    pub(crate) fn page(&self, service: &ServiceName, after: Option<u64>) -> serde_json::Result<Bytes> {
-        self.pages().get(&self.state().catalog, service, after)
+    /// Returns the list of a service as JSON, or its changes after a version.
+    pub(crate) fn encoded_list(
+        &self,
+        service: &ServiceName,
+        after: Option<u64>,
+    ) -> serde_json::Result<Bytes> {
+        self.lists().get(&self.state().catalog, service, after)
     }
 
     /// Drops the cached lists of a service that has changed, and wakes its watches with its new version.
-    pub(super) fn changed(&self, service: &ServiceName, version: u64) {
-        self.pages().forget(service);
+    pub(super) fn service_changed(&self, service: &ServiceName, version: u64) {
+        self.lists().forget(service);
         self.wakers.wake(service, version);
     }
 
-    fn pages(&self) -> MutexGuard<'_, PageCache> {
-        self.pages.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+    fn lists(&self) -> MutexGuard<'_, ListCache> {
+        self.lists.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
--- a/src/bin/registry/writer/wake.rs
+++ b/src/bin/registry/writer/wake.rs
@@ -1,21 +1,21 @@
-//! Wakes the waiting watches of a service when the service has changed.
+//! Wakes the waiting watches of a service when its list has changed.
 //!
-//! [`Wakers`] holds one version channel per service that somebody waits for, whether the service exists or not. The
-//! last watch that goes removes its channel, so that names asked for leave nothing in memory.
+//! [`Wakers`] has one version channel per watched service, whether the service exists or not. The last watch of a service
+//! removes the channel when it ends, so that watches of unknown names leave nothing in memory.
 
 use load_balancer::catalog::ServiceName;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::sync::watch;
 
-/// The version channels of the services that somebody waits for.
+/// The version channels of all watched services.
 #[derive(Default)]
 pub(crate) struct Wakers(Mutex<HashMap<ServiceName, watch::Sender<u64>>>);
 
 impl Wakers {
-    /// Starts a watch of a service. It sees every version set after this call, so that a version read after this call and
-    /// then waited on misses no change in between.
-    pub(crate) fn wait(self: &Arc<Self>, service: &ServiceName) -> VersionWatch {
+    /// Starts a watch of a service. The watch sees every version that is set after this call. A caller that reads the
+    /// version after this call and then waits for a newer one therefore misses no change.
+    pub(crate) fn watch(self: &Arc<Self>, service: &ServiceName) -> VersionWatch {
         let versions = self.services().entry(service.clone()).or_default().subscribe();
         VersionWatch { wakers: self.clone(), service: service.clone(), versions }
     }
@@ -32,7 +32,7 @@
     }
 }
 
-/// One waiting watch. Dropping it ends the watch.
+/// A watch of one service, which ends when it is dropped.
 pub(crate) struct VersionWatch {
     wakers: Arc<Wakers>,
     service: ServiceName,
@@ -40,9 +40,9 @@
 }
 
 impl VersionWatch {
-    /// Waits until the service is at a newer version than this.
-    pub(crate) async fn newer_than(&mut self, version: u64) {
-        // This fails only if the sender is dropped, and the sender lives in `wakers` as long as this watch.
+    /// Waits until the service has a newer version than `version`.
+    pub(crate) async fn wait_for_newer_than(&mut self, version: u64) {
+        // This fails only if the sender is dropped; `wakers` keeps the sender for as long as this watch exists.
         let _ = self.versions.wait_for(|newest| *newest > version).await;
     }
 }
@@ -50,7 +50,7 @@
 impl Drop for VersionWatch {
     fn drop(&mut self) {
         let mut services = self.wakers.services();
-        // This watch is still counted, and no other can subscribe while the lock is held.
+        // The receiver count still includes this watch, and no other watch can subscribe while the lock is held.
         if services.get(&self.service).is_some_and(|sender| sender.receiver_count() <= 1) {
             services.remove(&self.service);
         }
--- a/src/catalog/change.rs
+++ b/src/catalog/change.rs
@@ -1,17 +1,19 @@
-//! Changes and renewals of entries, as the log and the snapshot hold them. The order of fields is the order on disk.
+//! Changes and renewals of entries, as stored in the log and the snapshot.
+//!
+//! The order of the fields is the order of the JSON keys on disk.
 
 use super::Entry;
 use serde::{Deserialize, Serialize};
 
-/// An entry as of a version.
+/// An entry as of a version of the list.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// The version of the change.
+    /// Version at which the entry changed.
     pub seq: u64,
-    /// The entry as it is from this version on.
+    /// The entry after the change.
     pub entry: Entry,
-    /// How long the entry lives without renewal, in milliseconds. Records from before it was stored mean one minute.
+    /// Time to live without a renewal, in milliseconds. Records written before this field existed mean one minute.
     #[serde(default = "default_ttl_ms")]
     pub ttl_ms: u64,
 }
@@ -20,17 +22,17 @@
     60_000
 }
 
-/// An update of an entry.
+/// An update of an entry: a change or a renewal.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
 pub enum Update {
-    /// A change, which is a new version.
+    /// A change of the entry; it has a new version.
     Change(Change),
-    /// A renewal with another TTL, which is no new version.
+    /// A renewal with a different TTL; it has no version.
     Renewal {
-        /// The entry's host.
+        /// Host name of the renewed entry.
         host: String,
-        /// The new TTL, in milliseconds.
+        /// New TTL, in milliseconds.
         ttl_ms: u64,
     },
 }
--- a/src/catalog/entry.rs
+++ b/src/catalog/entry.rs
@@ -1,33 +1,33 @@
-//! Entries of a list, and their checks before they are stored.
+//! Entries of a list, and their validation before they are stored.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// One backend, as discovery lists it (PROTOCOL, "Discovery"), and as the log and the snapshot hold it.
+/// One backend, in the form that discovery answers (PROTOCOL, "Discovery") and that the log and the snapshot store.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
-    /// The backend's name, unique in its service.
+    /// Host name of the backend, unique in its service.
     pub host: String,
-    /// The address to connect to; a deleted entry may have none.
+    /// Address to connect to; may be missing in a deleted entry.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub dial: Option<SocketAddr>,
-    /// The zone it runs in.
+    /// Zone in which the backend runs.
     #[serde(default)]
     pub site: String,
-    /// The class of its machine.
+    /// Class of the backend's machine.
     #[serde(default)]
     pub class: String,
-    /// The cell it belongs to.
+    /// Number of the cell to which the backend belongs.
     #[serde(default)]
     pub block: u16,
-    /// Whether it takes new work.
+    /// Whether the backend accepts new requests.
     pub health: Health,
-    /// Its capacity relative to the other backends'.
+    /// Capacity of the backend relative to the others.
     #[serde(default = "default_share")]
     pub share: f64,
-    /// The time of its last start, Unix time in milliseconds; 0 when long ago.
+    /// Unix time of the backend's last start, in milliseconds; 0 if that was long ago.
     #[serde(default)]
     pub born_ms: f64,
 }
@@ -36,40 +36,40 @@
     1.0
 }
 
-/// Whether a backend takes new work.
+/// Whether a backend accepts new requests.
 #[derive(Serialize, Deserialize, Clone, Copy, PartialEq, Eq, Debug)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Health {
-    /// Takes work.
+    /// The backend accepts requests.
     Serving,
-    /// Finishes what it has and wants nothing new.
+    /// The backend finishes its requests in flight and accepts no new ones.
     Draining,
-    /// Removed; only among changes and tombstones, never in a full list.
+    /// The backend was removed. Occurs in changes and tombstones, never in a full list.
     Deleted,
 }
 
-/// Longest host, site and class, in bytes: the limit of a DNS name.
+/// Maximum length of `host`, `site` and `class`, in bytes: the limit of a DNS name.
 const MAX_NAME_BYTES: usize = 253;
 
-/// Why an entry can't be stored. The texts are answered to the caller.
+/// Error for an entry that can't be stored. The messages are answered to the caller.
 #[derive(Error, Debug, PartialEq)]
 pub enum EntryError {
-    /// The host is empty, too long or has control characters.
+    /// The host name is empty, too long or has control characters.
     #[error("host: must be 1 to {MAX_NAME_BYTES} printable characters; give the backend its DNS name")]
     Host,
-    /// The address is missing. Field: the host.
+    /// The address is missing. The field is the host name.
     #[error("{0}: dial: is missing; give its address, or DELETED as its health")]
     MissingAddress(String),
-    /// A number is negative or not finite. Fields: the host, the key.
+    /// A number is negative or not finite. The fields are the host name and the key.
     #[error("{0}: {1}: must be a finite number of 0 or more")]
     Number(String, &'static str),
-    /// The zone or class is too long. Field: the host.
+    /// The zone or the class is too long. The field is the host name.
     #[error("{0}: site and class: at most {MAX_NAME_BYTES} bytes")]
     Zone(String),
 }
 
 impl Entry {
-    /// Whether the entry can be stored.
+    /// Checks that the entry can be stored.
     pub fn check(&self) -> Result<(), EntryError> {
         let host = &self.host;
         if host.is_empty() || host.len() > MAX_NAME_BYTES || host.chars().any(|c| c.is_control()) {
--- a/src/catalog/history.rs
+++ b/src/catalog/history.rs
@@ -1,66 +1,66 @@
 //! The sequence of versions that all services share, and the gaps in it.
 //!
-//! Every start of the registry continues at a version far above all earlier ones. The versions between were never given
-//! out in this history; a client that holds one has it from a history that was lost, with the disk or with its last
-//! records.
+//! Every start of the registry continues at a version far above all earlier ones. The versions in between were never
+//! assigned in this history. A client that holds one of them got it from a history that was lost together with the disk
+//! or with the last records of the log.
 
 use std::collections::VecDeque;
 
-/// Starts whose gaps are remembered; a watch from before the oldest of them gets the full list.
+/// Maximum number of gaps that are kept. A watch with a version from before the oldest one gets the full list.
 pub const MAX_GAPS: usize = 64;
 
-/// Versions that were never given out in this history: those between the two.
+/// A range of versions that were never assigned in this history. Both bounds are exclusive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Gap {
-    /// The last version before a start.
+    /// Last version before a start of the registry.
     pub(super) after: u64,
-    /// The start's version.
+    /// Version of that start.
     pub(super) until: u64,
 }
 
-/// The versions that were given out in this history.
+/// The versions that were assigned in this history.
 #[derive(Default)]
 pub(super) struct History {
     newest: u64,
     last_start: u64,
-    /// The gaps that are remembered, oldest first.
+    /// The most recent gaps, at most [`MAX_GAPS`], oldest first.
     gaps: VecDeque<Gap>,
-    /// The end of the newest gap that is no longer remembered.
+    /// End of the newest gap that was discarded.
     horizon: u64,
 }
 
 impl History {
-    /// The history of a snapshot, without the version of the last start.
+    /// Restores the history of a snapshot, which does not include the version of the last start.
     pub(super) fn restored(newest: u64, gaps: VecDeque<Gap>, horizon: u64) -> History {
         History { newest, last_start: 0, gaps, horizon }
     }
 
-    /// The newest version.
+    /// Returns the newest version.
     pub(super) fn newest(&self) -> u64 {
         self.newest
     }
 
-    /// The version of the last start; 0 if none is known.
+    /// Returns the version of the last start, 0 if none is known.
     pub(super) fn last_start(&self) -> u64 {
         self.last_start
     }
 
-    /// Gaps that end at or before this version are not remembered.
+    /// Returns the version up to which gaps were discarded: none that ends at or before it is kept.
     pub(super) fn horizon(&self) -> u64 {
         self.horizon
     }
 
-    /// The gaps that are remembered, oldest first.
+    /// Returns the gaps that are kept, oldest first.
     pub(super) fn gaps(&self) -> &VecDeque<Gap> {
         &self.gaps
     }
 
-    /// Whether a version lies in a remembered gap, so that it is of a history that was lost.
+    /// Returns true if a version lies in one of the gaps that are kept, and so belongs to a lost history.
     pub(super) fn is_in_gap(&self, version: u64) -> bool {
         self.gaps.iter().any(|gap| gap.after < version && version < gap.until)
     }
 
-    /// Advances to a change's version. False, and without effect, if it is not newer than all before it.
+    /// Advances to the version of a change. Returns false, without effect, if it is not newer than all earlier versions.
     pub(super) fn advance(&mut self, version: u64) -> bool {
         if version <= self.newest && self.newest > 0 {
             return false;
@@ -69,8 +69,8 @@
         true
     }
 
-    /// Continues from a version, and remembers the gap below it. Without effect if the version is not newer than all
-    /// before it.
+    /// Continues from the version of a start and records the gap below it. Has no effect if the version is not newer than
+    /// all earlier ones.
     pub(super) fn start(&mut self, version: u64) {
         if version <= self.newest {
             return;
--- a/src/catalog/name.rs
+++ b/src/catalog/name.rs
@@ -1,4 +1,4 @@
-//! Names of services, and their check.
+//! Names of services, and their validation.
 
 use serde::{Deserialize, Serialize, Serializer};
 use std::fmt;
@@ -6,16 +6,17 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Longest name of a service, in bytes: the limit of a DNS label.
+/// Maximum length of a service name, in bytes: the limit of a DNS label.
 const MAX_NAME_BYTES: usize = 63;
 
-/// The name of a service. The default is the empty name, that of the unnamed service, to which everything belongs that
-/// names no service.
+/// The name of a service. The default is the empty name of the unnamed service, to which every request and record that
+/// names no service refers.
 #[derive(Deserialize, Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[serde(try_from = "String")]
 pub struct ServiceName(Arc<str>);
 
-/// A text that is no name of a service, shortened. Its message is answered to the caller.
+/// Error for a text that is not a valid service name; the field is the text, truncated. The message is answered to the
+/// caller.
 #[derive(Error, Clone, Debug, PartialEq, Eq)]
 #[error(
     "service: {0:?} must be 1 to {MAX_NAME_BYTES} of a-z, 0-9, '.' and '-'; leave it out for the service of no name"
@@ -23,17 +24,17 @@
 pub struct ServiceNameError(String);
 
 impl ServiceName {
-    /// Checks the text: 1 to 63 of `a-z`, `0-9`, `.` and `-`.
+    /// Creates a name from a text of 1 to 63 characters of `a-z`, `0-9`, `.` and `-`.
     pub fn new(text: &str) -> Result<ServiceName, ServiceNameError> {
         let allowed = |byte: u8| matches!(byte, b'a'..=b'z' | b'0'..=b'9' | b'.' | b'-');
         if text.is_empty() || text.len() > MAX_NAME_BYTES || !text.bytes().all(allowed) {
-            // Shortened, so that the error's size is bounded whatever the caller sent.
+            // The text is truncated to bound the size of the error, whatever the caller sent.
             return Err(ServiceNameError(text.chars().take(MAX_NAME_BYTES + 1).collect()));
         }
         Ok(ServiceName(text.into()))
     }
 
-    /// Whether this is the name of the unnamed service.
+    /// Returns true for the empty name of the unnamed service.
     pub fn is_unnamed(&self) -> bool {
         self.0.is_empty()
     }
--- a/src/catalog/service.rs
+++ b/src/catalog/service.rs
@@ -7,49 +7,49 @@
 /// One service of a catalog.
 pub(super) struct Service {
     by_host: HashMap<String, Change>,
-    /// The host that was changed last at each version.
+    /// Host of each entry or tombstone, by the version of its last change.
     host_by_version: BTreeMap<u64, String>,
-    /// All changes after this version are known.
+    /// Version after which all changes are kept.
     horizon: u64,
 }
 
 impl Service {
-    /// A service without entries, of which nothing is known up to the horizon.
+    /// Creates a service without entries; changes up to the horizon are not kept.
     pub(super) fn new(horizon: u64) -> Service {
         Service { by_host: HashMap::new(), host_by_version: BTreeMap::new(), horizon }
     }
 
-    /// Number of entries and tombstones.
+    /// Returns the number of entries and tombstones.
     pub(super) fn len(&self) -> usize {
         self.by_host.len()
     }
 
-    /// The version of the newest change that is known, or the horizon.
+    /// Returns the version of the newest change that is kept, or the horizon if that is higher.
     pub(super) fn version(&self) -> u64 {
         self.host_by_version.last_key_value().map_or(self.horizon, |(&newest, _)| newest.max(self.horizon))
     }
 
-    /// All changes after this version are known.
+    /// Returns the version after which all changes are kept.
     pub(super) fn horizon(&self) -> u64 {
         self.horizon
     }
 
-    /// The last change of an entry, deleted or not.
+    /// Returns the last change of an entry, which may be a deletion.
     pub(super) fn get(&self, host: &str) -> Option<&Change> {
         self.by_host.get(host)
     }
 
-    /// The entries that are not deleted, in no particular order.
+    /// Iterates over the entries that are not deleted, in arbitrary order.
     pub(super) fn live(&self) -> impl Iterator<Item = &Change> {
         self.by_host.values().filter(|change| change.entry.health != Health::Deleted)
     }
 
-    /// Entries and tombstones in the order of their versions.
+    /// Iterates over entries and tombstones in the order of their versions.
     pub(super) fn changes(&self) -> impl Iterator<Item = &Change> {
         self.host_by_version.values().map(|host| &self.by_host[host])
     }
 
-    /// Applies a change. Returns the previous change of the same entry.
+    /// Applies a change and returns the previous change of the same entry.
     pub(super) fn insert(&mut self, change: Change) -> Option<Change> {
         let seq = change.seq;
         let host = change.entry.host.clone();
@@ -61,14 +61,14 @@
         previous
     }
 
-    /// Sets the TTL of an entry, which is no new version.
+    /// Sets the TTL of an entry, without a new version.
     pub(super) fn renew(&mut self, host: &str, ttl_ms: u64) {
         if let Some(change) = self.by_host.get_mut(host) {
             change.ttl_ms = ttl_ms;
         }
     }
 
-    /// Removes the tombstone of a version; the horizon rises to it.
+    /// Removes the tombstone of a version and raises the horizon to that version.
     pub(super) fn remove_tombstone(&mut self, seq: u64) {
         if let Some(host) = self.host_by_version.remove(&seq) {
             self.by_host.remove(&host);
@@ -76,13 +76,13 @@
         self.horizon = self.horizon.max(seq);
     }
 
-    /// The entries that are not deleted, in the order of their last changes.
+    /// Returns the entries that are not deleted, in the order of their last changes.
     pub(super) fn full_list(&self) -> Vec<&Entry> {
         let entries = self.changes().map(|change| &change.entry);
         entries.filter(|entry| entry.health != Health::Deleted).collect()
     }
 
-    /// The entries and tombstones that changed after a version, in the order of their changes.
+    /// Returns the entries and tombstones that changed after a version, in the order of their changes.
     pub(super) fn changes_after(&self, after: u64) -> Vec<&Entry> {
         let newer = self.host_by_version.range((Bound::Excluded(after), Bound::Unbounded));
         newer.map(|(_, host)| &self.by_host[host].entry).collect()
--- a/src/catalog/snapshot.rs
+++ b/src/catalog/snapshot.rs
@@ -5,30 +5,30 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// A [`Catalog`] at one version, without the version of the last start: after [`Catalog::restore`] comes
-/// [`Catalog::start`].
+/// A [`Catalog`] at one version. The version of the last start is not included, so that [`Catalog::start`] has to follow
+/// [`Catalog::restore`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CatalogSnapshot {
-    /// The newest version.
+    /// Newest version of all services.
     pub newest: u64,
-    /// Pairs of versions; those between the two of a pair were never given out.
+    /// Ranges of versions that were never assigned, as pairs of exclusive bounds.
     pub gaps: VecDeque<(u64, u64)>,
-    /// Gaps that end at or before this version are not remembered.
+    /// Version up to which gaps were discarded: none that ends at or before it is kept.
     pub horizon: u64,
-    /// The newest version of any service that was dropped.
+    /// Newest version of any service that was dropped.
     pub dropped_version: u64,
-    /// Every service, sorted by name.
+    /// All services, sorted by name.
     pub services: Vec<ServiceSnapshot>,
 }
 
-/// One service in [`CatalogSnapshot`].
+/// One service in a [`CatalogSnapshot`].
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
-// "SavedService" is kept: it stands in error texts about the snapshot ("expected struct SavedService").
+// The name "SavedService" is kept because it appears in error messages about the snapshot ("expected struct SavedService").
 #[serde(rename = "SavedService", deny_unknown_fields)]
 pub struct ServiceSnapshot {
-    /// The service's name.
+    /// Name of the service.
     pub name: ServiceName,
-    /// All changes of the service after this version are in `changes`.
+    /// Version after which `changes` has all changes of the service.
     pub horizon: u64,
     /// Entries and tombstones in the order of their versions.
     pub changes: Vec<Change>,
@@ -45,7 +45,7 @@
 }
 
 impl Catalog {
-    /// The catalog as a snapshot holds it.
+    /// Returns a snapshot of the catalog.
     pub fn snapshot(&self) -> CatalogSnapshot {
         let mut services: Vec<_> =
             self.services.iter().map(|(name, service)| ServiceSnapshot::of(name, service)).collect();
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The catalog of a snapshot. If `max_tombstones` is smaller than when the snapshot was made, the oldest go.
+    /// Restores the catalog of a snapshot. If it has more than `max_tombstones` tombstones, the oldest are discarded.
     pub fn restore(snapshot: CatalogSnapshot, max_tombstones: usize) -> Catalog {
         let gaps = snapshot.gaps.iter().map(|&(after, until)| Gap { after, until }).collect();
         let mut catalog = Catalog {
--- a/tests/catalog/model.rs
+++ b/tests/catalog/model.rs
@@ -1,31 +1,26 @@
-//! Random changes, compactions and restarts beside a model: a map of (service, host) and the list of all changes.
+//! Random changes, compactions and restarts, compared to a model: a map of (service, host) and the newest version of
+//! each service.
 
-use super::{change, name};
-use load_balancer::catalog::{Catalog, Health, Page, ServiceName};
+use super::{apply_change, service_name};
+use load_balancer::catalog::{Catalog, Health, ListResponse, ServiceName};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 const SERVICES: [&str; 4] = ["", "a", "b", "c"];
 const HOSTS: [&str; 4] = ["h0", "h1", "h2", "h3"];
-/// Fewer than there can be deletions at once, so that services and horizons go.
+/// Maximum number of tombstones: fewer than there can be deletions, so that horizons rise and services are dropped.
 const MAX_TOMBSTONES: usize = 3;
 
-/// What may happen to a catalog.
+/// One step of a random sequence.
 #[derive(Clone, Debug)]
 enum Step {
-    Change {
-        service: usize,
-        host: usize,
-        health: Health,
-    },
-    /// Saved, read back and started again, as by a compaction and a restart; versions between may be lost.
-    Restart {
-        lost: u64,
-    },
-    /// A watch takes its list, and holds its version.
-    Ask {
-        service: usize,
-    },
+    /// Changes an entry.
+    Change { service: usize, host: usize, health: Health },
+    /// Takes a snapshot, restores it and starts again, as after a compaction and a restart. The start skips `lost`
+    /// versions, as if they had been lost.
+    Restart { lost: u64 },
+    /// Adds a client that reads the full list and keeps its version.
+    ReadList { service: usize },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -35,11 +30,11 @@
     prop_oneof![
         6 => change,
         1 => (0..5u64).prop_map(|lost| Step::Restart { lost }),
-        2 => (0..SERVICES.len()).prop_map(|service| Step::Ask { service }),
+        2 => (0..SERVICES.len()).prop_map(|service| Step::ReadList { service }),
     ]
 }
 
-/// A client's list: what it got, with changes taken in as a proxy does.
+/// A client's copy of a list, to which it applies lists and deltas as a proxy does.
 #[derive(Clone, Default)]
 struct Client {
     version: u64,
@@ -47,22 +42,22 @@
 }
 
 impl Client {
-    fn take(&mut self, page: &Page) {
-        if page.is_full_list {
+    fn apply(&mut self, list: &ListResponse) {
+        if list.is_full_list {
             self.hosts.clear();
         }
-        for entry in &page.hosts {
+        for entry in &list.hosts {
             if entry.health == Health::Deleted {
                 self.hosts.remove(&entry.host);
             } else {
                 self.hosts.insert(entry.host.clone(), (entry.health, entry.share as u64));
             }
         }
-        self.version = page.seq;
+        self.version = list.seq;
     }
 }
 
-/// What is true: each entry's health and version, and the newest version of each service.
+/// The expected state: the health and version of each listed entry, and the newest version of each service.
 #[derive(Default)]
 struct Model {
     entries: BTreeMap<(usize, String), (Health, u64)>,
@@ -86,43 +81,44 @@
     }
 }
 
-/// Deletes and restarts as the registry does: a deletion of nothing is no change, a start goes above all versions.
-fn play(steps: &[Step]) -> Result<(), TestCaseError> {
+/// Runs the steps and compares catalog and model after each. Deletions and restarts follow the registry: the deletion of
+/// an entry that is not listed is no change, and a start continues above all versions.
+fn run_steps(steps: &[Step]) -> Result<(), TestCaseError> {
     let (mut catalog, mut model) = (Catalog::new(MAX_TOMBSTONES), Model::default());
     let mut clients: Vec<Vec<Client>> = vec![vec![Client::default()]; SERVICES.len()];
-    let mut given: BTreeSet<u64> = BTreeSet::new();
+    let mut assigned: BTreeSet<u64> = BTreeSet::new();
     let mut start = 100;
     catalog.start(start);
     for step in steps {
         match *step {
             Step::Change { service, host, health } => {
-                let held = model.entries.contains_key(&(service, HOSTS[host].to_string()));
-                if health == Health::Deleted && !held {
+                let is_listed = model.entries.contains_key(&(service, HOSTS[host].to_string()));
+                if health == Health::Deleted && !is_listed {
                     continue;
                 }
-                let seq = change(&mut catalog, SERVICES[service], HOSTS[host], health);
-                prop_assert!(given.insert(seq), "version {} was given twice", seq);
+                let seq = apply_change(&mut catalog, SERVICES[service], HOSTS[host], health);
+                prop_assert!(assigned.insert(seq), "version {} was assigned twice", seq);
                 model.apply(service, HOSTS[host], health, seq);
             }
             Step::Restart { lost } => {
-                let saved = catalog.snapshot();
-                catalog = Catalog::restore(saved.clone(), MAX_TOMBSTONES);
-                prop_assert_eq!(&catalog.snapshot(), &saved, "a snapshot is read back as it was");
+                let snapshot = catalog.snapshot();
+                catalog = Catalog::restore(snapshot.clone(), MAX_TOMBSTONES);
+                prop_assert_eq!(&catalog.snapshot(), &snapshot, "the restored catalog has another snapshot");
                 start = catalog.newest() + 1 + lost;
                 catalog.start(start);
             }
-            Step::Ask { service } => {
+            Step::ReadList { service } => {
                 let mut client = Client::default();
-                client.take(&catalog.full_list(&name(SERVICES[service])));
+                client.apply(&catalog.full_list(&service_name(SERVICES[service])));
                 clients[service].push(client);
             }
         }
-        check(&catalog, &model, &mut clients, start)?;
+        check_catalog(&catalog, &model, &mut clients, start)?;
     }
     Ok(())
 }
 
-fn check(
+fn check_catalog(
     catalog: &Catalog,
     model: &Model,
     clients: &mut [Vec<Client>],
@@ -132,32 +128,37 @@
     let stored: usize = catalog.snapshot().services.iter().map(|service| service.changes.len()).sum();
     prop_assert!(stored - catalog.entry_count() <= MAX_TOMBSTONES);
     for (service, clients) in clients.iter_mut().enumerate() {
-        let (text, truth) = (name(SERVICES[service]), model.listed(service));
+        let (name, expected) = (service_name(SERVICES[service]), model.listed(service));
         let newest = model.newest.get(&service).copied().unwrap_or(0);
-        if catalog.contains(&text) {
-            prop_assert_eq!(catalog.version(&text), newest.max(start), "its own newest change or the start");
+        if catalog.contains(&name) {
+            prop_assert_eq!(
+                catalog.version(&name),
+                newest.max(start),
+                "the version is that of the service's newest change or of the start"
+            );
         } else {
-            prop_assert!(truth.is_empty() && catalog.version(&text) >= newest.max(start));
+            prop_assert!(expected.is_empty() && catalog.version(&name) >= newest.max(start));
         }
-        check_clients(catalog, &text, &truth, clients)?;
+        check_clients(catalog, &name, &expected, clients)?;
     }
     Ok(())
 }
 
-/// Whatever version a client holds, its next answer brings it to the truth. Every second one stays behind, to ask later.
+/// Checks that the next answer brings each client to the expected list, whatever its version. Every second client keeps
+/// its old version, to ask again later.
 fn check_clients(
     catalog: &Catalog,
     service: &ServiceName,
-    truth: &BTreeMap<String, (Health, u64)>,
+    expected: &BTreeMap<String, (Health, u64)>,
     clients: &mut [Client],
 ) -> Result<(), TestCaseError> {
     for (index, client) in clients.iter_mut().enumerate() {
-        let page = catalog.changes_after(service, client.version);
+        let list = catalog.changes_after(service, client.version);
         let mut next = client.clone();
-        next.take(&page);
-        prop_assert_eq!(&next.hosts, truth, "after version {}", client.version);
-        prop_assert!(next.version >= client.version, "a version goes back");
-        prop_assert!(page.is_full_list || catalog.knows_changes_after(service, client.version));
+        next.apply(&list);
+        prop_assert_eq!(&next.hosts, expected, "list of a client that had version {}", client.version);
+        prop_assert!(next.version >= client.version, "the version went down");
+        prop_assert!(list.is_full_list || catalog.has_all_changes_after(service, client.version));
         if index % 2 == 0 {
             *client = next;
         }
@@ -169,7 +170,7 @@
     #![proptest_config(ProptestConfig { cases: 400, ..ProptestConfig::default() })]
 
     #[test]
-    fn every_answer_brings_a_client_to_the_truth(steps in prop::collection::vec(step(), 1..80)) {
-        play(&steps)?;
+    fn every_answer_brings_a_client_to_the_current_list(steps in prop::collection::vec(step(), 1..80)) {
+        run_steps(&steps)?;
     }
 }
--- a/tests/unit/registry/wake.rs
+++ b/tests/unit/registry/wake.rs
@@ -1,24 +1,24 @@
-//! Unit tests of `src/bin/registry/writer/wake.rs`, which names this file.
+//! Unit tests of `src/bin/registry/writer/wake.rs`, which includes this file as its module `tests`.
 
 use super::*;
 
-fn name(text: &str) -> ServiceName {
-    ServiceName::new(text).expect("a name")
+fn service_name(text: &str) -> ServiceName {
+    ServiceName::new(text).expect("the text is a valid service name")
 }
 
 #[tokio::test]
-async fn only_the_watches_of_a_service_wake_and_none_is_remembered_after_it() {
+async fn a_change_wakes_only_the_watches_of_its_service_and_ended_watches_leave_no_channel() {
     let wakers = Arc::new(Wakers::default());
-    let (mut first, mut second) = (wakers.wait(&name("a")), wakers.wait(&name("a")));
-    let other = wakers.wait(&name("b"));
+    let (mut first, mut second) = (wakers.watch(&service_name("a")), wakers.watch(&service_name("a")));
+    let other = wakers.watch(&service_name("b"));
     assert_eq!(wakers.services().len(), 2);
-    wakers.wake(&name("a"), 5);
-    wakers.wake(&name("nobody"), 6);
-    first.newer_than(4).await;
-    second.newer_than(4).await;
-    assert!(!other.versions.has_changed().expect("it has a sender"), "the watch of b is not woken");
+    wakers.wake(&service_name("a"), 5);
+    wakers.wake(&service_name("nobody"), 6);
+    first.wait_for_newer_than(4).await;
+    second.wait_for_newer_than(4).await;
+    assert!(!other.versions.has_changed().expect("the channel has a sender"), "the watch of b was not woken");
     drop(first);
-    assert_eq!(wakers.services().len(), 2, "one still waits for a");
+    assert_eq!(wakers.services().len(), 2, "the second watch of a is still open");
     drop(second);
     drop(other);
     assert_eq!(wakers.services().len(), 0);
