--- a/src/bin/registry/config.rs
+++ b/src/bin/registry/config.rs
@@ -12,16 +12,17 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Default maximum number of open connections. A proxy has up to four (list, route table, reports, recorded segments), so
-/// this is enough for 12,500 proxies. At 15.7 KiB each (measured, `cargo bench --bench registry`) they take 767 MiB.
+/// Default maximum number of open connections. A proxy has up to four (list, route table, reports, recorded
+/// segments), so this is enough for 12,500 proxies. At 15.7 KiB each (measured, `cargo bench --bench registry`) they
+/// take 767 MiB.
 const DEFAULT_MAX_CONNECTIONS: usize = 50_000;
 /// Default maximum length of the body of a write, in bytes: 10,000 entries of 400 bytes, or a route table of 16,384
-/// weights with names of 200 bytes. The bodies of all writes that are read at the same time take at most 64 MiB, or this
-/// length if it is more. Reports and recorded segments have separate budgets (`http/context.rs`).
+/// weights with names of 200 bytes. The bodies of all writes that are read at the same time take at most 64 MiB, or
+/// this length if it is more. Reports and recorded segments have separate budgets (`http/context.rs`).
 const DEFAULT_MAX_BODY_BYTES: usize = 4 << 20;
 
-/// The command line. A flag takes precedence over the same key of the configuration file. The doc comments of the fields
-/// are the help texts.
+/// The command line. A flag takes precedence over the same key of the configuration file. The doc comments of the
+/// fields are the help texts.
 #[derive(Parser)]
 #[command(name = "registry", version, about = "The list service that the proxy's discovery reads")]
 pub(crate) struct Args {
--- a/src/bin/registry/descriptors.rs
+++ b/src/bin/registry/descriptors.rs
@@ -1,8 +1,8 @@
 //! Raises the process's limit on file descriptors as far as the configured connections need.
 //!
-//! Failure: connections take every descriptor, and the log or a snapshot can't be opened or synced. How it shows: writes
-//! are answered 503 until clients close their connections. Why the guard holds: the number of connections is limited to
-//! what the system's limit leaves after the descriptors that the rest of the process needs.
+//! Failure: connections take every descriptor, and the log or a snapshot can't be opened or synced. How it shows:
+//! writes are answered 503 until clients close their connections. Why the guard holds: the number of connections is
+//! limited to what the system's limit leaves after the descriptors that the rest of the process needs.
 
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use tracing::warn;
--- a/src/bin/registry/http/answer.rs
+++ b/src/bin/registry/http/answer.rs
@@ -36,7 +36,8 @@
         Rejection::new(StatusCode::SERVICE_UNAVAILABLE, reason)
     }
 
-    /// Creates the rejection of a method that the path does not support (status 405); the reason lists the supported ones.
+    /// Creates the rejection of a method that the path does not support (status 405); the reason lists the supported
+    /// ones.
     pub(super) fn method_not_allowed(reason: &str) -> Rejection {
         Rejection::new(StatusCode::METHOD_NOT_ALLOWED, reason)
     }
--- a/src/bin/registry/http/lists.rs
+++ b/src/bin/registry/http/lists.rs
@@ -44,14 +44,15 @@
     }
 }
 
-/// Handles GET: answers the list of a service, or its changes after a version. With `wait_ms` the call waits for a change.
+/// Handles GET: answers the list of a service, or its changes after a version. With `wait_ms` the call waits for a
+/// change.
 pub(super) async fn read_list(query: &str, shared: &Shared) -> HandlerResult {
     let service = parse_service(query).map_err(Rejection::bad_request)?;
     let WatchQuery { after, wait, .. } =
         watch(query, "the list", &["service"]).map_err(Rejection::bad_request)?;
     if let Some(after) = after.filter(|_| !wait.is_zero()) {
-        // The watch starts before the version is read, so that no change in between is missed. It is part of this future,
-        // so it ends when the caller's connection is dropped.
+        // The watch starts before the version is read, so that no change in between is missed. It is part of this
+        // future, so it ends when the caller's connection is dropped.
         let mut service_watch = shared.wakers.watch(&service);
         if shared.version(&service) == after {
             let _ = timeout(wait, service_watch.wait_for_newer_than(after)).await;
--- a/src/bin/registry/http/query.rs
+++ b/src/bin/registry/http/query.rs
@@ -53,8 +53,8 @@
     Ok(service)
 }
 
-/// Rejects a query that names a service for a path that is not per service. Without this check the caller would take the
-/// answer for that of the named service alone.
+/// Rejects a query that names a service for a path that is not per service. Without this check the caller would take
+/// the answer for that of the named service alone.
 pub(super) fn check_not_per_service(path: &str, text: &str) -> Result<(), QueryError> {
     let names_service = form_urlencoded::parse(text.as_bytes()).any(|(key, _)| key == "service");
     if names_service && path.starts_with("/registry/") && path != LIST {
@@ -100,7 +100,8 @@
                 }
                 query.name = Some(value.to_string());
             }
-            // Validated but not used: it identifies the calling process in captured traffic. The table depends on the name.
+            // Validated but not used: it identifies the calling process in captured traffic. The table depends on the
+            // name.
             "generation" if more_keys.contains(&"generation") => drop(number()?),
             "service" if more_keys.contains(&"service") => {}
             _ => {
--- a/src/bin/registry/http/server.rs
+++ b/src/bin/registry/http/server.rs
@@ -29,8 +29,8 @@
         let (stream, peer) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(e) => {
-                // Failure: the process has no free descriptors, and every attempt to accept fails immediately. Without a
-                // delay this loop would use up a core until descriptors are closed.
+                // Failure: the process has no free descriptors, and every attempt to accept fails immediately.
+                // Without a delay this loop would use up a core until descriptors are closed.
                 warn!(error = %e, "accepting a connection failed; retrying after a delay");
                 tokio::time::sleep(ACCEPT_RETRY).await;
                 continue;
@@ -50,9 +50,9 @@
 
 /// Serves a connection until its client closes it or exceeds a timeout.
 ///
-/// Failure: a client that sends nothing, or reads nothing of its answer, would keep its connection open forever, and a few
-/// thousand of them would take every permit. `io_timeout` bounds the time until the head of each request has arrived, and
-/// the time of each write.
+/// Failure: a client that sends nothing, or reads nothing of its answer, would keep its connection open forever, and
+/// a few thousand of them would take every permit. `io_timeout` bounds the time until the head of each request has
+/// arrived, and the time of each write.
 async fn serve_connection(stream: TcpStream, peer: SocketAddr, context: Arc<Context>, io_timeout: Duration) {
     let _ = stream.set_nodelay(true);
     let mut stream = TimeoutStream::new(stream);
--- a/src/bin/registry/http/write_reply.rs
+++ b/src/bin/registry/http/write_reply.rs
@@ -1,5 +1,5 @@
-//! Sends writes to the writer thread and maps its replies to HTTP. This is the only place that maps the outcome of a write
-//! to a status.
+//! Sends writes to the writer thread and maps its replies to HTTP. This is the only place that maps the outcome of a
+//! write to a status.
 
 use super::NO_PATH;
 use super::answer::{HandlerResult, Rejection, answer, encoded};
@@ -34,7 +34,8 @@
     }
 }
 
-/// Maps an error to its status. A duty that another process holds is answered as JSON, every other error as its message.
+/// Maps an error to its status. A duty that another process holds is answered as JSON, every other error as its
+/// message.
 fn answer_error(error: WriteError) -> HandlerResult {
     let status = match &error {
         WriteError::Lease(LeaseError::Held { lease, remaining_ms }) => {
--- a/src/bin/registry/lease/mod.rs
+++ b/src/bin/registry/lease/mod.rs
@@ -57,7 +57,7 @@
     /// The caller does not hold the duty, or no longer holds it.
     #[error("not held, or no longer, by this holder with this token")]
     NotHeld,
-    /// [`MAX_LEASES`] duties are held.
+    /// The maximum number of duties, [`MAX_LEASES`], is held.
     #[error("as many duties are held as can be; release some, or wait until their leases end")]
     TooMany,
 }
@@ -96,7 +96,7 @@
     previous: Option<ActiveLease>,
 }
 
-/// The leases that are held, with their deadlines. Owned by the writer thread.
+/// The leases that are held, with their deadlines. The writer thread owns this table.
 pub(crate) struct LeaseTable {
     by_duty: HashMap<String, ActiveLease>,
     /// Highest token granted so far.
@@ -106,8 +106,8 @@
 }
 
 impl LeaseTable {
-    /// Creates a table of the leases read from disk. Each gets its full TTL, since the time of its last renewal is not in
-    /// the log. `last_token` is the highest token that may have been granted.
+    /// Creates a table of the leases read from disk. Each gets its full TTL, since the time of its last renewal is
+    /// not in the log. `last_token` is the highest token that may have been granted.
     pub(crate) fn new<'a>(leases: impl Iterator<Item = &'a Lease>, last_token: u64, now: Instant) -> Self {
         let by_duty = leases
             .map(|lease| {
--- a/src/bin/registry/lease/request.rs
+++ b/src/bin/registry/lease/request.rs
@@ -7,12 +7,14 @@
 pub(super) const MAX_NAME_BYTES: usize = 253;
 /// Minimum TTL of a lease, in milliseconds.
 const MIN_TTL_MS: u64 = 100;
-/// Maximum TTL of a lease, in milliseconds. With a longer one, the duty of a dead holder would stay blocked for too long.
+/// Maximum TTL of a lease, in milliseconds. With a longer one, the duty of a dead holder would stay blocked for too
+/// long.
 const MAX_TTL_MS: u64 = 3_600_000;
 
 /// The body of a request to acquire, renew or release a duty.
 ///
-/// A request without a token acquires, one with a token and a TTL renews, and one with a token and without a TTL releases.
+/// A request without a token acquires, one with a token and a TTL renews, and one with a token and without a TTL
+/// releases.
 #[derive(Deserialize, Clone, Debug)]
 // The name "Ask" is kept because it appears in errors answered to callers ("expected struct Ask").
 #[serde(rename = "Ask", deny_unknown_fields)]
@@ -30,7 +32,8 @@
 /// Error for a malformed lease request. The messages are answered to the caller.
 #[derive(Error, Debug, PartialEq)]
 pub(crate) enum LeaseRequestError {
-    /// A name is empty, too long or has control characters, which would make log lines unreadable. The field is the key.
+    /// A name is empty, too long or has control characters, which would make log lines unreadable. The field is the
+    /// key.
     #[error("{0}: must be 1 to {MAX_NAME_BYTES} printable characters")]
     Name(&'static str),
     /// The TTL is out of range.
--- a/src/bin/registry/store/log.rs
+++ b/src/bin/registry/store/log.rs
@@ -24,7 +24,7 @@
     Each,
 }
 
-/// The log on disk. Owned by the writer thread.
+/// The log on disk, owned by the writer thread.
 pub(crate) struct Log {
     directory: PathBuf,
     file: File,
@@ -53,9 +53,9 @@
 
     /// Appends the records and syncs them. On failure the log is restored to its previous length.
     ///
-    /// Failure: a full disk leaves part of a record at the log's end. How it shows: the next start cuts the log off there
-    /// and loses every record appended later. Why the guard holds: the file is truncated to its intact length, and if
-    /// that fails too, no further record is accepted until a restart.
+    /// Failure: a full disk leaves part of a record at the log's end. How it shows: the next start cuts the log off
+    /// there and loses every record appended later. Why the guard holds: the file is truncated to its intact length,
+    /// and if that fails too, no further record is accepted until a restart.
     pub(crate) fn append(&mut self, records: &[Record]) -> io::Result<()> {
         if self.is_broken {
             return Err(io::Error::other(
@@ -103,14 +103,15 @@
         self.records_since_snapshot >= snapshot_every || self.length >= MAX_LOG_BYTES
     }
 
-    /// Compacts the log: writes the state as the snapshot, then empties the log. Returns the snapshot's length in bytes.
+    /// Compacts the log: writes the state as the snapshot, then empties the log. Returns the snapshot's length in
+    /// bytes.
     ///
-    /// Failure: a crash during the compaction. Before the rename, the earlier snapshot and the log are unchanged. Between
-    /// the rename and the truncation, the log still has records that the snapshot contains. A start skips those with a
-    /// version, which is not newer than the snapshot's. Leases, their releases and renewals of entries have no version
-    /// and are applied again, in their order. For leases the result is the same. For the TTL of an entry it is the same
-    /// unless a change with a version set it after the last renewal in the log: then the TTL of that renewal is in effect
-    /// until the next write.
+    /// Failure: a crash during the compaction. Before the rename, the earlier snapshot and the log are unchanged.
+    /// Between the rename and the truncation, the log still has records that the snapshot contains. A start skips
+    /// those with a version, which is not newer than the snapshot's. Leases, their releases and renewals of entries
+    /// have no version and are applied again, in their order. For leases the result is the same. For the TTL of an
+    /// entry it is the same unless a change with a version set it after the last renewal in the log: then the TTL of
+    /// that renewal is in effect until the next write.
     pub(crate) fn compact(&mut self, state: &State) -> io::Result<u64> {
         let record = frame(&serde_json::to_vec(&Snapshot::of(state)).map_err(io::Error::other)?);
         let temporary = self.directory.join("snapshot.tmp");
--- a/src/bin/registry/store/record.rs
+++ b/src/bin/registry/store/record.rs
@@ -1,8 +1,8 @@
 //! The records of the log, and their JSON encoding.
 //!
-//! A change of the unnamed service has the format from before named services were introduced: a plain [`Change`]. Every
-//! other record is an object with one key, which is the kind of the record. This keeps data directories of earlier builds
-//! readable.
+//! A change of the unnamed service has the format from before named services were introduced: a plain [`Change`].
+//! Every other record is an object with one key, which is the kind of the record. This keeps data directories of
+//! earlier builds readable.
 
 use crate::lease::Lease;
 use load_balancer::catalog::{Change, ServiceName, Update};
--- a/src/bin/registry/store/recovery.rs
+++ b/src/bin/registry/store/recovery.rs
@@ -4,15 +4,15 @@
 //!
 //! # A replaced disk
 //!
-//! Failure: the data directory is empty, is an older copy or has lost its last records, and the registry assigns versions
-//! or fencing tokens a second time. A proxy with such a version from before would apply a delta of a different history
-//! and keep backends that were removed, and the token of an earlier lease holder would be accepted. How it shows: versions
-//! of a service go down, and watches get deltas that do not match their lists. Why the guard holds: every start appends
-//! [`Record::Start`] with the current Unix time in microseconds, or a version above everything on disk if that is higher,
-//! and versions and tokens continue from there. A registry assigns fewer than one version per microsecond, so all earlier
-//! ones are below the start, however many records were lost. A lost version lies in the gap below the start, and the
-//! catalog answers it with the full list (`load_balancer::catalog`, `History`). This requires that the clock was not set
-//! back after the lost versions were assigned.
+//! Failure: the data directory is empty, is an older copy or has lost its last records, and the registry assigns
+//! versions or fencing tokens a second time. A proxy with such a version from before would apply a delta of a
+//! different history and keep backends that were removed, and the token of an earlier lease holder would be accepted.
+//! How it shows: versions of a service go down, and watches get deltas that do not match their lists. Why the guard
+//! holds: every start appends [`Record::Start`] with the current Unix time in microseconds, or a version above
+//! everything on disk if that is higher, and versions and tokens continue from there. A registry assigns fewer than
+//! one version per microsecond, so all earlier ones are below the start, however many records were lost. A lost
+//! version lies in the gap below the start, and the catalog answers it with the full list (`load_balancer::catalog`,
+//! `History`). This requires that the clock was not set back after the lost versions were assigned.
 
 use super::error::OpenError;
 use super::frame::unframe;
@@ -26,7 +26,8 @@
 
 /// Maximum length of a snapshot, in bytes.
 const MAX_SNAPSHOT_BYTES: usize = 1 << 30;
-/// Minimum length of a change on disk, in bytes. It bounds the number of versions in the bytes that are cut off the log.
+/// Minimum length of a change on disk, in bytes. It bounds the number of versions in the bytes that are cut off the
+/// log.
 pub(super) const MIN_CHANGE_BYTES: u64 = 64;
 
 /// The findings of a start in the data directory.
@@ -92,8 +93,8 @@
     serde_json::from_slice(payload).map(Some).map_err(OpenError::SnapshotOfLaterBuild)
 }
 
-/// Applies the log's records to the state, and truncates the log after the last intact one. Returns the resulting length
-/// of the log in bytes.
+/// Applies the log's records to the state, and truncates the log after the last intact one. Returns the resulting
+/// length of the log in bytes.
 ///
 /// Failure: a crash during a write leaves a frame that is truncated, has a wrong checksum or consists of zeros. How it
 /// shows: records appended after it would not be read by the next start, although they were answered as stored. Why the
--- a/src/bin/registry/writer/commit.rs
+++ b/src/bin/registry/writer/commit.rs
@@ -17,10 +17,10 @@
 pub(super) type CommitResult = Result<(), String>;
 
 impl Writer {
-    /// Writes a batch. Afterwards the leases and the route table match the disk, whether the write succeeded or failed.
-    /// Deletions of expired entries that could not be written are retried after [`EXPIRY_RETRY`]. The deadlines that the
-    /// batch's registrations have set stay in effect after a failure. Returns the replies to send, and the result on which
-    /// they depend.
+    /// Writes a batch. Afterwards the leases and the route table match the disk, whether the write succeeded or
+    /// failed. Deletions of expired entries that could not be written are retried after [`EXPIRY_RETRY`]. The
+    /// deadlines that the batch's registrations have set stay in effect after a failure. Returns the replies to send,
+    /// and the result on which they depend.
     pub(super) fn commit(&mut self, batch: Batch, now: Instant) -> (Vec<PendingReply>, CommitResult) {
         let Batch { registrations, expired, lease_changes, route_decision, replies } = batch;
         let mut records = records(&self.shared.state(), registrations, &expired);
@@ -40,7 +40,11 @@
                 }
             }
             Err(e) => {
-                warn!(error = %e, records = records.len(), "writing a batch to the log failed; its writes are answered with an error");
+                warn!(
+                    error = %e,
+                    records = records.len(),
+                    "writing a batch to the log failed; its writes are answered with an error"
+                );
                 self.deadlines.reschedule(expired, now + EXPIRY_RETRY);
             }
         }
--- a/src/bin/registry/writer/deadlines.rs
+++ b/src/bin/registry/writer/deadlines.rs
@@ -1,5 +1,5 @@
-//! The times at which the TTLs of entries expire. They are kept in memory only: after a restart every entry gets its full
-//! TTL again.
+//! The times at which the TTLs of entries expire. They are kept in memory only: after a restart every entry gets its
+//! full TTL again.
 
 use super::records::{EntryId, Registration};
 use crate::store::State;
@@ -10,8 +10,8 @@
 /// The expiry deadline of every listed entry of every service.
 pub(super) struct Deadlines {
     by_id: HashMap<EntryId, Instant>,
-    /// Lower bound of all deadlines: no entry expires before this time, so no scan is needed until then. It is too early
-    /// if the entry that set it was renewed since.
+    /// Lower bound of all deadlines: no entry expires before this time, so no scan is needed until then. It is too
+    /// early if the entry that set it was renewed since.
     earliest: Option<Instant>,
 }
 
--- a/src/bin/registry/writer/decide.rs
+++ b/src/bin/registry/writer/decide.rs
@@ -72,8 +72,8 @@
         batch
     }
 
-    /// Decides on one request, or defers it: a proposal is deferred to the next batch if this one already has a decision
-    /// on the route table.
+    /// Decides on one request, or defers it: a proposal is deferred to the next batch if this one already has a
+    /// decision on the route table.
     fn decide_request(&mut self, request: WriteRequest, batch: &mut Batch, now: Instant) {
         let is_proposal = matches!(request.operation, WriteOperation::Proposal { .. });
         if is_proposal && batch.route_decision.is_some() {
--- a/src/bin/registry/writer/mod.rs
+++ b/src/bin/registry/writer/mod.rs
@@ -2,10 +2,11 @@
 //!
 //! A write passes through these steps, each a method of [`Writer`], between its arrival and its answer:
 //!
-//! 1. collect: the requests that have arrived become one batch, so that they share one `fsync` (group commit). Without a
-//!    request the step ends after [`EXPIRY_INTERVAL`], so that entries and leases expire in time.
-//! 2. decide (`decide.rs`): each request is checked against the state and becomes records or an error. Entries and leases
-//!    whose TTL has expired become records of their end. Renewals of entries are applied before these expiries.
+//! 1. collect: the requests that have arrived become one batch, so that they share one `fsync` (group commit).
+//!    Without a request the step ends after [`EXPIRY_INTERVAL`], so that entries and leases expire in time.
+//! 2. decide (`decide.rs`): each request is checked against the state and becomes records or an error. Entries and
+//!    leases whose TTL has expired become records of their end. Renewals of entries are applied before these
+//!    expiries.
 //! 3. commit (`commit.rs`): the records are appended to the log and synced. Only then are they applied to the state and
 //!    become visible to lists and watches. If the disk fails, no record of the batch is applied.
 //! 4. answer (`answer.rs`): each caller gets its reply, a success only if its records are on disk.
@@ -99,10 +100,11 @@
 
     /// Starts a batch: returns the current time, and extends all TTLs if the registry was stalled since the last batch.
     ///
-    /// Failure: the process or its disk is stopped for a while, and nothing can be renewed meanwhile. Every entry and lease
-    /// would expire in the first batch afterwards, and the proxies would lose all backends at once. How it shows: the time
-    /// since the last batch is over [`MIN_STALL`], while it is about [`EXPIRY_INTERVAL`] in normal operation. All deadlines
-    /// are postponed by that time, so that each TTL has as much time left as before the stall.
+    /// Failure: the process or its disk is stopped for a while, and nothing can be renewed meanwhile. Every entry and
+    /// lease would expire in the first batch afterwards, and the proxies would lose all backends at once. How it
+    /// shows: the time since the last batch is over [`MIN_STALL`], while it is about [`EXPIRY_INTERVAL`] in normal
+    /// operation. All deadlines are postponed by that time, so that each TTL has as much time left as before the
+    /// stall.
     fn start_batch(&mut self) -> Instant {
         let now = Instant::now();
         let stalled = now - self.last_batch;
--- a/src/bin/registry/writer/wake.rs
+++ b/src/bin/registry/writer/wake.rs
@@ -1,7 +1,7 @@
 //! Wakes the waiting watches of a service when its list has changed.
 //!
-//! [`Wakers`] has one version channel per watched service, whether the service exists or not. The last watch of a service
-//! removes the channel when it ends, so that watches of unknown names leave nothing in memory.
+//! [`Wakers`] has one version channel per watched service, whether the service exists or not. The last watch of a
+//! service removes the channel when it ends, so that watches of unknown names leave nothing in memory.
 
 use load_balancer::catalog::ServiceName;
 use std::collections::HashMap;
--- a/src/catalog/entry.rs
+++ b/src/catalog/entry.rs
@@ -22,7 +22,7 @@
     /// Number of the cell to which the backend belongs.
     #[serde(default)]
     pub block: u16,
-    /// Whether the backend accepts new requests.
+    /// State of the backend: serving, draining or deleted.
     pub health: Health,
     /// Capacity of the backend relative to the others.
     #[serde(default = "default_share")]
@@ -36,7 +36,7 @@
     1.0
 }
 
-/// Whether a backend accepts new requests.
+/// The state of a backend, which determines if it accepts new requests.
 #[derive(Serialize, Deserialize, Clone, Copy, PartialEq, Eq, Debug)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Health {
--- a/src/catalog/history.rs
+++ b/src/catalog/history.rs
@@ -60,7 +60,8 @@
         self.gaps.iter().any(|gap| gap.after < version && version < gap.until)
     }
 
-    /// Advances to the version of a change. Returns false, without effect, if it is not newer than all earlier versions.
+    /// Advances to the version of a change. Returns false, without effect, if it is not newer than all earlier
+    /// versions.
     pub(super) fn advance(&mut self, version: u64) -> bool {
         if version <= self.newest && self.newest > 0 {
             return false;
@@ -69,8 +70,8 @@
         true
     }
 
-    /// Continues from the version of a start and records the gap below it. Has no effect if the version is not newer than
-    /// all earlier ones.
+    /// Continues from the version of a start and records the gap below it. Has no effect if the version is not newer
+    /// than all earlier ones.
     pub(super) fn start(&mut self, version: u64) {
         if version <= self.newest {
             return;
--- a/src/catalog/list_cache.rs
+++ b/src/catalog/list_cache.rs
@@ -44,8 +44,8 @@
         self.services.len()
     }
 
-    /// Returns the list of a service as JSON: the changes after a version, or the full list if no version is given or some
-    /// of the changes are no longer kept.
+    /// Returns the list of a service as JSON: the changes after a version, or the full list if no version is given or
+    /// some of the changes are no longer kept.
     pub fn get(
         &mut self,
         catalog: &Catalog,
@@ -66,8 +66,8 @@
             None => catalog.full_list(service),
         };
         let list = Bytes::from(serde_json::to_vec(&response)?);
-        // Failure: reads of service names that do not exist would fill the cache. The list of such a name is empty and cheap
-        // to encode, so it is not cached.
+        // Failure: reads of service names that do not exist would fill the cache. The list of such a name is empty
+        // and cheap to encode, so it is not cached.
         if catalog.contains(service) {
             self.insert(service, version, after, &list);
         }
@@ -79,8 +79,8 @@
         self.cached_bytes -= self.services.remove(service).map_or(0, |lists| lists.cached_bytes);
     }
 
-    /// Caches a list. If it would exceed the bound, the cache is emptied first; lists that are still read are encoded again
-    /// at their next read.
+    /// Caches a list. If it would exceed the bound, the cache is emptied first; lists that are still read are encoded
+    /// again at their next read.
     fn insert(&mut self, service: &ServiceName, version: u64, after: Option<u64>, list: &Bytes) {
         let size = list.len() + LIST_OVERHEAD_BYTES;
         if size > self.max_bytes {
--- a/src/catalog/list_response.rs
+++ b/src/catalog/list_response.rs
@@ -3,8 +3,8 @@
 use super::Entry;
 use serde::Serialize;
 
-/// The list of a service or a delta of it, in the form that a watch is answered (PROTOCOL, "Discovery"). The order of the
-/// fields is that of the JSON keys.
+/// The list of a service or a delta of it, in the form that a watch is answered (PROTOCOL, "Discovery"). The order of
+/// the fields is that of the JSON keys.
 #[derive(Serialize, Debug, PartialEq)]
 pub struct ListResponse<'a> {
     /// Version of the list.
--- a/src/catalog/mod.rs
+++ b/src/catalog/mod.rs
@@ -5,9 +5,9 @@
 //! and deltas of one service at a time. It has no clock, socket or disk: the registry assigns the versions, keeps the
 //! log, writes [`CatalogSnapshot`] and determines when a TTL has expired.
 //!
-//! A deleted entry leaves a tombstone, so that a delta can report the deletion. The number of tombstones is bounded; a
-//! watch whose delta would need a discarded tombstone gets the full list. A service exists as long as it has an entry or
-//! a tombstone; reading the list of an unknown name creates nothing.
+//! A deleted entry leaves a tombstone, so that a delta can report the deletion. The number of tombstones is bounded;
+//! a watch whose delta would need a discarded tombstone gets the full list. A service exists as long as it has an
+//! entry or a tombstone; reading the list of an unknown name creates nothing.
 
 mod change;
 mod entry;
@@ -58,8 +58,8 @@
         self.history.newest()
     }
 
-    /// Returns the version of a service's list: that of its newest change or of the last start, whichever is newer. For a
-    /// service that does not exist, [`Catalog::dropped_version`] takes the place of the newest change.
+    /// Returns the version of a service's list: that of its newest change or of the last start, whichever is newer.
+    /// For a service that does not exist, [`Catalog::dropped_version`] takes the place of the newest change.
     pub fn version(&self, service: &ServiceName) -> u64 {
         let own = self.services.get(service).map_or(self.dropped_version, Service::version);
         own.max(self.history.last_start())
@@ -112,8 +112,8 @@
         self.services.iter().flat_map(|(name, service)| service.live().map(move |change| (name, change)))
     }
 
-    /// Applies an update. A change that is not newer than all earlier ones has no effect; the log may repeat changes that
-    /// the snapshot contains.
+    /// Applies an update. A change that is not newer than all earlier ones has no effect; the log may repeat changes
+    /// that the snapshot contains.
     pub fn apply(&mut self, service: &ServiceName, update: Update) {
         match update {
             Update::Change(change) if self.history.advance(change.seq) => self.insert(service, change),
@@ -127,14 +127,14 @@
         self.drop_oldest_tombstones();
     }
 
-    /// Continues from version `seq`, for all services. The versions between the newest one and `seq` were never assigned
-    /// or were lost; a watch with one of them gets the full list.
+    /// Continues from version `seq`, for all services. The versions between the newest one and `seq` were never
+    /// assigned or were lost; a watch with one of them gets the full list.
     pub fn start(&mut self, seq: u64) {
         self.history.start(seq);
     }
 
-    /// Returns true if all changes of a service after a version are kept. They are not if the version is below the horizon,
-    /// above the service's version or in a gap; in the last two cases the version belongs to a lost history.
+    /// Returns true if all changes of a service after a version are kept. They are not if the version is below the
+    /// horizon, above the service's version or in a gap; in the last two cases the version belongs to a lost history.
     pub fn has_all_changes_after(&self, service: &ServiceName, after: u64) -> bool {
         let kept = self.horizon(service)..=self.version(service);
         kept.contains(&after) && !self.history.is_in_gap(after)
@@ -166,8 +166,9 @@
         self.tombstones.extend(tombstone.map(|seq| (seq, name.clone())));
     }
 
-    /// Discards the oldest tombstones over all services until at most `max_tombstones` are left. The horizon of a service
-    /// rises to each of its discarded tombstones. A service without entries is dropped with its last tombstone.
+    /// Discards the oldest tombstones over all services until at most `max_tombstones` are left. The horizon of a
+    /// service rises to each of its discarded tombstones. A service without entries is dropped with its last
+    /// tombstone.
     fn drop_oldest_tombstones(&mut self) {
         while self.tombstones.len() > self.max_tombstones {
             let Some((seq, name)) = self.tombstones.pop_first() else { return };
--- a/src/catalog/snapshot.rs
+++ b/src/catalog/snapshot.rs
@@ -5,8 +5,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// A [`Catalog`] at one version. The version of the last start is not included, so that [`Catalog::start`] has to follow
-/// [`Catalog::restore`].
+/// A [`Catalog`] at one version. The version of the last start is not included, so that [`Catalog::start`] has to
+/// follow [`Catalog::restore`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CatalogSnapshot {
     /// Newest version of all services.
@@ -23,7 +23,8 @@
 
 /// One service in a [`CatalogSnapshot`].
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
-// The name "SavedService" is kept because it appears in error messages about the snapshot ("expected struct SavedService").
+// The name "SavedService" is kept because it appears in error messages about the snapshot ("expected struct
+// SavedService").
 #[serde(rename = "SavedService", deny_unknown_fields)]
 pub struct ServiceSnapshot {
     /// Name of the service.
--- a/tests/catalog/model.rs
+++ b/tests/catalog/model.rs
@@ -81,8 +81,8 @@
     }
 }
 
-/// Runs the steps and compares catalog and model after each. Deletions and restarts follow the registry: the deletion of
-/// an entry that is not listed is no change, and a start continues above all versions.
+/// Runs the steps and compares catalog and model after each. Deletions and restarts follow the registry: the deletion
+/// of an entry that is not listed is no change, and a start continues above all versions.
 fn run_steps(steps: &[Step]) -> Result<(), TestCaseError> {
     let (mut catalog, mut model) = (Catalog::new(MAX_TOMBSTONES), Model::default());
     let mut clients: Vec<Vec<Client>> = vec![vec![Client::default()]; SERVICES.len()];
--- a/tests/registry/limits.rs
+++ b/tests/registry/limits.rs
@@ -1,17 +1,18 @@
-//! Limits at their border and one over: what fits is stored, what does not is refused with what to do, nothing is lost.
+//! Limits, each at its maximum and one above: a write within the limit is stored, a larger one is rejected with what to
+//! do, and nothing that is stored is lost.
 
-use super::dial;
+use super::{LIST_PATH, dial};
 use crate::registry_rig::*;
 use serde_json::{Value, json};
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// Entries of one write.
+/// Maximum number of entries in one write.
 const MAX_ENTRIES: usize = 10_000;
-/// The longest body, by default.
-const MAX_BODY: usize = 4 << 20;
+/// Default maximum length of a body, in bytes.
+const MAX_BODY_BYTES: usize = 4 << 20;
 
-fn many(count: usize) -> Vec<Value> {
+fn entries(count: usize) -> Vec<Value> {
     (0..count).map(|n| entry(&format!("backend-{n:05}.zone-a.example"), dial(), "SERVING")).collect()
 }
 
@@ -20,97 +21,102 @@
 }
 
 #[tokio::test]
-async fn a_write_of_as_many_entries_as_it_may_have_is_stored_and_one_more_is_refused() {
+async fn a_write_with_the_maximum_number_of_entries_is_stored_and_one_more_is_rejected() {
     let registry = Registry::start(&data_dir("limit-entries"), &[]).await;
-    let path = "/registry/instances";
-    let hosts = many(MAX_ENTRIES + 1);
-    let (status, why) = registry.call("PUT", path, &body(&hosts)).await;
+    let hosts = entries(MAX_ENTRIES + 1);
+    let (status, reason) = registry.call("PUT", LIST_PATH, &body(&hosts)).await;
     assert_eq!(
-        (status, why.trim()),
+        (status, reason.trim()),
         (400, "hosts: at most 10000 in one write; send the others in a further one")
     );
-    assert!(names(&registry.get("").await).is_empty(), "nothing of a refused write is stored");
-    let whole = body(&hosts[..MAX_ENTRIES]);
-    assert!(whole.len() < MAX_BODY / 2, "the body's limit is far: {} bytes", whole.len());
-    let (status, why) = registry.call("PUT", path, &whole).await;
-    assert_eq!(status, 200, "{why}");
+    assert!(names(&registry.get("").await).is_empty(), "no entry of a rejected write may be stored");
+    let largest = body(&hosts[..MAX_ENTRIES]);
+    assert!(
+        largest.len() < MAX_BODY_BYTES / 2,
+        "the body of {} bytes may reach the limit on its length before that on its entries",
+        largest.len()
+    );
+    let (status, reason) = registry.call("PUT", LIST_PATH, &largest).await;
+    assert_eq!(status, 200, "{reason}");
     assert_eq!(names(&registry.get("").await).len(), MAX_ENTRIES);
-    // More than one write may have are listed, one write after the other.
-    assert_eq!(registry.call("PUT", path, &body(&hosts[MAX_ENTRIES..])).await.0, 200);
+    // A list may have more entries than one write.
+    assert_eq!(registry.call("PUT", LIST_PATH, &body(&hosts[MAX_ENTRIES..])).await.0, 200);
     assert_eq!(names(&registry.get("").await).len(), MAX_ENTRIES + 1);
 }
 
 #[tokio::test]
-async fn a_body_as_long_as_it_may_be_is_read_and_one_byte_more_is_refused() {
+async fn a_body_of_the_maximum_length_is_read_and_one_byte_more_is_rejected() {
     let registry = Registry::start(&data_dir("limit-body"), &[]).await;
-    let path = "/registry/instances";
-    let whole = body(&many(3));
-    // Blanks behind it are no part of what it says.
-    let padded = |length: usize| format!("{whole}{}", " ".repeat(length - whole.len()));
-    let (status, why) = registry.call("PUT", path, &padded(MAX_BODY + 1)).await;
-    assert_eq!((status, why.trim()), (413, "at most 4194304 bytes; send less at once"));
+    let write = body(&entries(3));
+    // Trailing blanks are valid in JSON and do not change the write.
+    let padded = |length: usize| format!("{write}{}", " ".repeat(length - write.len()));
+    let (status, reason) = registry.call("PUT", LIST_PATH, &padded(MAX_BODY_BYTES + 1)).await;
+    assert_eq!((status, reason.trim()), (413, "at most 4194304 bytes; send less at once"));
     assert!(names(&registry.get("").await).is_empty());
-    let (status, why) = registry.call("PUT", path, &padded(MAX_BODY)).await;
-    assert_eq!(status, 200, "{why}");
+    let (status, reason) = registry.call("PUT", LIST_PATH, &padded(MAX_BODY_BYTES)).await;
+    assert_eq!(status, 200, "{reason}");
     assert_eq!(names(&registry.get("").await).len(), 3);
 }
 
-/// Opens so many connections, all at rest.
-async fn open(registry: &Registry, count: usize) -> Vec<TcpStream> {
+/// Opens idle connections.
+async fn open_idle(registry: &Registry, count: usize) -> Vec<TcpStream> {
     let mut streams = Vec::new();
     for _ in 0..count {
-        streams.push(soon(TcpStream::connect(registry.address)).await.expect("connects"));
+        streams.push(soon(TcpStream::connect(registry.address)).await.expect("the registry accepts"));
     }
     streams
 }
 
-/// Whether the registry has closed a connection that was at rest.
-async fn closed(mut stream: TcpStream) -> bool {
+/// Returns true if the registry closes an idle connection.
+async fn is_closed(mut stream: TcpStream) -> bool {
     matches!(soon(stream.read(&mut [0])).await, Ok(0) | Err(_))
 }
 
-/// It is started with fewer descriptors than it needs, and may have more.
+/// The registry is started with a soft limit below what its connections need, and a sufficient hard limit.
 #[tokio::test]
-async fn the_systems_limit_of_descriptors_is_raised_to_what_the_connections_need() {
+async fn the_soft_limit_on_descriptors_is_raised_to_what_the_connections_need() {
     let data = data_dir("limit-raised");
     let registry = Registry::start_limited(&data, &["--max-connections", "300"], "-Sn 64").await;
     let before = registry.descriptors();
-    let held = open(&registry, 250).await;
+    let idle = open_idle(&registry, 250).await;
     soon(async {
         while registry.descriptors() < before + 250 {
             tokio::task::yield_now().await;
         }
     })
     .await;
-    assert_eq!(registry.call("GET", "/registry/instances", "").await.0, 200);
-    drop(held);
+    assert_eq!(registry.call("GET", LIST_PATH, "").await.0, 200);
+    drop(idle);
 }
 
-/// It may have no more: those past its places are closed as they come, and the files have their descriptors still.
+/// The hard limit is too low for the configured connections: those beyond the reduced maximum are closed on accept, and
+/// the files still get their descriptors.
 #[tokio::test]
-async fn where_the_system_allows_fewer_connections_that_is_said_and_writes_go_on() {
+async fn a_descriptor_limit_that_allows_fewer_connections_is_logged_and_writes_succeed() {
     let data = data_dir("limit-allowed");
     let flags = ["--snapshot-every", "1", "--header-timeout-ms", "600000"];
     let mut registry = Registry::start_limited(&data, &flags, "-n 100").await;
-    let said = registry
-        .logged("the system allows fewer connections than configured, more are closed as they come; raise its limit (ulimit -n)")
+    let warning = registry
+        .logged("the descriptor limit allows fewer connections than configured; more are closed on accept; raise it (ulimit -n)")
         .await;
-    let allowed = said["allowed"].as_u64().expect("a number") as usize;
-    assert!((10..100).contains(&allowed), "{said}");
+    let allowed = warning["allowed"].as_u64().expect("allowed is a number") as usize;
+    assert!((10..100).contains(&allowed), "{warning}");
     let (mut line, address) = (Line::default(), registry.address);
     let write = |n: usize| body(&[entry(&format!("b{n}"), dial(), "SERVING")]).into_bytes();
-    let path = "/registry/instances";
-    assert_eq!(line.call(address, "PUT", path, write(0)).await.expect("answered").0, 200);
-    let resting = open(&registry, allowed - 1).await;
-    // Every place is taken now.
-    for over in open(&registry, 20).await {
-        assert!(closed(over).await, "one more is closed as it comes");
+    assert_eq!(line.call(address, "PUT", LIST_PATH, write(0)).await.expect("the registry answers").0, 200);
+    let idle = open_idle(&registry, allowed - 1).await;
+    // The maximum number of connections is open now.
+    for excess in open_idle(&registry, 20).await {
+        assert!(is_closed(excess).await, "a connection beyond the maximum must be closed on accept");
     }
     for n in 1..5 {
         registry.logged("snapshot written, log compacted").await;
-        assert_eq!(line.call(address, "PUT", path, write(n)).await.expect("answered").0, 200);
+        assert_eq!(
+            line.call(address, "PUT", LIST_PATH, write(n)).await.expect("the registry answers").0,
+            200
+        );
     }
-    drop(resting);
+    drop(idle);
     soon(async {
         while registry.descriptors() > 40 {
             tokio::task::yield_now().await;
--- a/tests/registry_return/empty_disk.rs
+++ b/tests/registry_return/empty_disk.rs
@@ -1,7 +1,7 @@
-//! A registry whose machine is replaced: it comes back with an empty disk.
+//! A registry whose machine is replaced: it returns with an empty disk.
 
-use super::outage::{Outage, returns_spread};
-use super::{TTL, all_hold, clients, proxy};
+use super::outage::{Outage, wait_for_spread_return};
+use super::{TTL, start_clients, start_proxy, wait_for_lists};
 use crate::fault_relay::Relay;
 use crate::registry_rig::{Registry, data_dir};
 use crate::rig::{Backend, Orders, Proxy};
@@ -11,66 +11,71 @@
 
 const CLIENTS: usize = 80;
 const PROXIES: usize = 3;
-/// Calls to each proxy at each stage.
-const CALLS: usize = 20;
+/// Number of calls to each proxy at each stage of the test.
+const CALLS_PER_PROXY: usize = 20;
 
 #[tokio::test]
-async fn an_empty_registry_takes_no_backend_away_and_all_hold_the_truth_once_they_registered_anew() {
-    LocalSet::new().run_until(replaced()).await;
+async fn an_empty_registry_removes_no_backend_from_proxies_and_lists_converge_after_registration() {
+    LocalSet::new().run_until(outage_and_empty_return()).await;
 }
 
-/// How many backends a proxy knows.
-async fn known(proxy: &Proxy) -> u64 {
+/// Returns the number of backends that a proxy knows.
+async fn backends_known(proxy: &Proxy) -> u64 {
     let page = proxy.tell("counters").await;
-    let page: Value = serde_json::from_str(page.lines().next().expect("a page")).expect("JSON");
-    page["backends_known"].as_u64().expect("a number")
+    let page: Value =
+        serde_json::from_str(page.lines().next().expect("the answer has a line")).expect("the line is JSON");
+    page["backends_known"].as_u64().expect("backends_known is a number")
 }
 
-async fn all_serve(proxies: &[Proxy]) {
+/// Checks that calls through each proxy succeed.
+async fn check_all_serve(proxies: &[Proxy]) {
     for proxy in proxies {
-        for _ in 0..CALLS {
+        for _ in 0..CALLS_PER_PROXY {
             assert_eq!(proxy.call("look").await.0, 200);
         }
     }
 }
 
-async fn replaced() {
+async fn outage_and_empty_return() {
     let registry = Registry::start(&data_dir("disk-before"), &[]).await;
     let relay = Relay::start(registry.address).await;
     let orders = Arc::new(Orders::default());
     let (a, b) = (Backend::start("a", &orders).await, Backend::start("b", &orders).await);
     registry.put(TTL, vec![a.line("SERVING"), b.line("SERVING")]).await;
-    let clients = clients(CLIENTS, relay.address);
+    let clients = start_clients(CLIENTS, relay.address);
     let mut proxies = Vec::new();
     for _ in 0..PROXIES {
-        proxies.push(proxy(relay.address).await);
+        proxies.push(start_proxy(relay.address).await);
     }
-    all_hold(&clients, &["a", "b"]).await;
+    wait_for_lists(&clients, &["a", "b"]).await;
 
     registry.kill().await;
     let outage = Outage::begin(&clients);
-    outage.has_lasted(&clients).await;
-    outage.was_bounded(&clients);
-    all_serve(&proxies).await;
+    outage.wait_for_max_backoff(&clients).await;
+    outage.check_call_bound(&clients);
+    check_all_serve(&proxies).await;
 
     let registry = Registry::start(&data_dir("disk-after"), &[]).await;
     relay.lead_to(registry.address);
-    // The clients have no guard: they hold what the registry says.
-    returns_spread(&clients, &[]).await;
-    assert!(clients.iter().all(|client| client.whole_lists() == 2), "one whole list more for each");
+    // The clients have no list guard: they apply the registry's empty list.
+    wait_for_spread_return(&clients, &[]).await;
+    assert!(
+        clients.iter().all(|client| client.whole_lists() == 2),
+        "each client must read one more full list"
+    );
     for proxy in &mut proxies {
         proxy.notes("2 of 2 backends stay in service though the list lacks them").await;
     }
-    all_serve(&proxies).await;
+    check_all_serve(&proxies).await;
     for proxy in &proxies {
-        assert_eq!(known(proxy).await, 2, "both are in service still");
+        assert_eq!(backends_known(proxy).await, 2, "both backends must stay in service");
     }
 
     registry.put(TTL, vec![a.line("SERVING"), b.line("SERVING")]).await;
-    all_hold(&clients, &["a", "b"]).await;
+    wait_for_lists(&clients, &["a", "b"]).await;
     assert!(clients.iter().all(|client| client.whole_lists() == 2 && !client.went_back()));
     for proxy in &mut proxies {
         proxy.notes("the list is believed again, 2 backends").await;
     }
-    all_serve(&proxies).await;
+    check_all_serve(&proxies).await;
 }
--- a/tests/registry_return/main.rs
+++ b/tests/registry_return/main.rs
@@ -1,4 +1,5 @@
-//! A registry that is gone for some seconds and comes back, with its data or without, while many clients follow it.
+//! A registry that is down for some seconds and returns, with its data or with an empty disk, while many clients
+//! watch its list.
 
 #[path = "../client_rig/mod.rs"]
 mod client_rig;
@@ -21,24 +22,25 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+/// TTL of the registered backends, in milliseconds.
 const TTL: u64 = 600_000;
-/// The longest pause of the clients and proxies here, before chance adds up to as much again.
-const MAX_PAUSE: Duration = Duration::from_secs(2);
+/// Maximum backoff of the clients and proxies, to which the jitter adds up to the same time again.
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// So many clients that follow the list at an address, under a backoff.
-fn clients(count: usize, at: SocketAddr) -> Vec<client_rig::Client> {
-    let backoff = PollBackoff { max_ms: MAX_PAUSE.as_millis() as u64 };
-    let pace = PollSchedule::new(false, Duration::from_millis(500)).with_backoff(backoff);
-    let client = |_| client_rig::Client::start(at, Settings::new(pace, Traffic::default()));
+/// Starts clients that watch the list at an address, with backoff.
+fn start_clients(count: usize, at: SocketAddr) -> Vec<client_rig::Client> {
+    let backoff = PollBackoff { max_ms: MAX_BACKOFF.as_millis() as u64 };
+    let schedule = PollSchedule::new(false, Duration::from_millis(500)).with_backoff(backoff);
+    let client = |_| client_rig::Client::start(at, Settings::new(schedule, Traffic::default()));
     (0..count).map(client).collect()
 }
 
-/// A proxy under the same backoff, which doubts a list that loses nearly all.
-async fn proxy(at: SocketAddr) -> Proxy {
+/// Starts a proxy with the same backoff, whose list guard keeps backends that a list with nearly no backends lacks.
+async fn start_proxy(at: SocketAddr) -> Proxy {
     let config: Value = json!({
         "listen": "127.0.0.1:0", "ops": "127.0.0.1:0", "discovery": at.to_string(), "seed": "8c1f30d27a5be964",
         "limits": {"memory_mb": 192, "sockets": 256}, "settings": settings(),
-        "discovery_backoff": {"max_ms": MAX_PAUSE.as_millis() as u64},
+        "discovery_backoff": {"max_ms": MAX_BACKOFF.as_millis() as u64},
         "list_guard": {"panic_threshold": 0.1, "hold_ms": 600_000},
     });
     let proxy = Proxy::start_as(&config, "exec \"$0\"").await;
@@ -46,8 +48,8 @@
     proxy
 }
 
-/// Waits until all clients hold just these backends.
-async fn all_hold(clients: &[client_rig::Client], names: &[&str]) {
+/// Waits until every client's list has exactly these backends.
+async fn wait_for_lists(clients: &[client_rig::Client], names: &[&str]) {
     for client in clients {
         soon(client.holds(names)).await;
     }
--- a/tests/registry_return/outage.rs
+++ b/tests/registry_return/outage.rs
@@ -1,102 +1,117 @@
-//! What clients do while a registry is gone and when it comes back, by their counts of calls.
+//! Checks on the calls of clients during an outage of the registry and after its return.
 
-use super::MAX_PAUSE;
+use super::MAX_BACKOFF;
 use crate::client_rig::Client;
 use crate::rig::soon;
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Calls by which each client has got to its longest pause.
-const CALLS: u64 = 8;
-/// An outage lasts for so long at the least: without a backoff a client calls some forty times meanwhile.
-const LASTS: Duration = Duration::from_secs(8);
-/// The shortest pause after a failed call, and the shortest time until a further call goes out beside a late one.
-const FIRST_PAUSE: Duration = Duration::from_millis(33);
-const FIRST_HEDGE: Duration = Duration::from_millis(200);
-/// How often the return is looked at.
-const LOOK: Duration = Duration::from_millis(50);
+/// Number of failed calls after which each client has its maximum backoff.
+const CALLS_TO_MAX_BACKOFF: u64 = 8;
+/// Minimum duration of an outage. Without a backoff a client makes about forty calls in this time.
+const MIN_OUTAGE: Duration = Duration::from_secs(8);
+/// Minimum backoff after the first failed call.
+const MIN_BACKOFF: Duration = Duration::from_millis(33);
+/// Minimum time after which a hedged call is sent in addition to one that is not yet answered.
+const MIN_HEDGE_DELAY: Duration = Duration::from_millis(200);
+/// Time between two samples of the clients.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// An outage, since the registry's end.
+/// An outage of the registry.
 pub struct Outage {
-    begun: Instant,
-    calls: Vec<u64>,
+    start: Instant,
+    /// Number of calls of each client at the start of the outage.
+    calls_before: Vec<u64>,
 }
 
 impl Outage {
-    /// Begins now: the registry has ended. Some clients may have failed already, and have longer pauses then.
+    /// Starts the measurement after the registry has ended. Calls of some clients may have failed before this, so that
+    /// their backoff is longer.
     pub fn begin(clients: &[Client]) -> Outage {
-        Outage { begun: Instant::now(), calls: clients.iter().map(Client::calls).collect() }
+        Outage { start: Instant::now(), calls_before: clients.iter().map(Client::calls).collect() }
     }
 
-    /// Waits until it has lasted for some seconds, and each client has failed so often that its pauses are the longest.
-    pub async fn has_lasted(&self, clients: &[Client]) {
+    /// Waits until the outage has lasted for [`MIN_OUTAGE`] and each client has reached its maximum backoff.
+    pub async fn wait_for_max_backoff(&self, clients: &[Client]) {
         soon(async {
-            let often = |(client, before): (&Client, &u64)| client.calls() >= before + CALLS;
-            while self.begun.elapsed() < LASTS || !clients.iter().zip(&self.calls).all(often) {
-                sleep(LOOK).await;
+            let has_max_backoff =
+                |(client, before): (&Client, &u64)| client.calls() >= before + CALLS_TO_MAX_BACKOFF;
+            while self.start.elapsed() < MIN_OUTAGE
+                || !clients.iter().zip(&self.calls_before).all(has_max_backoff)
+            {
+                sleep(SAMPLE_INTERVAL).await;
             }
         })
         .await;
     }
 
-    /// No client has made more calls than its shortest pauses allow for. A slow machine makes them fewer, never more.
-    pub fn was_bounded(&self, clients: &[Client]) {
-        let most: u64 =
-            most_in(FIRST_PAUSE, self.begun.elapsed()) + most_in(FIRST_HEDGE, self.begun.elapsed());
-        for (client, before) in clients.iter().zip(&self.calls) {
-            // One may be about to go out, and one just beside it.
-            let made = client.calls() - before;
-            assert!(made <= 2 + most, "{made} calls in {:?}, at most {most}", self.begun.elapsed());
+    /// Checks that no client has made more calls than its minimum backoff allows. A slow machine leads to fewer calls,
+    /// never to more.
+    pub fn check_call_bound(&self, clients: &[Client]) {
+        let max_calls: u64 = max_delays_in(MIN_BACKOFF, self.start.elapsed())
+            + max_delays_in(MIN_HEDGE_DELAY, self.start.elapsed());
+        for (client, before) in clients.iter().zip(&self.calls_before) {
+            // Two more calls are allowed: one that was due at the start, and its hedged call.
+            let calls = client.calls() - before;
+            assert!(
+                calls <= 2 + max_calls,
+                "{calls} calls in {:?}, at most 2 + {max_calls} are allowed",
+                self.start.elapsed()
+            );
         }
     }
 }
 
-/// The most pauses that fit into a time, from the first on and doubling to the longest.
-fn most_in(first: Duration, time: Duration) -> u64 {
-    let (mut pause, mut spent, mut count) = (first, first, 0);
+/// Returns the maximum number of consecutive delays that fit into a time. The delays start at `first` and double up to
+/// [`MAX_BACKOFF`].
+fn max_delays_in(first: Duration, time: Duration) -> u64 {
+    let (mut delay, mut spent, mut count) = (first, first, 0);
     while spent <= time {
         count += 1;
-        pause = (pause * 2).min(MAX_PAUSE);
-        spent += pause;
+        delay = (delay * 2).min(MAX_BACKOFF);
+        spent += delay;
     }
     count
 }
 
-/// What one look at the clients shows.
-struct Look {
-    at: Instant,
+/// A sample of the state of all clients.
+struct Sample {
+    taken_at: Instant,
+    /// Number of calls of each client.
     calls: Vec<u64>,
-    away: Vec<bool>,
+    /// True for each client whose list differs from the expected one.
+    is_outdated: Vec<bool>,
 }
 
-impl Look {
-    fn now(clients: &[Client], names: &[&str]) -> Look {
-        let away = clients.iter().map(|client| !client.has(names)).collect();
-        Look { at: Instant::now(), calls: clients.iter().map(Client::calls).collect(), away }
+impl Sample {
+    fn take(clients: &[Client], expected: &[&str]) -> Sample {
+        let is_outdated = clients.iter().map(|client| !client.has(expected)).collect();
+        Sample { taken_at: Instant::now(), calls: clients.iter().map(Client::calls).collect(), is_outdated }
     }
 
-    /// How many of those that were away then have called since.
+    /// Returns the number of clients that were outdated in this sample and have made a call since.
     fn called_since(&self, clients: &[Client]) -> usize {
-        let called = |n: &usize| self.away[*n] && clients[*n].calls() > self.calls[*n];
+        let called = |n: &usize| self.is_outdated[*n] && clients[*n].calls() > self.calls[*n];
         (0..clients.len()).filter(called).count()
     }
 }
 
-/// Looks on while clients return, until all hold just these backends: none of them call together. At their longest
-/// pauses at most half of `N` calls fall into a second. The bound is twice that for the time between a look and the one
-/// after the next, however long a busy machine makes it, and an eighth of all for chance. It is taken over two looks
-/// since a call that is due at one may be seen at the next only.
-pub async fn returns_spread(clients: &[Client], names: &[&str]) {
-    let mut earlier = Look::now(clients, names);
+/// Waits until every client's list has exactly the expected backends, and checks that the clients do not call at the
+/// same time. At the maximum backoff, at most half of `N` clients make their call within a second. The bound is twice
+/// that for the time between a sample and the one after the next, however long a busy machine makes it, plus an
+/// eighth of all clients for random variation. It spans two sample intervals since a call that is due at one sample
+/// may be visible only at the next.
+pub async fn wait_for_spread_return(clients: &[Client], expected: &[&str]) {
+    let mut earlier = Sample::take(clients, expected);
     soon(async {
-        sleep(LOOK).await;
-        let mut last = Look::now(clients, names);
-        while last.away.contains(&true) {
-            sleep(LOOK).await;
-            let (called, time) = (earlier.called_since(clients), earlier.at.elapsed());
-            let most = clients.len() as f64 * (time.as_secs_f64() + 1.0 / 8.0);
-            assert!(called as f64 <= most, "{called} call within {time:?}");
-            earlier = std::mem::replace(&mut last, Look::now(clients, names));
+        sleep(SAMPLE_INTERVAL).await;
+        let mut last = Sample::take(clients, expected);
+        while last.is_outdated.contains(&true) {
+            sleep(SAMPLE_INTERVAL).await;
+            let (called, time) = (earlier.called_since(clients), earlier.taken_at.elapsed());
+            let max_calls = clients.len() as f64 * (time.as_secs_f64() + 1.0 / 8.0);
+            assert!(called as f64 <= max_calls, "{called} clients made a call within {time:?}");
+            earlier = std::mem::replace(&mut last, Sample::take(clients, expected));
         }
     })
     .await;
--- a/tests/registry_return/storm.rs
+++ b/tests/registry_return/storm.rs
@@ -1,7 +1,7 @@
-//! A registry that comes back with its data.
+//! A registry that returns with its data.
 
-use super::outage::{Outage, returns_spread};
-use super::{TTL, all_hold, clients, proxy};
+use super::outage::{Outage, wait_for_spread_return};
+use super::{TTL, start_clients, start_proxy, wait_for_lists};
 use crate::fault_relay::Relay;
 use crate::registry_rig::{Registry, data_dir};
 use crate::rig::{Backend, Orders, soon};
@@ -11,7 +11,7 @@
 const CLIENTS: usize = 80;
 
 #[tokio::test]
-async fn a_registry_that_was_gone_is_not_stormed_and_each_client_goes_on_from_its_version() {
+async fn after_an_outage_calls_are_spread_and_each_client_resumes_from_its_version() {
     LocalSet::new().run_until(outage_and_return()).await;
 }
 
@@ -22,27 +22,27 @@
     let orders = Arc::new(Orders::default());
     let (a, b) = (Backend::start("a", &orders).await, Backend::start("b", &orders).await);
     registry.put(TTL, vec![a.line("SERVING")]).await;
-    let clients = clients(CLIENTS, relay.address);
-    let proxies = [proxy(relay.address).await, proxy(relay.address).await];
-    all_hold(&clients, &["a"]).await;
-    let whole = relay.calls().0;
-    assert_eq!(whole, clients.len() + proxies.len(), "one whole list each");
+    let clients = start_clients(CLIENTS, relay.address);
+    let proxies = [start_proxy(relay.address).await, start_proxy(relay.address).await];
+    wait_for_lists(&clients, &["a"]).await;
+    let full_lists = relay.calls().0;
+    assert_eq!(full_lists, clients.len() + proxies.len(), "each client and proxy must read one full list");
 
     registry.kill().await;
     let outage = Outage::begin(&clients);
-    outage.has_lasted(&clients).await;
-    outage.was_bounded(&clients);
+    outage.wait_for_max_backoff(&clients).await;
+    outage.check_call_bound(&clients);
     for proxy in &proxies {
-        assert_eq!(proxy.call("look").await, (200, "a".into()), "served from the list that is held");
+        assert_eq!(proxy.call("look").await, (200, "a".into()), "the proxy must serve from its last list");
     }
 
     let registry = Registry::start(&data, &[]).await;
     registry.put(TTL, vec![b.line("SERVING")]).await;
     relay.lead_to(registry.address);
-    returns_spread(&clients, &["a", "b"]).await;
+    wait_for_spread_return(&clients, &["a", "b"]).await;
     for proxy in &proxies {
         soon(async { while proxy.call("look").await != (200, "b".into()) {} }).await;
     }
-    assert_eq!(relay.calls().0, whole, "everybody went on from the version that it held");
+    assert_eq!(relay.calls().0, full_lists, "each client and proxy must resume from its version");
     assert!(clients.iter().all(|client| client.whole_lists() == 1 && !client.went_back()));
 }
