--- a/src/bin/proxy/route_table/mod.rs
+++ b/src/bin/proxy/route_table/mod.rs
@@ -1,6 +1,7 @@
-//! The route table in this program: the proxy that it acts on, and the start of its tasks and the recorder's.
+//! The route table in the proxy program: the adapter that applies tables to the engine, and the start of the tasks of
+//! the route table and the recorder.
 //!
-//! Acts only where `routes` or `record` is configured.
+//! The tasks run only where `routes` or `record` is configured.
 
 mod proxy;
 mod start;
--- a/src/bin/proxy/route_table/proxy.rs
+++ b/src/bin/proxy/route_table/proxy.rs
@@ -1,4 +1,4 @@
-//! This program as the proxy that a route table acts on.
+//! The adapter through which the route table client acts on this program's engine.
 
 use crate::counters::Counters;
 use crate::engine::Engine;
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The engine, and what is counted of its calls.
+/// The engine together with the counts of its calls and requests.
 pub(super) struct ObservedEngine {
     pub(super) engine: Rc<Engine>,
     pub(super) observer: Rc<Observer>,
--- a/src/bin/proxy/route_table/start.rs
+++ b/src/bin/proxy/route_table/start.rs
@@ -1,6 +1,4 @@
-//! Starts the tasks of the route table and the recorder, as far as they are configured.
-//!
-//! Acts once, at the start.
+//! The start of the tasks of the route table and the recorder, as far as they are configured.
 
 use super::proxy::ObservedEngine;
 use crate::config::Config;
@@ -16,24 +14,25 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// Descriptors that these tasks may need: connections for a watch, a report and a segment, and for the next of each.
+/// Number of file descriptors that these tasks may need: a connection for a watch, a report and a segment, and one more
+/// for the next of each.
 pub const DESCRIPTORS: usize = 6;
 
-/// What these tasks need of the rest of the program.
+/// The parts of the program that these tasks use.
 pub struct Parts<'a> {
-    /// Has the weights.
+    /// Engine that applies the weights.
     pub engine: &'a Rc<Engine>,
-    /// Counts requests.
+    /// Counters of requests.
     pub counters: &'a Rc<Counters>,
-    /// The proxies of the tier, where membership is configured.
+    /// Membership of the tier's proxies, where it is configured.
     pub membership: &'a Option<Rc<Membership>>,
-    /// Discovery's addresses.
+    /// Addresses of the registries from discovery.
     pub discovery: &'a watch::Receiver<Vec<SocketAddr>>,
-    /// Counts the bytes sent and received.
+    /// Counter of the bytes sent and received.
     pub traffic: &'a Traffic,
 }
 
-/// Starts the tasks.
+/// Starts the configured tasks, and returns the route table client and the recording.
 pub fn start(
     config: &Config,
     observer: &Rc<Observer>,
@@ -44,7 +43,7 @@
     let zone = site.zones.get(usize::from(config.platform.settings.zone)).cloned().unwrap_or_default();
     let identity = Identity::new(config.name.clone(), zone, parts.membership.clone());
     let configured = config.routes.as_ref().map(|r| r.registries.clone()).filter(|all| !all.is_empty());
-    // Configured addresses are fixed: nothing more is sent on this channel.
+    // Configured addresses are fixed, so nothing more is sent on this channel.
     let registries = configured.map_or_else(|| parts.discovery.clone(), |all| watch::channel(all).1);
     let recording = config.record.as_ref().map(|settings| {
         let recording = Recording::new(
--- a/src/bin/registry/http/route_table.rs
+++ b/src/bin/registry/http/route_table.rs
@@ -1,5 +1,6 @@
-//! `/registry/routes`, `/registry/reports`, `/registry/drift` and `/registry/traces`: the route table, proxies' reports,
-//! the drift of the fleet and recorded segments. All state is in `crate::route_table`; proposals go to the writer thread.
+//! `/registry/routes`, `/registry/reports`, `/registry/drift` and `/registry/traces`: the route table, proxies'
+//! reports, the drift of the fleet and recorded segments. All state is in `crate::route_table`; proposals go to the
+//! writer thread.
 
 use super::answer::{HandlerResult, Rejection, encoded, encoding_failed, json_page};
 use super::context::Context;
@@ -15,24 +16,24 @@
 use serde_json::json;
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// The duty whose holder makes proposals.
+/// The duty whose holder may make proposals.
 const PROPOSER_DUTY: &str = "routes";
 
-/// The paths of the route table.
+/// A path of the route table's HTTP interface.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum RouteTablePath {
-    /// The table and its proposals.
+    /// `/registry/routes`: the table and its proposals.
     Routes,
-    /// Proxies' reports.
+    /// `/registry/reports`: proxies' reports.
     Reports,
-    /// The findings of the drift detection.
+    /// `/registry/drift`: the findings of the drift detector.
     Drift,
-    /// Recorded segments.
+    /// `/registry/traces`: recorded segments.
     Traces,
 }
 
 impl RouteTablePath {
-    /// The path of a call, if it is one of these.
+    /// Parses the path of a call; `None` if it is not one of the route table's.
     pub(super) fn parse(path: &str) -> Option<RouteTablePath> {
         Some(match path {
             "/registry/routes" => RouteTablePath::Routes,
@@ -46,7 +47,7 @@
 
 /// The body of a proposal.
 #[derive(Deserialize)]
-// "Propose" is kept: it stands in error texts answered to callers ("expected struct Propose").
+// "Propose" is kept, since error texts in answers contain it ("expected struct Propose").
 #[serde(rename = "Propose", deny_unknown_fields)]
 struct ProposalBody {
     from: Revision,
@@ -57,7 +58,7 @@
     fence: Fence,
 }
 
-/// Passes a call to its handler.
+/// Dispatches a call to its handler by path and method.
 pub(super) async fn handle(
     path: RouteTablePath,
     request: Request<Incoming>,
@@ -95,8 +96,8 @@
     write_and_answer(WriteOperation::Proposal { proposal, fence }, &context.writes).await
 }
 
-/// GET `/registry/routes`: the state of the table, or with `name` the table of that proxy, for which it waits up to
-/// `wait_ms` while the proxy's is not older.
+/// GET `/registry/routes`: without a query, the state of the table. With `name`, the target table of that proxy; with
+/// `after` as well, it waits up to `wait_ms` for a table with a higher revision.
 async fn read_table(query: &str, service: &RouteTableService) -> HandlerResult {
     let WatchQuery { after, wait, name } =
         watch(query, "the table", &["name", "generation"]).map_err(Rejection::bad_request)?;
@@ -111,8 +112,8 @@
     loop {
         tables.borrow_and_update();
         let (revision, table) = service.table_for(&name).map_err(encoding_failed)?;
-        // Failure: a registry that lost its state has an older table, and would take the fleet back to it at once. An
-        // older revision than the proxy has ends no wait, and the proxy does not apply it.
+        // Failure: a registry that lost its state has an older table, and would return the fleet to it at once. A
+        // revision older than the proxy's therefore does not end the wait, and the proxy does not apply it.
         let is_newer = after.is_none_or(|after| revision > after);
         if is_newer || !matches!(timeout_at(deadline, tables.changed()).await, Ok(Ok(()))) {
             return Ok(encoded(table));
@@ -120,7 +121,7 @@
     }
 }
 
-/// PUT `/registry/reports`: a proxy's report.
+/// PUT `/registry/reports`: receives a proxy's report.
 async fn take_report(
     request: Request<Incoming>,
     service: &RouteTableService,
@@ -136,18 +137,18 @@
     }
 }
 
-/// GET `/registry/drift`: the findings. With `after` it waits until they have another version.
+/// GET `/registry/drift`: the findings. With `after` it waits up to `wait_ms` until they have another version.
 async fn read_drift(query: &str, service: &RouteTableService) -> HandlerResult {
     let WatchQuery { after, wait, .. } = watch(query, "drift", &[]).map_err(Rejection::bad_request)?;
     if let Some(after) = after {
         let mut findings = service.findings.subscribe();
-        // Any other version than the present one ends the wait: it is an older one, or one of an earlier start.
+        // Any version other than the present one ends the wait: it is older or from an earlier start of the registry.
         let _ = timeout(wait, findings.wait_for(|version| *version != after)).await;
     }
     json_page(&service.drift_page())
 }
 
-/// PUT `/registry/traces`: a recorded segment, as the proxy packed it.
+/// PUT `/registry/traces`: stores a recorded segment, as the proxy packed it.
 async fn store_segment(
     request: Request<Incoming>,
     service: &RouteTableService,
--- a/src/bin/registry/route_table/config.rs
+++ b/src/bin/registry/route_table/config.rs
@@ -1,5 +1,5 @@
-//! The keys under `[routes]` of the configuration file. Those in [`ServiceConfig`] are the registry's; all others are read
-//! by the library, and an unknown key is an error there.
+//! The keys under `[routes]` of the configuration file. Those in [`ServiceConfig`] are the registry's; all others are
+//! read by the library, and an unknown key is an error there.
 
 use load_balancer::replay::Bounds;
 use load_balancer::route_table::{Config as ControlConfig, ConfigError};
@@ -10,37 +10,37 @@
 #[derive(Deserialize, Clone, Debug, Default)]
 #[serde(try_from = "toml::Table")]
 pub(crate) struct RoutesConfig {
-    /// The registry's keys.
+    /// The registry's own keys.
     pub(crate) service: ServiceConfig,
-    /// The library's keys: those of the rollout and of the drift detection.
+    /// The library's keys: those of rollouts and of the drift detector.
     pub(super) control: ControlConfig,
 }
 
-/// The registry's keys.
+/// The registry's own keys under `[routes]`.
 #[derive(Deserialize, Clone, Debug)]
 #[serde(deny_unknown_fields, default)]
 pub(crate) struct ServiceConfig {
     /// Whether the route table is hosted.
     pub(crate) enabled: bool,
-    /// Most bytes of recorded segments on disk; the oldest are removed first.
+    /// Maximum size, in bytes, of the recorded segments on disk; the oldest are removed first.
     pub(super) ring_bytes: u64,
-    /// Age, in milliseconds, at which a recorded segment is removed, and from which on it is not accepted.
+    /// Maximum age of a recorded segment, in milliseconds; older segments are removed and not accepted.
     pub(super) keep_ms: u64,
-    /// Most recorded requests that an evaluation reads, the newest ones.
+    /// Maximum number of recorded requests that an evaluation reads, the newest ones.
     pub(super) judge_requests: usize,
-    /// Replays of each table in an evaluation.
+    /// Number of replays of each table in an evaluation, with one seed each.
     pub(super) judge_seeds: usize,
-    /// Threads of an evaluation.
+    /// Number of threads of an evaluation.
     pub(super) judge_threads: usize,
-    /// Proxies that are expected to record; 0 for the number in their settings.
+    /// Number of proxies that are expected to record; 0 for the number in their settings.
     pub(super) fleet: usize,
-    /// The tier's place in the settings, where there are several.
+    /// Index of the tier in the settings, where there are several.
     pub(super) tier: Option<u32>,
-    /// The bounds that an accepted proposal must keep.
+    /// Bounds that a replay must keep for its proposal to be admitted.
     pub(super) bounds: Bounds,
 }
 
-/// The names of the registry's keys.
+/// Names of the registry's own keys.
 const SERVICE_KEYS: [&str; 9] = [
     "enabled",
     "ring_bytes",
@@ -69,21 +69,21 @@
     }
 }
 
-/// What is wrong with a key. The text ends the start.
+/// A fault in a key under `[routes]`. The registry does not start and reports the text.
 #[derive(Error, Debug)]
 pub(crate) enum RoutesConfigError {
-    /// An unknown key, or a value of another kind.
+    /// A key is unknown, or its value has the wrong type.
     #[error("routes: {0}")]
     Key(#[from] toml::de::Error),
-    /// A value of the library's keys is out of range.
+    /// The value of one of the library's keys is out of range.
     #[error(transparent)]
     Control(#[from] ConfigError),
-    /// A value of the registry's keys is out of range.
+    /// The value of one of the registry's own keys is out of range.
     #[error("routes.{key}: must be {range}; set it or leave it out for its default")]
     Range {
-        /// The key.
+        /// Key as written in the file.
         key: &'static str,
-        /// The allowed range.
+        /// Allowed range of the key.
         range: &'static str,
     },
 }
--- a/src/bin/registry/route_table/decisions.rs
+++ b/src/bin/registry/route_table/decisions.rs
@@ -1,27 +1,29 @@
-//! The library's decisions on the route table, with the list of backends that they rest on.
+//! The state machine of the route table, with the list of backends that its decisions are based on.
 
 use crate::store::State;
 use load_balancer::catalog::{Entry, ServiceName};
 use load_balancer::route_table::{Backend, Control};
 
-/// The decisions and what they rest on.
+/// The state machine of the route table and the list of backends that it currently has.
 pub(super) struct Decisions {
+    /// State machine that makes the decisions.
     pub(super) control: Control,
-    /// The listed backends, sorted by host.
+    /// Listed backends, sorted by host.
     pub(super) backends: Vec<Backend>,
-    /// The version of the list that `backends` is from.
+    /// Version of the list that `backends` was read from.
     pub(super) list_version: u64,
-    /// When the next tick is due, Unix time in milliseconds.
+    /// Time of the next tick, Unix time in milliseconds.
     pub(super) next_tick_ms: u64,
 }
 
 impl Decisions {
-    /// Decisions that no list has been given to yet.
+    /// Wraps a state machine that has no list of backends yet.
     pub(super) fn new(control: Control) -> Decisions {
         Decisions { control, backends: Vec::new(), list_version: 0, next_tick_ms: 0 }
     }
 
-    /// Takes over the list of backends if it has changed. The table is for the unnamed service, so it is that one's list.
+    /// Updates the list of backends if it has changed. The route table belongs to the unnamed service, so this is the
+    /// list of that service.
     pub(super) fn follow_list(&mut self, state: &State) {
         let service = ServiceName::default();
         let version = state.catalog.version(&service);
--- a/src/bin/registry/route_table/evaluation.rs
+++ b/src/bin/registry/route_table/evaluation.rs
@@ -1,8 +1,8 @@
 //! The thread that evaluates proposals by replaying recorded requests, one proposal at a time.
 //!
-//! It runs at the lowest priority, since an evaluation takes seconds to minutes and lists, watches and writes go before
-//! it. A new evaluation cancels the one that runs. The verdict stays here until the writer thread takes it, in the
-//! route table's next tick.
+//! The thread runs at the lowest priority, since an evaluation takes seconds to minutes and must not delay lists,
+//! watches and writes. A new evaluation cancels the one that is running. The verdict is kept here until the writer
+//! thread takes it, in the route table's next tick.
 
 use super::trace_ring::TraceRing;
 use crate::error::StartError;
@@ -16,15 +16,15 @@
 use std::time::Instant;
 use tracing::{error, info, warn};
 
-/// The lowest priority that the system has (nice value).
+/// The lowest scheduling priority of the system, as a nice value.
 const LOWEST_PRIORITY: i32 = 19;
 
-/// One evaluation, as the thread and the operators' page see it.
+/// The state of one evaluation, shared by the thread and the operators' page.
 #[derive(Clone)]
 struct Evaluation {
     revision: Revision,
     cancelled: Arc<AtomicBool>,
-    /// The part that is done, in thousandths.
+    /// Completed part of the evaluation, in thousandths.
     progress: Arc<AtomicU32>,
     failed: Arc<AtomicBool>,
     started: Instant,
@@ -49,28 +49,28 @@
         self.cancelled.load(Ordering::Relaxed)
     }
 
-    /// Sets the part that is done, 0 to 1.
+    /// Sets the completed part of the evaluation, from 0 to 1.
     fn set_progress(&self, part: f64) {
         self.progress.store((part.clamp(0.0, 1.0) * 1000.0) as u32, Ordering::Relaxed);
     }
 }
 
-/// An evaluation on its way to the thread.
+/// An evaluation that is queued for the thread.
 struct EvaluationRequest {
     evaluation: Evaluation,
     job: Job,
 }
 
-/// What the evaluator and its thread share.
+/// The state that the evaluator and its thread share.
 #[derive(Default)]
 struct EvaluatorState {
-    /// The evaluation that waits, runs, has failed or has ended with the verdict below.
+    /// Newest evaluation, which is queued, running, failed or completed with `verdict`.
     current: Option<Evaluation>,
-    /// Its verdict, until it is taken.
+    /// Verdict of the current evaluation, until it is taken.
     verdict: Option<Verdict>,
 }
 
-/// The evaluating thread and the verdict that it has reached. The thread ends when this is dropped.
+/// The handle of the evaluation thread and its verdict. The thread ends when the handle is dropped.
 pub(super) struct Evaluator {
     state: Arc<Mutex<EvaluatorState>>,
     requests: Sender<EvaluationRequest>,
@@ -81,7 +81,8 @@
 }
 
 impl Evaluator {
-    /// Starts the thread. It reads at most `max_requests` recorded requests from the ring for one evaluation.
+    /// Starts the evaluation thread, which reads at most `max_requests` recorded requests from the ring for each
+    /// evaluation.
     pub(super) fn start(ring: Arc<TraceRing>, max_requests: usize) -> Result<Evaluator, StartError> {
         let (requests, queue) = channel();
         let state = Arc::<Mutex<EvaluatorState>>::default();
@@ -93,7 +94,7 @@
         Ok(Evaluator { state, requests })
     }
 
-    /// Starts the evaluation of a revision, and cancels the one before.
+    /// Queues the evaluation of a revision, and cancels the previous one.
     pub(super) fn begin(&self, revision: Revision, job: Job) {
         let evaluation = Evaluation::new(revision);
         let mut state = lock(&self.state);
@@ -104,12 +105,12 @@
         if self.requests.send(EvaluationRequest { evaluation, job }).is_err() {
             error!(
                 revision,
-                "the judging thread has ended: restart the registry, or propose with an override"
+                "the evaluation thread has ended, the proposal gets no verdict: restart the registry, or propose with an override"
             );
         }
     }
 
-    /// Cancels the evaluation of a revision, and drops its verdict.
+    /// Cancels the evaluation of a revision, if it is the current one, and drops its verdict.
     pub(super) fn cancel(&self, revision: Revision) {
         let mut state = lock(&self.state);
         if let Some(evaluation) = state.current.take_if(|current| current.revision == revision) {
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Takes the verdict, once there is one.
+    /// Takes the verdict of the current evaluation, if it is complete.
     pub(super) fn take_verdict(&self) -> Option<Verdict> {
         let mut state = lock(&self.state);
         let verdict = state.verdict.take()?;
@@ -126,7 +127,7 @@
         Some(verdict)
     }
 
-    /// The present evaluation, for operators.
+    /// The current evaluation as JSON, for the operators' page.
     pub(super) fn page(&self) -> Option<Value> {
         let state = lock(&self.state);
         let current = state.current.as_ref()?;
@@ -148,35 +149,38 @@
     ring: &TraceRing,
     max_requests: usize,
 ) {
-    // The priority is that of this thread and of the threads that it starts, not of the process.
+    // This sets the priority of the present thread and of the threads that it starts, not of the process.
     if let Err(e) = rustix::process::setpriority_process(None, LOWEST_PRIORITY) {
-        warn!(error = %e, "judging runs at the priority of all else");
+        warn!(error = %e, "cannot lower the priority of the evaluation thread: evaluations compete with lists, watches and writes for the processor");
     }
     while let Ok(EvaluationRequest { evaluation, job }) = queue.recv() {
-        // Failure: a panic in the replay would end this thread, and every later proposal would wait for a verdict in
-        // vain. It is caught, and the operators' page says `failed`. The replay shares no state that it could leave
-        // half changed.
+        // Failure: a panic in the replay would end this thread, and later proposals would never get a verdict. It is
+        // caught, and the operators' page shows `failed`. The replay shares no state that a panic could leave
+        // inconsistent.
         let result = catch_unwind(AssertUnwindSafe(|| evaluate(&evaluation, &job, ring, max_requests)));
         let mut state = lock(state);
         match result {
             Ok(verdict) if !evaluation.is_cancelled() => state.verdict = verdict,
-            Ok(_) => info!(revision = evaluation.revision, "judging ended: overtaken"),
+            Ok(_) => info!(
+                revision = evaluation.revision,
+                "evaluation cancelled: its proposal was superseded, ended or must be evaluated again"
+            ),
             Err(_) => {
                 evaluation.failed.store(true, Ordering::Relaxed);
                 error!(
                     revision = evaluation.revision,
-                    "the replay failed: propose again, or with an override"
+                    "the replay panicked, the proposal gets no verdict: propose again, or with an override"
                 );
             }
         }
     }
 }
 
-/// The verdict on a proposal; `None` once cancelled.
+/// Replays the recorded requests and returns the verdict on a proposal, or `None` once cancelled.
 fn evaluate(evaluation: &Evaluation, job: &Job, ring: &TraceRing, max_requests: usize) -> Option<Verdict> {
     let is_cancelled = || evaluation.is_cancelled();
     let progress = |part: f64| evaluation.set_progress(part);
     let segments = ring.newest(job.bounds.span_ms, max_requests, &is_cancelled)?;
-    info!(revision = evaluation.revision, segments = segments.len(), "judging a proposal");
+    info!(revision = evaluation.revision, segments = segments.len(), "evaluating a proposal by replay");
     judge(job, &segments, &progress, &is_cancelled)
 }
--- a/src/bin/registry/route_table/page_cache.rs
+++ b/src/bin/registry/route_table/page_cache.rs
@@ -1,13 +1,14 @@
-//! Encoded tables. After a change all proxies ask for the same few; each is encoded once.
+//! A cache of encoded tables. After a change all proxies request the same few tables, and each is encoded once.
 
 use bytes::Bytes;
 use load_balancer::route_table::{Revision, Table, Weights};
 use serde::Serialize;
 
-/// Encoded tables that are kept: the one in force and the one that is rolled out, each also from before the last change.
+/// Number of encoded tables that are kept: the one in force and the one that is being rolled out, each also as it was
+/// before the last change.
 const MAX_PAGES: usize = 4;
 
-/// A table as it is answered to a proxy. The order of fields is that of the JSON keys.
+/// A table in the form that a proxy receives. The order of fields is that of the JSON keys.
 #[derive(Serialize)]
 struct TablePage<'a> {
     revision: Revision,
@@ -16,19 +17,19 @@
     newest: Revision,
 }
 
-/// An encoded table, which depends on its revision and on the newest one.
+/// An encoded table. Its key is its revision and the newest revision, which the body contains.
 struct CachedPage {
     revision: Revision,
     newest: Revision,
     body: Bytes,
 }
 
-/// The tables encoded last, oldest first.
+/// The most recently encoded tables, oldest first.
 #[derive(Default)]
 pub(super) struct PageCache(Vec<CachedPage>);
 
 impl PageCache {
-    /// The table as JSON, with `newest` as the newest revision that there is.
+    /// Returns the table as JSON, with `newest` as the newest revision, and encodes it if it is not cached.
     pub(super) fn get(&mut self, table: &Table, newest: Revision) -> serde_json::Result<Bytes> {
         let Table { revision, weights, digest, .. } = table;
         let is_same = |page: &&CachedPage| page.revision == *revision && page.newest == newest;
--- a/src/bin/registry/route_table/pages.rs
+++ b/src/bin/registry/route_table/pages.rs
@@ -7,20 +7,20 @@
 /// The page of the table's state. The order of fields is that of the JSON keys.
 #[derive(Serialize)]
 pub(crate) struct RoutesPage {
-    /// The state.
+    /// State of the table and its proposals.
     #[serde(flatten)]
     pub(super) state: StatePage,
-    /// The present evaluation, if one runs.
+    /// Current evaluation, if there is one.
     #[serde(rename = "judging")]
     pub(super) evaluation: Option<Value>,
 }
 
-/// The page of the findings. The order of fields is that of the JSON keys.
+/// The page of the drift findings. The order of fields is that of the JSON keys.
 #[derive(Serialize)]
 pub(crate) struct FindingsPage {
-    /// The version of the findings.
+    /// Version of the findings, which watches compare.
     pub(super) version: u64,
-    /// The drift of the fleet.
+    /// Drift of the fleet.
     #[serde(flatten)]
     pub(super) drift: DriftPage,
 }
--- a/src/bin/registry/route_table/service.rs
+++ b/src/bin/registry/route_table/service.rs
@@ -1,4 +1,5 @@
-//! [`RouteTableService`]: the library's decisions with the clock, the list, the threads and the log around them.
+//! [`RouteTableService`]: connects the state machine of the route table to the clock, the list of backends, the threads
+//! and the log.
 
 use super::clock::Clock;
 use super::config::{RoutesConfig, ServiceConfig};
@@ -22,36 +23,36 @@
 use tokio::sync::watch;
 use tracing::{debug, info, warn};
 
-/// Time between two ticks of the decisions, in milliseconds.
+/// Interval between two ticks of the state machine, in milliseconds.
 const TICK_INTERVAL_MS: u64 = 250;
 
-/// A record that is too long to be read again from the log. The text is answered to the proposer.
+/// A record is too long to be read back from the log. The text is sent to the proposer.
 #[derive(Error, Clone, Debug, PartialEq)]
 #[error(
     "the table takes {bytes} bytes on disk, at most {MAX_RECORD_BYTES}: say it by class or zone, or with shorter names"
 )]
 pub(crate) struct TooLong {
-    /// The record's length on disk.
+    /// Length of the record on disk.
     bytes: usize,
 }
 
-/// The route table, its rollout and the drift of the fleet.
+/// The service that hosts the route table, its rollouts and the drift detector.
 pub(crate) struct RouteTableService {
     config: ServiceConfig,
     clock: Clock,
     decisions: Mutex<Decisions>,
     evaluator: Evaluator,
     pages: Mutex<PageCache>,
-    /// The recorded segments.
+    /// Recorded segments.
     pub(crate) traces: Traces,
-    /// Rises when any proxy's table changes; watches of tables wait on it.
+    /// Version of the target tables; it rises when any proxy's table changes, and watches of tables wait on it.
     pub(crate) tables: watch::Sender<u64>,
-    /// Rises when a finding is raised or cleared; watches of the drift page wait on it.
+    /// Version of the findings; it rises when one is raised or cleared, and watches of the drift page wait on it.
     pub(crate) findings: watch::Sender<u64>,
 }
 
 impl RouteTableService {
-    /// Continues from the newest record on disk, and starts the threads for segments and for evaluations.
+    /// Resumes from the newest record on disk, and starts the threads for segments and for evaluations.
     pub(crate) fn start(
         config: RoutesConfig,
         state: &State,
@@ -83,13 +84,13 @@
         self.decisions.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// The present Unix time in milliseconds; it never falls.
+    /// The present Unix time in milliseconds; it never decreases.
     pub(crate) fn now_ms(&self) -> u64 {
         self.clock.now_ms()
     }
 
-    /// Decides on a proposal. Its record is to be written, then passed to [`RouteTableService::settle`]. Called by the
-    /// writer thread.
+    /// Accepts or refuses a proposal. The caller, which is the writer thread, writes the returned record and passes it
+    /// to [`RouteTableService::settle`].
     pub(crate) fn propose(
         &self,
         proposal: Proposal,
@@ -101,8 +102,8 @@
         control.propose(self.now_ms(), proposal, backends)
     }
 
-    /// Takes the verdict of an evaluation, and decides what is due by now, such as the next stage of a rollout. A
-    /// decision's record is to be written, then passed to [`RouteTableService::settle`]. Called by the writer thread.
+    /// Takes the verdict of an evaluation, and makes the decision that is due, such as the next stage of a rollout. The
+    /// caller, which is the writer thread, writes the returned record and passes it to [`RouteTableService::settle`].
     pub(crate) fn tick(&self, state: &State) -> Option<RouteRecord> {
         let now_ms = self.now_ms();
         let mut decisions = self.decisions();
@@ -114,17 +115,17 @@
         let mut effects = Vec::new();
         if let Some(verdict) = self.evaluator.take_verdict() {
             info!(from = verdict.from, digest = verdict.digest, requests = verdict.requests,
-                decision = %json!(verdict.decision), "proposal judged");
+                decision = %json!(verdict.decision), "proposal evaluated");
             match decisions.control.receive_verdict(now_ms, verdict) {
                 Ok(more) => effects.extend(more),
-                Err(stale) => debug!(%stale, "verdict passed over"),
+                Err(stale) => debug!(%stale, "verdict ignored"),
             }
         }
         effects.extend(decisions.control.tick(now_ms));
         self.run_effects(&decisions, effects)
     }
 
-    /// Carries out a decision whose record is on disk, or undoes one whose record could not be written. Called by the
+    /// Carries out a decision whose record is on disk, or discards one whose record could not be written. Called by the
     /// writer thread.
     pub(crate) fn settle(&self, record: RouteRecord, is_on_disk: bool) {
         let mut decisions = self.decisions();
@@ -140,13 +141,13 @@
         self.run_effects(&decisions, effects);
     }
 
-    /// Whether a record is short enough to be read again from the log.
+    /// Checks that a record is short enough to be read back from the log.
     pub(crate) fn check_length(record: &RouteRecord) -> Result<(), TooLong> {
         let bytes = Record::Routes(Box::new(record.clone())).encode().map_or(usize::MAX, |text| text.len());
         if bytes <= MAX_RECORD_BYTES { Ok(()) } else { Err(TooLong { bytes }) }
     }
 
-    /// Carries out the effects of a decision. Returns the record that is to be written, if there is one.
+    /// Carries out effects, and returns the record that must be written, if there is one.
     fn run_effects(&self, decisions: &Decisions, effects: Vec<Effect>) -> Option<RouteRecord> {
         let mut record = None;
         for effect in effects {
@@ -172,7 +173,7 @@
         record
     }
 
-    /// The evaluation of a table against the one in force.
+    /// The job that evaluates a table against the one in force.
     fn job(&self, decisions: &Decisions, table: Table, in_force: Table) -> Job {
         let listed = decisions.backends.iter().cloned();
         Job {
@@ -193,13 +194,13 @@
         }
     }
 
-    /// Takes in a proxy's report.
+    /// Passes a proxy's report to the drift detector and the current stage of a rollout.
     pub(crate) fn report(&self, report: Report) -> Result<(), ReportError> {
         let mut decisions = self.decisions();
         decisions.control.receive_report(self.now_ms(), report)
     }
 
-    /// The table that a proxy is to use, by the proxy's name: its revision and the table as JSON.
+    /// The revision of a proxy's target table and the table as JSON, by the proxy's name.
     pub(crate) fn table_for(&self, proxy: &str) -> serde_json::Result<(Revision, Bytes)> {
         let decisions = self.decisions();
         let table = decisions.control.target_table(proxy);
@@ -208,12 +209,12 @@
         Ok((table.revision, pages.get(table, newest)?))
     }
 
-    /// The state of the table and of the present evaluation, for operators.
+    /// The operators' page of the table and the current evaluation.
     pub(crate) fn state_page(&self) -> RoutesPage {
         RoutesPage { state: self.decisions().control.state_page(), evaluation: self.evaluator.page() }
     }
 
-    /// The version of the findings, and the drift of the fleet, for operators.
+    /// The operators' page of the findings with their version, and of the fleet's drift.
     pub(crate) fn drift_page(&self) -> FindingsPage {
         let decisions = self.decisions();
         let version = *self.findings.borrow();
--- a/src/bin/registry/route_table/trace_index.rs
+++ b/src/bin/registry/route_table/trace_index.rs
@@ -1,30 +1,30 @@
-//! The index of the stored segments, in memory, and the page that operators see of it.
+//! The in-memory index of the stored segments, and the operators' page of it.
 
 use load_balancer::replay::Segment;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
-/// Segments that were rejected, skipped or removed since the start.
+/// Counts of the segments that were rejected, skipped or removed since the start.
 #[derive(Serialize, Clone, Copy, Debug, Default)]
 pub(super) struct SegmentCounts {
-    /// Cut short, or with a checksum that does not match.
+    /// Number of segments that were cut short or whose checksum did not match.
     pub(super) torn: u64,
-    /// Of a form that is not allowed, or too long.
+    /// Number of segments with invalid contents or above a length limit.
     pub(super) invalid: u64,
-    /// Older than segments are kept.
+    /// Number of segments that were older than segments are kept.
     pub(super) late: u64,
-    /// Of a time after this registry's clock.
+    /// Number of segments that ended after this registry's clock.
     pub(super) ahead: u64,
-    /// Stored already.
+    /// Number of segments that were stored already.
     pub(super) repeated: u64,
-    /// Unreadable on disk at the start.
+    /// Number of segments that were unreadable on disk at the start.
     #[serde(rename = "spoilt")]
     pub(super) corrupt: u64,
-    /// Removed for their age, or for newer ones.
+    /// Number of segments that were removed for their age or to make room for newer ones.
     pub(super) aged_out: u64,
 }
 
-/// Identifies a segment: the proxy, its process and the segment's number in it.
+/// The identity of a segment: the proxy, the process's generation and the segment's number within it.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub(super) struct SegmentKey {
     proxy: String,
@@ -32,25 +32,26 @@
     number: u64,
 }
 
-/// A stored segment without its requests.
+/// The description of a stored segment, without its requests.
 pub(super) struct SegmentInfo {
-    /// The number in its file name.
+    /// Number in the segment's file name.
     pub(super) file: u64,
-    /// Its length on disk.
+    /// Length of the segment on disk, in bytes.
     pub(super) bytes: u64,
+    /// Identity of the segment.
     pub(super) key: SegmentKey,
-    /// First and last arrival that it can hold, in milliseconds by the proxy's clock.
+    /// First and last arrival time that the segment can hold, in milliseconds by the proxy's clock.
     pub(super) span_ms: (f64, f64),
-    /// Requests that the proxy saw in the span.
+    /// Number of requests that the proxy saw in the span.
     seen: u64,
-    /// Requests that were sampled but not recorded, since the proxy's buffer was full.
+    /// Number of requests that were sampled but not recorded, since the proxy's buffer was full.
     dropped: u64,
-    /// Requests that it holds.
+    /// Number of requests that the segment holds.
     pub(super) traces: usize,
 }
 
 impl SegmentInfo {
-    /// Describes a segment in a file.
+    /// Describes a segment that is stored in a file.
     pub(super) fn new(file: u64, bytes: u64, segment: &Segment) -> SegmentInfo {
         let key = SegmentKey {
             proxy: segment.name.clone(),
@@ -69,16 +70,17 @@
     }
 }
 
-/// The stored segments, oldest first.
+/// The index of the stored segments, oldest first.
 #[derive(Default)]
 pub(super) struct TraceIndex {
     /// Whether the directory has been read.
     pub(super) loaded: bool,
-    /// The number of the next file.
+    /// Number of the next file.
     pub(super) next_file: u64,
     segments: VecDeque<SegmentInfo>,
     keys: HashSet<SegmentKey>,
     bytes: u64,
+    /// Counts of the segments that are not stored.
     pub(super) counts: SegmentCounts,
 }
 
@@ -88,12 +90,12 @@
         &self.segments
     }
 
-    /// Their length on disk, in bytes.
+    /// Total length of the stored segments on disk, in bytes.
     pub(super) fn bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// Whether a segment is stored already.
+    /// Whether a segment is in the index.
     pub(super) fn contains(&self, key: &SegmentKey) -> bool {
         self.keys.contains(key)
     }
@@ -105,7 +107,7 @@
         self.segments.push_back(segment);
     }
 
-    /// Removes the oldest segment.
+    /// Removes and returns the oldest segment.
     pub(super) fn pop_oldest(&mut self) -> Option<SegmentInfo> {
         let segment = self.segments.pop_front()?;
         self.bytes -= segment.bytes;
@@ -113,7 +115,7 @@
         Some(segment)
     }
 
-    /// The page for operators; `max_bytes` is the bound on the segments' length.
+    /// The operators' page; `max_bytes` is the bound on the total length of the segments.
     pub(super) fn page(&self, max_bytes: u64) -> RingPage {
         let segments = &self.segments;
         let proxies: HashSet<&str> = segments.iter().map(|segment| segment.key.proxy.as_str()).collect();
@@ -136,7 +138,7 @@
         }
     }
 
-    /// Segments that are missing between the first and the last number of each process.
+    /// Counts the segments that are missing between the first and the last number of each process.
     fn missing(&self) -> u64 {
         let mut by_process: BTreeMap<(&str, u64), NumberRange> = BTreeMap::new();
         for SegmentInfo { key, .. } in &self.segments {
@@ -155,19 +157,19 @@
     }
 }
 
-/// The numbers of one process's stored segments.
+/// The range of the numbers of one process's stored segments.
 struct NumberRange {
     first: u64,
     last: u64,
     stored: u64,
 }
 
-/// A sum of figures that proxies sent, which may be of any size.
-fn saturating_sum(figures: impl Iterator<Item = u64>) -> u64 {
-    figures.fold(0, u64::saturating_add)
+/// Sums numbers that proxies sent, which may be of any size, with saturation.
+fn saturating_sum(numbers: impl Iterator<Item = u64>) -> u64 {
+    numbers.fold(0, u64::saturating_add)
 }
 
-/// The stored segments, for operators. The order of fields is that of the JSON keys.
+/// The operators' page of the stored segments. The order of fields is that of the JSON keys.
 #[derive(Serialize)]
 pub(crate) struct RingPage {
     loaded: bool,
@@ -176,17 +178,17 @@
     #[serde(rename = "most_bytes")]
     max_bytes: u64,
     proxies: usize,
-    /// Requests that the proxies saw in the segments' spans.
+    /// Number of requests that the proxies saw in the segments' spans.
     seen: u64,
-    /// Requests that the segments hold.
+    /// Number of requests that the segments hold.
     recorded: u64,
-    /// Requests that were sampled but not recorded.
+    /// Number of requests that were sampled but not recorded.
     dropped: u64,
-    /// Segments missing among the numbers of the stored ones.
+    /// Number of segments that are missing between the numbers of the stored ones.
     missing: u64,
-    /// The stored part of all that should be there.
+    /// Stored share of the stored and missing segments.
     coverage: f64,
-    /// First and last arrival that the segments can hold, in milliseconds by the proxies' clocks.
+    /// First and last arrival time that the segments can hold, in milliseconds by the proxies' clocks.
     span_ms: Option<(f64, f64)>,
     #[serde(rename = "left_out")]
     counts: SegmentCounts,
--- a/src/bin/registry/route_table/trace_ring.rs
+++ b/src/bin/registry/route_table/trace_ring.rs
@@ -1,10 +1,10 @@
-//! The ring of recorded segments on disk: one file each under `traces/`, bounded in bytes and age, the oldest removed
-//! first.
+//! The ring of recorded segments on disk: one file per segment under `traces/`, bounded in bytes and age. The oldest
+//! segments are removed first.
 //!
-//! The thread "traces" alone writes; evaluations and the operators' page read meanwhile. Files are not synced. Failure: a
-//! power cut leaves a file that is cut short or has old contents. How it shows: its checksum does not match at the next
-//! start, and it is removed and counted as `spoilt`. Why that is enough: a segment is a sample, and the missing number
-//! is stated as a gap in its proxy's segments.
+//! Only the thread "traces" writes; evaluations and the operators' page may read at the same time. Files are not
+//! synced. Failure: a power cut leaves a file that is cut short or has old contents. Its checksum does not match at the
+//! next start, so it is removed and counted as `spoilt`. That is sufficient, since a segment is only a sample and the
+//! missing number is reported as a gap in its proxy's segments.
 
 use super::segment_error::{SegmentError, SkipReason};
 use super::trace_index::{RingPage, SegmentInfo, TraceIndex};
@@ -14,19 +14,19 @@
 use std::sync::{Condvar, Mutex, MutexGuard};
 use tracing::{info, warn};
 
-/// Most segments that are stored, however small.
+/// Maximum number of stored segments, however small they are.
 const MAX_SEGMENTS: usize = 1 << 16;
-/// How far a proxy's clock may be ahead of the registry's.
+/// Maximum lead of a proxy's clock over the registry's, in milliseconds.
 const MAX_CLOCK_AHEAD_MS: f64 = 60_000.0;
-/// How long before the requests that are replayed segments are read from: clocks differ, and each proxy cuts its segments
-/// at times of its own.
+/// Margin, in milliseconds, before the replayed time span from which segments are also read: clocks differ, and each
+/// proxy cuts its segments at different times.
 const READ_MARGIN_MS: f64 = 2.0 * MAX_CLOCK_AHEAD_MS;
 
-/// The ring.
+/// The ring of recorded segments.
 pub(crate) struct TraceRing {
     directory: PathBuf,
     max_bytes: u64,
-    /// Age at which a segment is removed, in milliseconds.
+    /// Maximum age of a segment, in milliseconds.
     keep_ms: u64,
     index: Mutex<TraceIndex>,
     /// Signals that the directory has been read.
@@ -34,7 +34,7 @@
 }
 
 impl TraceRing {
-    /// A ring over a directory, which [`TraceRing::load`] has to read.
+    /// Creates a ring over a directory. [`TraceRing::load`] must be called to read the directory.
     pub(super) fn new(directory: &Path, max_bytes: u64, keep_ms: u64) -> TraceRing {
         TraceRing {
             directory: directory.to_path_buf(),
@@ -53,7 +53,7 @@
         self.directory.join(format!("{file:016}.seg"))
     }
 
-    /// Reads the segments that an earlier process stored. Unreadable ones are removed and counted.
+    /// Indexes the segments that an earlier process stored. Unreadable ones are removed and counted.
     pub(super) fn load(&self) {
         for file in self.list_files() {
             self.load_file(file);
@@ -70,13 +70,13 @@
         self.loaded.notify_all();
     }
 
-    /// The numbers of the segment files, oldest first. Files of other names, such as a segment that was being written,
-    /// are removed.
+    /// Lists the numbers of the segment files, oldest first. Files with other names, such as a segment that was being
+    /// written, are removed.
     fn list_files(&self) -> Vec<u64> {
         let paths: Vec<PathBuf> = match fs::read_dir(&self.directory) {
             Ok(entries) => entries.flatten().map(|entry| entry.path()).collect(),
             Err(e) => {
-                warn!(error = %e, dir = %self.directory.display(), "recorded segments cannot be read");
+                warn!(error = %e, dir = %self.directory.display(), "cannot list the recorded segments, starting without them");
                 Vec::new()
             }
         };
@@ -108,7 +108,8 @@
         self.evict(&mut index, 0.0);
     }
 
-    /// Stores a segment that arrived at `now_ms`, Unix time, unless it is stored already or too old.
+    /// Stores a segment that arrived at `now_ms` (Unix time in milliseconds). Returns the reason if the segment is
+    /// skipped, since it is stored already or too old.
     pub(super) fn store(&self, packed: &[u8], now_ms: u64) -> Result<Option<SkipReason>, SegmentError> {
         let segment = Segment::decode(packed).inspect_err(|bad| self.count_bad(bad))?;
         let now_ms = now_ms as f64;
@@ -129,7 +130,7 @@
             return Ok(Some(SkipReason::Late));
         }
         index.next_file += 1;
-        // Readers may use the index during the write; the file is not in it yet, and no other thread writes.
+        // Readers may use the index during the write: the file is not in it yet, and no other thread writes.
         drop(index);
         let temporary = self.directory.join("segment.tmp");
         fs::write(&temporary, packed)?;
@@ -150,7 +151,8 @@
         }
     }
 
-    /// Removes the oldest segments until the others are within the bounds and none of the oldest ends before `oldest_ms`.
+    /// Removes the oldest segments until the rest is within the bounds and the oldest one does not end before
+    /// `oldest_ms`.
     fn evict(&self, index: &mut TraceIndex, oldest_ms: f64) {
         while let Some(oldest) = index.segments().front() {
             let is_within_bounds = index.bytes() <= self.max_bytes && index.segments().len() <= MAX_SEGMENTS;
@@ -160,13 +162,13 @@
             let Some(removed) = index.pop_oldest() else { return };
             index.counts.aged_out += 1;
             if let Err(e) = fs::remove_file(self.path(removed.file)) {
-                warn!(error = %e, file = removed.file, "a segment stays on the disk");
+                warn!(error = %e, file = removed.file, "cannot remove an evicted segment file: it stays on disk and is read again at the next start");
             }
         }
     }
 
-    /// Reads the newest segments: those that end within `span_ms` of the newest, and of them as many as hold
-    /// `max_requests` together, but at least one. Sorted by proxy, process and number; `None` once cancelled.
+    /// Reads the newest segments: those that end within `span_ms` of the newest one, up to `max_requests` requests in
+    /// total but at least one segment. The result is sorted by proxy, process and number; it is `None` once cancelled.
     pub(super) fn newest(
         &self,
         span_ms: f64,
@@ -186,7 +188,7 @@
             if is_cancelled() {
                 return None;
             }
-            // A file removed meanwhile by the ring's bounds is a gap like any other.
+            // A file that was evicted since is a gap like any other missing segment.
             let bytes = fs::read(self.path(candidate.file)).ok();
             segments.extend(bytes.and_then(|bytes| Segment::decode(&bytes).ok()));
         }
@@ -194,7 +196,7 @@
         Some(segments)
     }
 
-    /// The stored segments, the one that ended last first. Waits until the directory has been read.
+    /// Lists the stored segments, sorted from the latest end to the earliest. Waits until the directory has been read.
     fn newest_first(&self) -> Vec<Candidate> {
         let index = self.loaded.wait_while(self.index(), |index| !index.loaded);
         let index = index.unwrap_or_else(|poisoned| poisoned.into_inner());
@@ -209,7 +211,7 @@
         candidates
     }
 
-    /// The page for operators.
+    /// The operators' page of the ring.
     pub(crate) fn page(&self) -> RingPage {
         self.index().page(self.max_bytes)
     }
@@ -222,7 +224,7 @@
     file: u64,
 }
 
-/// The number in a segment file's name.
+/// Parses the number in a segment file's name; `None` for other files.
 fn file_number(path: &Path) -> Option<u64> {
     path.file_name()?.to_str()?.strip_suffix(".seg")?.parse().ok()
 }
--- a/src/bin/registry/route_table/traces.rs
+++ b/src/bin/registry/route_table/traces.rs
@@ -1,4 +1,4 @@
-//! The thread that stores recorded segments, so that decoding, checksums and the disk delay no other call.
+//! The thread that stores recorded segments, so that decoding, checksums and disk writes do not delay other calls.
 
 use super::segment_error::{SegmentError, SkipReason};
 use super::trace_ring::TraceRing;
@@ -9,30 +9,30 @@
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
 use tokio::sync::oneshot;
 
-/// Most segments that wait for the thread.
+/// Maximum number of segments that are queued for the thread.
 const MAX_QUEUED_SEGMENTS: usize = 8;
 
-/// Whether a segment was stored: `None` if it was, the reason if it is sound but was skipped.
+/// The outcome of storing a segment: `None` if it was stored, the reason if it is valid but was skipped.
 pub(crate) type SegmentOutcome = Result<Option<SkipReason>, SegmentError>;
 
-/// A segment on its way to the thread.
+/// A segment that is queued for the thread.
 struct SegmentUpload {
-    /// The segment as the proxy packed it.
+    /// Segment as the proxy packed it.
     packed: Bytes,
-    /// When it arrived, Unix time in milliseconds.
+    /// Arrival time, Unix time in milliseconds.
     arrived_ms: u64,
     reply: oneshot::Sender<SegmentOutcome>,
 }
 
-/// The ring of segments and the queue of its thread. The thread ends when this is dropped.
+/// The ring of segments and the queue of its thread. The thread ends when the value is dropped.
 pub(crate) struct Traces {
-    /// The stored segments.
+    /// Ring of the stored segments.
     pub(crate) ring: Arc<TraceRing>,
     uploads: SyncSender<SegmentUpload>,
 }
 
 impl Traces {
-    /// Starts the thread over a directory, which is created if missing. The thread reads it first.
+    /// Starts the thread on a directory, which is created if missing. The thread reads the directory first.
     pub(super) fn start(directory: &Path, max_bytes: u64, keep_ms: u64) -> Result<Traces, StartError> {
         std::fs::create_dir_all(directory)
             .map_err(|error| StartError::Data { path: directory.to_path_buf(), error: error.into() })?;
@@ -46,7 +46,7 @@
         Ok(Traces { ring, uploads })
     }
 
-    /// Queues a segment for the thread; `None` if too many are queued.
+    /// Queues a segment for the thread. Returns `None` if the queue is full.
     pub(crate) fn store(&self, packed: Bytes, arrived_ms: u64) -> Option<oneshot::Receiver<SegmentOutcome>> {
         let (reply, outcome) = oneshot::channel();
         self.uploads.try_send(SegmentUpload { packed, arrived_ms, reply }).ok()?;
@@ -57,7 +57,7 @@
 fn run(ring: &TraceRing, queue: &Receiver<SegmentUpload>) {
     ring.load();
     while let Ok(SegmentUpload { packed, arrived_ms, reply }) = queue.recv() {
-        // Sending fails where the caller has gone away; it needs no reply.
+        // Sending fails if the caller no longer waits for the reply.
         let _ = reply.send(ring.store(&packed, arrived_ms));
     }
 }
--- a/src/route_table/backend_list.rs
+++ b/src/route_table/backend_list.rs
@@ -6,13 +6,13 @@
 /// The listed backends, with an index by name.
 #[derive(Clone, Debug, Default)]
 pub(super) struct BackendList {
-    /// In the order of the list.
+    /// The backends in the order of the list.
     pub list: Vec<Backend>,
     index_by_name: HashMap<String, usize>,
 }
 
 impl BackendList {
-    /// Replaces the list if it differs.
+    /// Replaces the list and its index if the list differs.
     pub fn set(&mut self, listed: &[Backend]) {
         if self.list == listed {
             return;
@@ -22,7 +22,7 @@
             listed.iter().enumerate().map(|(index, backend)| (backend.host.clone(), index)).collect();
     }
 
-    /// The backend of that name.
+    /// Looks up a backend by its name.
     pub fn get(&self, host: &str) -> Option<&Backend> {
         self.index_by_name.get(host).map(|index| &self.list[*index])
     }
--- a/src/route_table/config.rs
+++ b/src/route_table/config.rs
@@ -1,4 +1,4 @@
-//! The keys that an operator can set for the rollout and for the drift detector, with their ranges.
+//! The keys that an operator can set for rollouts and the drift detector, with their ranges.
 //!
 //! The registry reads them from `[routes]` of its file. `serde(rename)` gives the key of each field;
 //! `docs/routes.md` lists them.
@@ -9,72 +9,74 @@
 #[derive(Deserialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Config {
-    /// Whether a proposal waits for the verdict of a replay. Without, its rollout starts at once.
+    /// Whether a proposal waits for the verdict of a replay. If false, its rollout starts at once.
     #[serde(rename = "judge")]
     pub require_verdict: bool,
-    /// Longest wait for a verdict; then the proposal lapses.
+    /// Longest wait for a verdict, in milliseconds; after that the proposal lapses.
     #[serde(rename = "judge_ms")]
     pub verdict_timeout_ms: u64,
-    /// Greatest factor by which one proposal may move a backend's weight relative to the mean.
+    /// Maximum factor by which one proposal may change a backend's weight relative to the mean.
     #[serde(rename = "step")]
     pub max_weight_step: f64,
-    /// Proxies of the stage `few`.
+    /// Number of proxies in the stage `few`, and the minimum for later stages.
     #[serde(rename = "few")]
     pub first_stage_proxies: usize,
-    /// Least time of a stage.
+    /// Minimum duration of a stage, in milliseconds.
     #[serde(rename = "stand_ms")]
     pub min_stage_ms: u64,
-    /// Longest time for which a stage waits for reports or requests; then the rollout stops. It counts from
-    /// the stage's last change of members, and again from the end of a pause or a start of the registry.
+    /// Longest time, in milliseconds, for which a stage waits for reports, the table or requests; after that
+    /// the rollout stops. It counts from the stage's last change of members, and again from the end of a
+    /// pause or a start of the registry.
     #[serde(rename = "longest_ms")]
     pub stage_timeout_ms: u64,
-    /// Least requests of either side in a comparison of shares.
+    /// Minimum number of requests on either side of a comparison of shares.
     #[serde(rename = "least_requests")]
     pub min_requests: u64,
-    /// Significance level of each comparison: the probability of finding a difference between equal shares.
+    /// Significance level of each comparison: the probability of a false positive between equal shares.
     #[serde(rename = "chance")]
     pub significance_level: f64,
-    /// Least difference between two shares that counts, whatever its significance.
+    /// Minimum difference between two shares that counts, whatever its significance.
     #[serde(rename = "margin")]
     pub min_share_difference: f64,
-    /// Interval between the reports of a proxy: the length of a window.
+    /// Interval between the reports of a proxy, in milliseconds: the length of a window.
     pub report_ms: u64,
-    /// Time that a proxy has to take its target table, and time after a start of the registry without
-    /// findings.
+    /// Grace time, in milliseconds: the time that a proxy has to apply its target table, and the time after a
+    /// start of the registry in which no finding is raised.
     pub grace_ms: u64,
-    /// Bad windows in a row that raise a finding.
+    /// Number of consecutive bad windows that raise a finding.
     #[serde(rename = "raise")]
     pub raise_after_windows: u32,
-    /// Good windows in a row that clear it.
+    /// Number of consecutive good windows that clear a finding.
     #[serde(rename = "clear")]
     pub clear_after_windows: u32,
-    /// Least calls of a test of a proxy's calls against the weights.
+    /// Minimum number of calls for a test of a proxy's calls against the weights.
     #[serde(rename = "least_calls")]
     pub min_calls: u64,
-    /// Variance of a healthy proxy's calls over that of independent random choice: it avoids slow backends
-    /// and takes turns.
+    /// Ratio of the variance of a healthy proxy's calls to that of independent random choice. It is not 1,
+    /// since a proxy avoids slow backends and takes turns.
     pub dispersion: f64,
-    /// Least relative deviation of a backend's calls from those expected that counts, whatever its
+    /// Minimum relative deviation of a backend's calls from the expected number that counts, whatever its
     /// significance.
     #[serde(rename = "effect_margin")]
     pub min_effect_size: f64,
-    /// Time for which a proxy that stopped reporting still counts as alive when the coverage of reports is
-    /// judged.
+    /// Time, in milliseconds, for which a proxy that stopped reporting still counts as alive in the coverage
+    /// of reports.
     #[serde(rename = "count_ms")]
     pub count_silent_ms: u64,
-    /// Time after which everything that is kept of a lost proxy is dropped.
+    /// Time, in milliseconds, after which the state of a lost proxy is dropped.
     pub forget_ms: u64,
-    /// Length of the time in which starts and returns are counted for `flapping`.
+    /// Length, in milliseconds, of the period in which starts and returns are counted for `flapping`.
     #[serde(rename = "flap_ms")]
     pub flap_window_ms: u64,
-    /// Starts and returns within that time that raise `flapping`.
+    /// Number of starts and returns within [`Config::flap_window_ms`] that raises `flapping`.
     #[serde(rename = "flaps")]
     pub flap_threshold: usize,
-    /// Most proxies of which reports are kept. 16,384 with 18 backends each take 41 MB (measured as the
-    /// resident memory of `limits::reports_of_as_many_proxies_...` over that of another test of its file).
+    /// Maximum number of proxies whose reports are kept. 16,384 proxies with 18 backends each take 41 MB
+    /// (measured as the resident memory of `limits::reports_of_as_many_proxies_...` above that of another
+    /// test of its file).
     #[serde(rename = "names")]
     pub max_proxies: usize,
-    /// Most backend counts of all kept reports together.
+    /// Maximum number of backend counts in all kept reports together.
     #[serde(rename = "counts")]
     pub max_backend_counts: usize,
 }
@@ -112,18 +114,18 @@
 #[derive(thiserror::Error, Clone, Debug, PartialEq)]
 #[error("routes.{key}: must be {range}, not {value}; set it or leave it out for its default")]
 pub struct ConfigError {
-    /// The key, as in the file.
+    /// Key as written in the file.
     pub key: &'static str,
-    /// Its range.
+    /// Allowed range of the key.
     pub range: &'static str,
-    /// The value given.
+    /// Value that was given.
     pub value: String,
 }
 
-/// Longest time that can be set, ms.
+/// Longest time that can be set, in milliseconds.
 const DAY_MS: u64 = 86_400_000;
 
-/// The check of one key.
+/// Result of the range check of one key.
 struct KeyCheck {
     key: &'static str,
     range: &'static str,
@@ -150,11 +152,11 @@
 }
 
 impl Config {
-    /// Checks the range of each key.
+    /// Checks that each key is in its range.
     ///
     /// # Errors
     ///
-    /// The first key that is out of its range.
+    /// [`ConfigError`] for the first key that is out of its range.
     pub fn check(&self) -> Result<(), ConfigError> {
         let keys = self.rollout_keys().into_iter().chain(self.drift_keys());
         match keys.into_iter().find(|key| !key.valid) {
--- a/src/route_table/control.rs
+++ b/src/route_table/control.rs
@@ -1,13 +1,14 @@
 //! The state machine of one tier's route table: its host (the registry) feeds it proposals, verdicts, reports
 //! and the time, and carries out the [`Effect`]s that it returns.
 //!
-//! It owns the newest durable [`RouteRecord`], the drift detector and the counts of the running stage. Each
-//! decision is a record that must be on disk before it counts: [`Effect::Persist`], then [`Control::apply`]
-//! once it is written, or [`Control::discard_pending`] if it could not be. While one is pending no other
-//! decision is made. Failure that this guards against: a registry that is killed between a decision and its
-//! write would otherwise have given proxies a table that no record knows of.
+//! [`Control`] owns the newest durable [`RouteRecord`], the drift detector and the counts of the current
+//! stage. Each decision is a record that must be on disk before it takes effect: [`Effect::Persist`], then
+//! [`Control::apply`] once the record is written, or [`Control::discard_pending`] if it could not be. No
+//! other decision is made while one is pending. Failure that this guards against: a registry that is killed
+//! between a decision and its write would otherwise have given proxies a table that is in no record.
 //!
-//! All times are Unix milliseconds that never go back: a monotonic clock added to the Unix time of the start.
+//! All times are Unix milliseconds that never decrease: a monotonic clock added to the Unix time of the
+//! start.
 
 use super::backend_list::BackendList;
 use super::drift::{Drift, ReportOutcome};
@@ -24,7 +25,7 @@
     pub(super) record: RouteRecord,
     pub(super) drift: Drift,
     pub(super) stage_progress: StageProgress,
-    /// The list of backends, as far as the host has given one.
+    /// The list of backends; empty until the host has set one.
     pub(super) backends: BackendList,
     /// [`RouteRecord::change`] of the decision that is being written to disk.
     pub(super) pending_change: Option<u64>,
@@ -35,7 +36,7 @@
 }
 
 impl Control {
-    /// Starts without anything durable: revision 0, every weight 1.
+    /// Starts without durable state: revision 0, every weight 1.
     pub fn new(config: Config, now_ms: u64) -> Self {
         Control {
             drift: Drift::new(now_ms),
@@ -50,8 +51,8 @@
         }
     }
 
-    /// Starts from the records of the log, in any order and with repetitions. The effects resume what was
-    /// under way.
+    /// Starts from the records of the log, which may be repeated and in any order. The returned effects
+    /// resume an evaluation that was awaited.
     pub fn restore(
         config: Config,
         records: impl IntoIterator<Item = RouteRecord>,
@@ -65,17 +66,17 @@
         (control, effects)
     }
 
-    /// Sets the list of backends: at the start and whenever it changes.
+    /// Sets the list of backends. The host calls it at the start and whenever the list changes.
     pub fn update_backends(&mut self, listed: &[Backend]) {
         self.backends.set(listed);
     }
 
-    /// Takes the verdict of a replay.
+    /// Receives the verdict of a replay, and returns the effects of the decision that follows from it.
     ///
     /// # Errors
     ///
-    /// [`StaleVerdict`] if the proposal that it judged is no longer awaited, as after a restart or an
-    /// overtaking proposal.
+    /// [`StaleVerdict`] if the verdict's proposal no longer awaits one, as after a restart or when another
+    /// proposal superseded it.
     pub fn receive_verdict(&mut self, now_ms: u64, verdict: Verdict) -> Result<Vec<Effect>, StaleVerdict> {
         if !self.is_awaited(&verdict) {
             return Err(StaleVerdict { from: verdict.from, digest: verdict.digest });
@@ -84,7 +85,7 @@
         Ok(self.decide(now_ms).into_iter().collect())
     }
 
-    /// Puts a record in force that is on disk. An older one or a repetition changes nothing.
+    /// Puts into force a record that is on disk. An older or repeated record changes nothing.
     pub fn apply(&mut self, now_ms: u64, record: RouteRecord) -> Vec<Effect> {
         if self.pending_change == Some(record.change) {
             self.pending_change = None;
@@ -107,7 +108,7 @@
         effects
     }
 
-    /// Cancels the evaluation that the previous record awaited and requests that of the new one, if they
+    /// Cancels the evaluation that the previous record awaited and requests that of the new record, if they
     /// differ.
     fn replace_evaluation(&mut self, previous: &RouteRecord) -> Vec<Effect> {
         let old = previous.awaited_evaluation();
@@ -119,17 +120,17 @@
         cancel.into_iter().chain(self.evaluation_request()).collect()
     }
 
-    /// Drops the pending decision, whose record could not be written. It is decided again while its cause
-    /// lasts.
+    /// Drops the pending decision, whose record could not be written. The next ticks make the decision again
+    /// while its cause persists.
     pub fn discard_pending(&mut self) {
         self.pending_change = None;
     }
 
-    /// Takes a proxy's report, for drift and for the running stage.
+    /// Receives a proxy's report, for the drift detector and for the counts of the current stage.
     ///
     /// # Errors
     ///
-    /// [`ReportError`] if the report is invalid, comes too often or exceeds the capacity.
+    /// [`ReportError`] if the report is invalid, arrives too often or exceeds the capacity.
     pub fn receive_report(&mut self, now_ms: u64, report: Report) -> Result<(), ReportError> {
         let counts = OutcomeCounts::of_report(&report);
         let revision = report.revision;
@@ -142,7 +143,8 @@
         Ok(())
     }
 
-    /// Acts on the time: raises and clears findings, decides what is due. To be called at least every second.
+    /// Raises and clears findings and makes the decision that is due at `now_ms`. The host calls it at least
+    /// every second.
     pub fn tick(&mut self, now_ms: u64) -> Vec<Effect> {
         // A registry that was itself paused (a stopped process, a suspended machine) received no reports
         // meanwhile. Without this every proxy would look silent and the stage would compare windows of
@@ -157,7 +159,7 @@
         effects
     }
 
-    /// The next decision, if one is due and none is pending.
+    /// Makes the next decision, if one is due and none is pending.
     fn decide(&mut self, now_ms: u64) -> Option<Effect> {
         if self.pending_change.is_some() {
             return None;
@@ -178,13 +180,15 @@
         self.record.target_table(name)
     }
 
-    /// Rises whenever any proxy should have another table; watches compare it. It starts from Unix time in
-    /// milliseconds, so that it also lies above every version from before a loss of state.
+    /// Version of the proxies' target tables, which watches compare. It rises whenever any proxy should have
+    /// another table. It follows Unix time in milliseconds, so that it also lies above every version from
+    /// before a loss of state.
     pub fn version(&self) -> u64 {
         self.record.version
     }
 
-    /// The revision that a proposal must be made from: of the active proposal, or else of the table in force.
+    /// The revision that a proposal must be made from: that of the active proposal, or else that of the table
+    /// in force.
     pub fn newest_revision(&self) -> Revision {
         self.record.active.as_ref().map_or(self.record.in_force.revision, |active| active.table.revision)
     }
--- a/src/route_table/drift/checks.rs
+++ b/src/route_table/drift/checks.rs
@@ -1,9 +1,8 @@
-//! The checks of one proxy against the table that it should have. Each counts a good or a bad window of one
-//! kind.
+//! The checks of one proxy against its target table. Each check counts a good or a bad window of one kind.
 //!
-//! On a report: `ahead`, `lagging`, `diverged`, `effect`, and the good windows of `silent`, `gone` and
-//! `zombie`. On the time: `silent`, `gone`, `flapping`. `zombie` is counted where an older process reports,
-//! in `report_order`.
+//! A report counts windows of `ahead`, `lagging`, `diverged` and `effect`, and good windows of `silent`,
+//! `gone` and `zombie`. The periodic evaluation checks `silent`, `gone` and `flapping`. `report_order` counts
+//! bad windows of `zombie` on reports of an older process.
 
 use super::super::backend_list::BackendList;
 use super::super::{Config, FindingKind, Report, RouteRecord, Table};
@@ -12,22 +11,22 @@
 use super::report_order::ReportOutcome;
 use super::weight_test::WeightTest;
 
-/// Windows of silence, besides [`Config::raise_after_windows`], before `silent` and `gone` may turn into each
-/// other.
+/// Windows, in addition to [`Config::raise_after_windows`], for which the peers' view must last before
+/// `silent` and `gone` may change into each other.
 const EXTRA_SWITCH_WINDOWS: u32 = 2;
 
-/// What a report shows of the proxy's table.
+/// Result of comparing a report with the proxy's target table.
 struct TableCheck {
     ahead: Option<Observation>,
     lagging: Option<Observation>,
     diverged: Option<Observation>,
-    /// Whether it is the target table, by revision and digest.
+    /// Whether the reported table is the target table, by revision and digest.
     on_target: bool,
 }
 
 impl TableCheck {
-    /// Compares a report with the target table and the issued revisions. `target_for_ms` is how long the
-    /// proxy could have had the target.
+    /// Compares a report with the target table and the issued revisions. `target_for_ms` is the time, in
+    /// milliseconds, for which the proxy could have had the target table.
     fn new(
         report: &Report,
         target: &Table,
@@ -58,11 +57,11 @@
     }
 }
 
-/// Whether a proxy has a revision that it cannot have from this registry as its state now is.
+/// Checks whether a proxy has a revision that it cannot have from this registry's present state.
 ///
 /// Failure: the registry was started from an old directory. Its proxies then have revisions that it never
-/// issued, or that lie above the target without being rolled out. Revisions older than all remembered ones
-/// are not judged.
+/// issued, or that lie above the target without being rolled out. Revisions older than all recorded ones are
+/// not checked.
 fn check_ahead(report: &Report, target: &Table, record: &RouteRecord) -> Option<Observation> {
     let revision = report.revision;
     let oldest_remembered = record.issued.iter().map(|issued| issued.revision).min().unwrap_or(0);
@@ -83,7 +82,7 @@
 }
 
 impl ProxyState {
-    /// Checks a report that counts against the target table.
+    /// Checks a report, which is not ignored, against the target table.
     pub fn check_against_target(
         &mut self,
         now_ms: u64,
@@ -106,7 +105,7 @@
         if on_target && outcome == ReportOutcome::SameTable {
             self.test_weights(now_ms, report, target, backends, config);
         } else {
-            // These calls were not all sent by the target's weights.
+            // Some calls of this window were not distributed by the target's weights.
             self.weight_test = WeightTest::default();
         }
         if !on_target {
@@ -123,7 +122,8 @@
         }
     }
 
-    /// Adds the calls of a report to the weight test, and counts a window of `effect` once there are enough.
+    /// Adds the calls of a report to the weight test, and counts a window of `effect` once there are enough
+    /// calls.
     fn test_weights(
         &mut self,
         now_ms: u64,
@@ -138,8 +138,9 @@
         self.deviation(FindingKind::Effect).count_window(now_ms, observation, config);
     }
 
-    /// Marks a proxy that has been silent for longer than lost reports explain: `silent` if its peers consider
-    /// it alive, else `gone`. Its other deviations are dropped, since nobody knows them any more.
+    /// Marks a proxy that has been silent for longer than lost reports explain as `silent` if its peers
+    /// consider it alive, else as `gone`. Its deviations from the table are dropped, since they can no longer
+    /// be observed.
     pub fn mark_lost(&mut self, now_ms: u64, silent_ms: u64, config: &Config) {
         let (kind, other, peers) = if self.counts_as_alive(now_ms, config) {
             (FindingKind::Silent, FindingKind::Gone, "peers hold it for alive")
@@ -158,7 +159,7 @@
     }
 
     /// Whether a silent proxy counts as alive, with hysteresis: once `silent` or `gone` is raised, the peers
-    /// must report the other view for some windows. Failure: membership that wavers would raise and clear the
+    /// must report the other view for some windows. Failure: unstable membership would raise and clear the
     /// two in turn.
     fn counts_as_alive(&self, now_ms: u64, config: &Config) -> bool {
         let switch_ms = u64::from(config.raise_after_windows + EXTRA_SWITCH_WINDOWS) * config.report_ms;
--- a/src/route_table/drift/coverage.rs
+++ b/src/route_table/drift/coverage.rs
@@ -1,23 +1,24 @@
-//! Whether enough proxies report for the detector to judge the fleet.
+//! The coverage of reports: whether enough proxies report for the detector to evaluate the fleet.
 
 use super::super::Config;
 use super::proxy_state::ProxyState;
 
-/// How many proxies report, of how many that should.
+/// The number of proxies that report, and of those that should.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ReportCoverage {
-    /// Proxies with a report in the last two and a half windows.
+    /// Number of proxies with a report in the last two and a half windows.
     pub reporting: usize,
-    /// Proxies that are alive, by membership or by their reports.
+    /// Number of live proxies, by membership or by their reports.
     pub alive: usize,
 }
 
 impl ReportCoverage {
-    /// Coverage by the latest report of each proxy.
+    /// Computes the coverage from the latest report of each proxy.
     ///
-    /// Alive are as many as the median of the current reports says by its membership (a minority with a wrong
-    /// view cannot move it), or as many as reported within `count_ms`, whichever is more: without membership
-    /// a cut network must not shrink the fleet to those that still report.
+    /// The number of live proxies is the median of the numbers that the current reports give by membership,
+    /// or the number of proxies that reported within [`Config::count_silent_ms`], whichever is greater. A
+    /// minority with a wrong view cannot move the median. Without membership, a network partition must not
+    /// shrink the fleet to the proxies that still report.
     pub fn of<'a>(
         now_ms: u64,
         listening_since_ms: u64,
@@ -40,11 +41,11 @@
         ReportCoverage { reporting, alive: reported_recently.max(median).max(reporting) }
     }
 
-    /// Whether no majority reports.
+    /// Whether no majority of the live proxies reports.
     ///
     /// Failure: the registry is cut off from half of the fleet or more. Every proxy on the other side would
-    /// be raised as silent, and a rollout would be judged by the rest; so the detector raises `blind` and
-    /// nothing else.
+    /// be raised as silent, and a rollout would be reviewed by the rest alone; so the detector raises `blind`
+    /// and nothing else.
     pub fn is_blind(&self) -> bool {
         self.alive > 0 && 2 * self.reporting <= self.alive
     }
--- a/src/route_table/drift/deviation.rs
+++ b/src/route_table/drift/deviation.rs
@@ -1,37 +1,37 @@
-//! One kind of deviation of one proxy over time: raised after several bad windows in a row, cleared after
-//! several good ones.
+//! One kind of deviation of one proxy over time: raised after several consecutive bad windows, cleared after
+//! several consecutive good ones.
 
 use super::super::{Config, Revision};
 
-/// What was seen in one bad window.
+/// The observation of a deviation in one bad window.
 pub(super) struct Observation {
-    /// The revision that it comes from, by which proxies are grouped; 0 where the kind has none.
+    /// Revision that causes the deviation, by which proxies are grouped; 0 for kinds without one.
     pub cause: Revision,
-    /// What was seen, as operators read it.
+    /// Evidence of the deviation, as text for operators.
     pub evidence: String,
 }
 
-/// Bad and good windows of one kind, in a row.
+/// The consecutive bad or good windows of one kind.
 #[derive(Clone, Debug, Default)]
 pub(super) struct DeviationStreak {
-    /// Whether the deviation holds: a finding is, or is to be, raised of it.
+    /// Whether the deviation holds, so that a finding is raised for it or will be.
     pub active: bool,
-    /// Bad windows in a row.
+    /// Number of consecutive bad windows.
     pub bad: u32,
-    /// Good windows in a row.
+    /// Number of consecutive good windows.
     pub good: u32,
-    /// Time of the first bad window.
+    /// Time of the first bad window, Unix time in milliseconds.
     pub since_ms: u64,
-    /// See [`Observation::cause`]; of the last bad window.
+    /// [`Observation::cause`] of the last bad window.
     pub cause: Revision,
-    /// See [`Observation::evidence`]; of the last bad window.
+    /// [`Observation::evidence`] of the last bad window.
     pub evidence: String,
 }
 
 impl DeviationStreak {
-    /// Counts a window, bad if there is an observation. [`Config::raise_after_windows`] bad windows
-    /// activate the deviation and [`Config::clear_after_windows`] good ones end it, so that single windows
-    /// neither raise nor clear.
+    /// Counts a window, which is bad if there is an observation. [`Config::raise_after_windows`] consecutive
+    /// bad windows activate the deviation and [`Config::clear_after_windows`] consecutive good ones end it,
+    /// so that a finding does not depend on single windows.
     pub fn count_window(&mut self, now_ms: u64, observation: Option<Observation>, config: &Config) {
         match observation {
             Some(Observation { cause, evidence }) => {
--- a/src/route_table/drift/evaluation.rs
+++ b/src/route_table/drift/evaluation.rs
@@ -1,4 +1,4 @@
-//! The periodic evaluation: finds silent and flapping proxies, and raises and clears findings by all
+//! The periodic evaluation: finds silent and flapping proxies, and raises and clears findings for all
 //! deviations.
 
 use super::super::{Config, Effect};
@@ -9,15 +9,15 @@
 use super::proxy_state::ProxyState;
 use std::collections::BTreeMap;
 
-/// Evaluations in each window.
+/// Number of evaluations in each window.
 const EVALUATIONS_PER_WINDOW: u64 = 3;
-/// Least number of proxies of a finding of the fleet, which must also be a tenth of those that report.
+/// Minimum number of proxies in a finding of the fleet, which must also be a tenth of those that report.
 const MIN_FLEET_FINDING: usize = 3;
-/// The key of the detector's own finding.
+/// Key of the finding `blind`, which concerns the detector itself.
 const BLIND_KEY: FindingKey = FindingKey::of_fleet(Cause { kind: FindingKind::Blind, revision: 0 });
 
 impl Drift {
-    /// Looks for silent and flapping proxies, and raises and clears findings by all deviations. Does nothing
+    /// Looks for silent and flapping proxies, and raises and clears findings for all deviations. Does nothing
     /// before a third of a window has passed since the last evaluation.
     pub fn evaluate(&mut self, now_ms: u64, config: &Config) -> Vec<Effect> {
         let grace_until_ms = *self.grace_until_ms.get_or_insert(now_ms + config.grace_ms);
@@ -39,7 +39,7 @@
         self.update_findings(now_ms, deviations, &impending, in_grace)
     }
 
-    /// Proxies that report now and have `ahead`, raised or nearly.
+    /// Counts the reporting proxies with `ahead`, raised or about to be.
     fn count_ahead(&self, now_ms: u64, config: &Config) -> usize {
         let silence_threshold_ms = self.report_loss.silence_threshold_ms(config);
         let reporting =
@@ -47,7 +47,8 @@
         reporting.filter(|proxy| proxy.has_or_nearly_has(FindingKind::Ahead)).count()
     }
 
-    /// The deviations that hold now, by name of the proxy, and by cause the number of proxies about to deviate.
+    /// Collects the deviations that hold now, sorted by the proxy's name, and the number of proxies that are
+    /// about to deviate by each cause.
     fn collect_deviations(
         &mut self,
         now_ms: u64,
@@ -58,8 +59,8 @@
         let mut deviations = Vec::new();
         let mut impending = BTreeMap::new();
         for (name, proxy) in &mut self.proxies {
-            let last_sign_ms = proxy.received_ms().unwrap_or(proxy.known_since_ms);
-            let silent_ms = now_ms.saturating_sub(last_sign_ms.max(self.listening_since_ms));
+            let last_heard_ms = proxy.received_ms().unwrap_or(proxy.known_since_ms);
+            let silent_ms = now_ms.saturating_sub(last_heard_ms.max(self.listening_since_ms));
             if !in_grace && silent_ms > silence_threshold_ms {
                 proxy.mark_lost(now_ms, silent_ms, config);
             } else if silent_ms + config.report_ms > silence_threshold_ms {
@@ -74,8 +75,8 @@
         (deviations, impending)
     }
 
-    /// Updates the findings. `blind` is cleared only after the grace time that follows it: until then nothing
-    /// else is raised, and operators must see why.
+    /// Updates the raised findings. `blind` is cleared only after the grace time that follows it: until then
+    /// nothing else is raised, and operators must be able to see the reason.
     fn update_findings(
         &mut self,
         now_ms: u64,
@@ -95,8 +96,8 @@
         effects
     }
 
-    /// Raises `blind`, or updates it. All other findings stay as they are: nothing can be said of the
-    /// proxies.
+    /// Raises `blind`, or updates it. All other findings stay as they are, since the state of the proxies is
+    /// not known.
     fn raise_blind(&mut self, now_ms: u64) -> Vec<Effect> {
         let ReportCoverage { reporting, alive } = self.coverage;
         let evidence = format!("heard of {reporting} of {alive} proxies");
@@ -120,7 +121,8 @@
         vec![Effect::Raised(finding)]
     }
 
-    /// Drops what is known of proxies of which neither reports nor peers have said anything for `forget_ms`.
+    /// Drops the state of proxies that have neither reported nor been reported as alive by a peer for
+    /// [`Config::forget_ms`].
     fn forget_lost_proxies(&mut self, now_ms: u64, config: &Config) {
         let backend_counts = &mut self.backend_counts;
         self.proxies.retain(|_, proxy| {
@@ -136,8 +138,9 @@
 }
 
 impl ProxyState {
-    /// Adds the deviations of this proxy that hold now, and counts those that are about to. Nothing else is said
-    /// of a proxy that flaps: each of its starts would raise and clear other findings.
+    /// Adds the deviations of this proxy that hold now, and counts those that are about to hold. Only
+    /// `flapping` is collected for a flapping proxy, since each of its starts would raise and clear other
+    /// findings.
     fn collect_deviations(
         &self,
         name: &str,
--- a/src/route_table/drift/finding.rs
+++ b/src/route_table/drift/finding.rs
@@ -1,30 +1,30 @@
-//! The findings of the drift detector: their kinds, what an operator can do about each, and their form on the
+//! The findings of the drift detector: their kinds, the advice to operators for each, and their form on the
 //! page.
 //!
-//! A proxy is reported as lost by `silent` or `gone`: see [`Drift::evaluate`](super::Drift::evaluate) for
-//! when.
+//! `silent` and `gone` report a lost proxy; [`Drift::evaluate`](super::Drift::evaluate) decides when.
 
 use serde::Serialize;
 
-/// What is wrong with a proxy, or with the detector. The serialized names are a contract with operators.
+/// The kind of a fault of a proxy or of the detector. The serialized names are a contract with operators.
 #[derive(Serialize, Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[serde(rename_all = "snake_case")]
 pub enum FindingKind {
-    /// It has an older revision than its target, for longer than `grace_ms` after it could have the target.
+    /// The proxy has an older revision than its target, although it could have had the target for longer than
+    /// `grace_ms`.
     Lagging,
-    /// It has an issued revision with another digest than that revision has.
+    /// The proxy has an issued revision, but with another digest than was issued.
     Diverged,
-    /// It has a revision that the registry never issued, or one that was rolled back.
+    /// The proxy has a revision that the registry never issued, or one that was rolled back.
     Ahead,
-    /// It has its target table, but its calls do not follow the weights.
+    /// The proxy has its target table, but its calls do not follow the weights.
     Effect,
-    /// It sends no reports, while its peers hold it for alive.
+    /// The proxy sends no reports, while its peers consider it alive.
     Silent,
-    /// It sends no reports, and no peer holds it for alive.
+    /// The proxy sends no reports, and no peer considers it alive.
     Gone,
-    /// An older process with its name still reports.
+    /// An older process with the proxy's name still reports.
     Zombie,
-    /// It starts, or falls silent and returns, again and again.
+    /// The proxy repeatedly starts, or falls silent and returns.
     Flapping,
     /// No majority of the live proxies reports to this registry.
     Blind,
@@ -33,8 +33,8 @@
 impl FindingKind {
     /// Number of kinds.
     pub(crate) const COUNT: usize = FindingKind::Blind as usize + 1;
-    /// The kinds of a proxy, in the order in which they are looked at. Nothing else is raised of a proxy that
-    /// flaps.
+    /// The kinds that concern a proxy, in the order in which they are checked. No other kind is raised for a
+    /// proxy that flaps.
     pub(crate) const OF_PROXIES: [FindingKind; 8] = [
         FindingKind::Flapping,
         FindingKind::Lagging,
@@ -46,7 +46,7 @@
         FindingKind::Zombie,
     ];
 
-    /// What an operator can do about it.
+    /// Advice to operators on a finding of this kind.
     pub fn what_to_do(self) -> &'static str {
         match self {
             FindingKind::Lagging => {
@@ -85,25 +85,25 @@
     }
 }
 
-/// A finding, of one proxy or of many with one cause.
+/// A finding about one proxy, or about several proxies with a common cause.
 #[derive(Serialize, Clone, Debug, PartialEq)]
 pub struct Finding {
-    /// Its kind.
+    /// Kind of the finding.
     pub kind: FindingKind,
-    /// The proxy; none for a finding of the fleet.
+    /// Name of the proxy; `None` for a finding of the fleet.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub proxy: Option<String>,
     /// Number of proxies that deviate.
     pub proxies: usize,
-    /// Names of some of them, at most 8.
+    /// Names of some of the proxies that deviate, at most 8.
     #[serde(rename = "some")]
     pub examples: Vec<String>,
     /// Time of the first bad window, Unix time in milliseconds.
     pub since_ms: u64,
-    /// When it was raised, Unix time in milliseconds.
+    /// Time at which the finding was raised, Unix time in milliseconds.
     pub raised_ms: u64,
-    /// What was seen.
+    /// Evidence of the deviation, as text for operators.
     pub evidence: String,
-    /// See [`FindingKind::what_to_do`].
+    /// Advice to operators, from [`FindingKind::what_to_do`].
     pub what_to_do: &'static str,
 }
--- a/src/route_table/drift/grouping.rs
+++ b/src/route_table/drift/grouping.rs
@@ -1,33 +1,33 @@
-//! The findings that are raised, grouped: deviations of many proxies with one cause are one finding of the
-//! fleet, so that a fault of the registry or of a table is one line on the page and in the log instead of
+//! The raised findings, grouped by cause: deviations of many proxies with a common cause make one finding of
+//! the fleet, so that a fault of the registry or of a table is one line on the page and in the log instead of
 //! hundreds.
 
 use super::super::{Effect, Finding, FindingKind, Revision};
 use std::collections::BTreeMap;
 
-/// Proxies that a finding names.
+/// Maximum number of proxies that a finding names.
 const MAX_EXAMPLES: usize = 8;
 
-/// What deviations are grouped by.
+/// The cause of a deviation, by which deviations are grouped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Cause {
-    /// The kind of deviation.
+    /// Kind of the deviation.
     pub kind: FindingKind,
-    /// The revision that it comes from; 0 where the kind has none.
+    /// Revision that causes the deviation; 0 for kinds without one.
     pub revision: Revision,
 }
 
-/// What a raised finding is known by.
+/// The key of a raised finding.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct FindingKey {
-    /// Its cause.
+    /// Cause of the finding.
     pub cause: Cause,
-    /// Its proxy; none for a finding of the fleet.
+    /// Name of the proxy; `None` for a finding of the fleet.
     pub proxy: Option<String>,
 }
 
 impl FindingKey {
-    /// The key of the fleet's finding with this cause.
+    /// Key of the finding of the fleet with this cause.
     pub const fn of_fleet(cause: Cause) -> Self {
         FindingKey { cause, proxy: None }
     }
@@ -35,30 +35,30 @@
 
 /// A deviation of a proxy that holds now.
 pub(super) struct Deviation {
-    /// What it is grouped by.
+    /// Cause by which the deviation is grouped.
     pub cause: Cause,
-    /// The proxy's name.
+    /// Name of the proxy that deviates.
     pub proxy: String,
-    /// Time of the first bad window.
+    /// Time of the first bad window, Unix time in milliseconds.
     pub since_ms: u64,
-    /// What was seen.
+    /// Evidence of the deviation, as text for operators.
     pub evidence: String,
 }
 
 /// The findings that are raised.
 #[derive(Default)]
 pub(super) struct RaisedFindings {
-    /// By cause and proxy.
+    /// Findings by cause and proxy.
     pub findings: BTreeMap<FindingKey, Finding>,
 }
 
 impl RaisedFindings {
-    /// Raises and clears findings by the deviations that hold now.
+    /// Raises and clears findings according to the deviations that hold now.
     ///
-    /// `impending` are further proxies about to deviate by a cause: counted with the others,
-    /// `fleet_threshold` of them make one finding of the fleet. Failure: a fault that reaches proxies window
-    /// by window would first be raised of some proxies singly, and then of the fleet. Without `may_raise`
-    /// findings are only cleared.
+    /// `impending` is the number of further proxies that are about to deviate, by cause. Together with those
+    /// that deviate, `fleet_threshold` of them make one finding of the fleet. Failure: a fault that reaches
+    /// proxies window by window would first be raised for single proxies and then for the fleet. If
+    /// `may_raise` is false, findings are only updated and cleared.
     pub fn update(
         &mut self,
         now_ms: u64,
@@ -88,7 +88,7 @@
         effects
     }
 
-    /// The findings that the deviations make. A finding of the fleet stays one while any proxy has its cause.
+    /// Groups deviations into findings. A finding of the fleet remains one while any proxy has its cause.
     fn group(
         &self,
         now_ms: u64,
@@ -118,7 +118,7 @@
     }
 }
 
-/// The finding of some proxies with one cause.
+/// Creates the finding for a group of proxies with a common cause.
 fn finding(now_ms: u64, kind: FindingKind, proxy: Option<String>, group: &[Deviation]) -> Finding {
     let evidence = match (&proxy, group) {
         (None, [first, ..]) => format!("{} proxies; {}: {}", group.len(), first.proxy, first.evidence),
--- a/src/route_table/drift/mod.rs
+++ b/src/route_table/drift/mod.rs
@@ -1,15 +1,15 @@
-//! The drift detector: which proxies do not do what the route table says.
+//! The drift detector: finds the proxies that deviate from the route table.
 //!
-//! It owns one [`ProxyState`] for each proxy that reports or that a peer reports, the estimate of lost
-//! reports, and the raised findings; all in memory, learned anew after a restart of the registry. It acts
-//! twice: on each report ([`Drift::receive`]) it counts good and bad windows of that proxy, and on the time
-//! ([`Drift::evaluate`], three times a window) it looks for silent proxies, groups all deviations and raises
-//! or clears findings.
+//! [`Drift`] owns one [`ProxyState`] for each proxy that reports or that a peer reports, the estimate of lost
+//! reports, and the raised findings. All of it is kept in memory and rebuilt from reports after a restart of
+//! the registry. [`Drift::receive`] counts good and bad windows of a proxy on each report.
+//! [`Drift::evaluate`] runs three times a window; it looks for silent proxies, groups all deviations and
+//! raises or clears findings.
 //!
-//! When a proxy is reported as lost: after `silence_threshold_ms` without a report (`missed_ms` of the page:
-//! a number of windows that lost reports do not explain), as `silent` if its peers consider it alive and
-//! `gone` if not. Not in the grace time (after a start of the registry, a pause of its own, or blindness),
-//! and not while it is blind.
+//! A proxy is reported as lost after `silence_threshold_ms` without a report (`missed_ms` of the page: a
+//! number of windows that lost reports do not explain): as `silent` if its peers consider it alive, else as
+//! `gone`. Nothing is raised in the grace time (after a start of the registry, a pause of its own, or
+//! blindness); while the detector is blind it raises only `blind`.
 
 mod checks;
 mod coverage;
@@ -37,23 +37,23 @@
 /// The drift detector of one tier.
 pub(super) struct Drift {
     proxies: HashMap<String, ProxyState>,
-    /// Backend counts that all weight tests hold, bounded by `Config::max_backend_counts`.
+    /// Number of backend counts in all weight tests, bounded by `Config::max_backend_counts`.
     backend_counts: usize,
-    /// Since when it has received reports without a pause of the registry itself.
+    /// Start of the period in which the registry has received reports without a pause of its own.
     listening_since_ms: u64,
-    /// End of the grace time, in which nothing is raised; none before the first evaluation.
+    /// End of the grace time, in which nothing is raised; `None` before the first evaluation.
     grace_until_ms: Option<u64>,
     next_evaluation_ms: u64,
     report_loss: ReportLoss,
     raised: RaisedFindings,
     coverage: ReportCoverage,
     highest_revision: Revision,
-    /// Proxies with `ahead`, raised or nearly.
+    /// Number of reporting proxies with `ahead`, raised or about to be.
     ahead: usize,
 }
 
 impl Drift {
-    /// Without any proxy, in the grace time.
+    /// Creates a detector that knows no proxy and is in the grace time.
     pub fn new(now_ms: u64) -> Self {
         Drift {
             proxies: HashMap::new(),
@@ -74,13 +74,14 @@
         self.highest_revision
     }
 
-    /// How many proxies have a revision that was never issued, once they are a tenth of those that report:
-    /// then this registry has lost state. Fewer may be faulty themselves, and count as 0.
+    /// Number of proxies with a revision that was never issued or was rolled back, if they are at least a
+    /// tenth of those that report: then this registry has lost state. Fewer may be faulty themselves and
+    /// count as 0.
     pub fn proxies_ahead(&self) -> usize {
         if self.ahead * 10 >= self.coverage.reporting { self.ahead } else { 0 }
     }
 
-    /// Restarts the grace time of proxies whose target table changed just now.
+    /// Restarts the grace time of the proxies whose target table has just changed.
     pub fn restart_grace(&mut self, now_ms: u64, target_changed: impl Fn(&str) -> bool) {
         for (name, proxy) in &mut self.proxies {
             if target_changed(name) {
@@ -89,8 +90,8 @@
         }
     }
 
-    /// The registry itself was paused and received nothing: silence of the proxies counts from now, in a new
-    /// grace time.
+    /// Handles a pause of the registry itself, in which it received nothing: silence of the proxies counts
+    /// from `now_ms`, and a new grace time begins.
     pub fn registry_paused(&mut self, now_ms: u64) {
         self.listening_since_ms = now_ms;
         self.grace_until_ms = None;
--- a/src/route_table/drift/proxy_state.rs
+++ b/src/route_table/drift/proxy_state.rs
@@ -1,6 +1,6 @@
-//! What the detector knows of one proxy: its latest report, when it could first have its target table, what
-//! its peers say of it, and the deviations counted so far. In memory only; after a restart of the registry it
-//! is learned anew.
+//! The detector's state of one proxy: its latest report, the time from which it could have its target table,
+//! its state according to its peers, and the deviations counted so far. The state is kept in memory only and
+//! is rebuilt from reports after a restart of the registry.
 
 use super::super::outcome_counts::RecentCounts;
 use super::super::{Config, FindingKind, Report, Revision};
@@ -8,87 +8,89 @@
 use super::weight_test::WeightTest;
 use std::collections::VecDeque;
 
-/// Reports that are accepted of one name in a window, late and repeated ones included.
+/// Maximum number of reports that are accepted under one name in a window, late and repeated ones included.
 const MAX_REPORTS_PER_WINDOW: u32 = 16;
-/// Starts and returns that are remembered.
+/// Number of starts and returns that are kept for a proxy.
 const MAX_RESTARTS: usize = 64;
 
-/// The newest report of a proxy, as far as it is kept.
+/// The kept fields of a proxy's newest report.
 #[derive(Clone, Debug)]
 pub(super) struct LatestReport {
     /// Start of the process, Unix time in microseconds.
     pub generation: u64,
-    /// Its number.
+    /// Number of the report.
     pub number: u64,
-    /// Which of the 64 numbers up to `number` were received: bit `n` stands for `number - n`.
+    /// The received ones of the 64 numbers up to `number`: bit `n` stands for `number - n`.
     pub received_mask: u64,
-    /// When it was received.
+    /// Time at which the report was received, Unix time in milliseconds.
     pub received_ms: u64,
-    /// Revision of the table in force there.
+    /// Revision of the table that the proxy has in force.
     pub revision: Revision,
-    /// Digest of the weights in force there.
+    /// Digest of the weights that the proxy has in force.
     pub digest: String,
-    /// Live proxies by its membership.
+    /// Number of live proxies by the proxy's membership.
     pub alive: u32,
-    /// When the first report of this generation was received.
+    /// Time at which the first report of this generation was received, Unix time in milliseconds.
     pub generation_first_ms: u64,
 }
 
-/// The newest report of an older process with the same name.
+/// The newest report of an older process with the proxy's name.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OlderProcess {
-    /// Its start.
+    /// Start of the older process, Unix time in microseconds.
     pub generation: u64,
-    /// Number of its newest report.
+    /// Number of the report.
     pub number: u64,
-    /// When that was received.
+    /// Time at which the report was received, Unix time in milliseconds.
     pub received_ms: u64,
 }
 
-/// What the peers say of a proxy that they consider alive.
+/// The period in which peers have reported a proxy as alive.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AlivePerPeers {
-    /// When a peer last said so.
+    /// Time of the last peer report that the proxy is alive, Unix time in milliseconds.
     pub last_ms: u64,
-    /// Since when they have said so without a break.
+    /// Time since which peers have reported the proxy as alive without a break, Unix time in milliseconds.
     pub since_ms: u64,
 }
 
-/// One proxy, by its name.
+/// The state of the proxy with one name.
 #[derive(Clone, Debug)]
 pub(super) struct ProxyState {
-    /// Its newest report; none of a proxy that only its peers reported.
+    /// Newest report; `None` for a proxy that only its peers reported.
     pub latest: Option<LatestReport>,
-    /// When it was first reported, by itself or by a peer.
+    /// Time at which the proxy was first reported, by itself or by a peer, Unix time in milliseconds.
     pub known_since_ms: u64,
-    /// Since when it could have its present target table: the grace of `lagging` counts from here.
+    /// Time since which the proxy could have its present target table, Unix time in milliseconds. The grace
+    /// time of `lagging` counts from it.
     pub target_since_ms: u64,
-    /// What its peers say of it, if they consider it alive.
+    /// Period in which peers have reported the proxy as alive; `None` if they consider it dead or never
+    /// reported it.
     pub alive_per_peers: Option<AlivePerPeers>,
-    /// An older process that reports under the same name.
+    /// Newest report of an older process under the same name.
     pub older_process: Option<OlderProcess>,
-    /// When it started anew or came back after silence.
+    /// Times at which the proxy restarted or returned after silence, Unix time in milliseconds.
     pub restarts: VecDeque<u64>,
-    /// The windows that its next weight test will use.
+    /// Windows collected for the proxy's next weight test.
     pub weight_test: WeightTest,
-    /// Its counts in the last windows.
+    /// Counts of the proxy's last windows.
     pub recent: RecentCounts,
-    /// One streak for each kind, indexed by it.
+    /// One streak for each kind of finding, indexed by the kind.
     pub deviations: [DeviationStreak; FindingKind::COUNT],
     report_rate: ReportRate,
 }
 
-/// How often a proxy reports.
+/// The rate at which reports arrive under one name.
 #[derive(Clone, Copy, Debug, Default)]
 struct ReportRate {
-    /// Number of the window in which it last reported: the time over the length of a window.
+    /// Number of the window of the last report: its time divided by the length of a window.
     window: u64,
-    /// Its reports in that window.
+    /// Number of reports in that window.
     count: u32,
 }
 
 impl ProxyState {
-    /// A proxy of which nothing is known yet.
+    /// Creates the state of a proxy that is first reported at `now_ms`.
     pub fn new(now_ms: u64) -> Self {
         ProxyState {
             latest: None,
@@ -104,10 +106,11 @@
         }
     }
 
-    /// Counts a report, and says whether the proxy sends more than [`MAX_REPORTS_PER_WINDOW`].
+    /// Counts a report, and returns whether the proxy has sent more than [`MAX_REPORTS_PER_WINDOW`] in this
+    /// window.
     ///
-    /// Failure: two processes under one name, or one with a wrong interval, would take the registry's time.
-    /// The report is refused with status 429.
+    /// Failure: two processes under one name, or one with a wrong interval, would use up the registry's
+    /// processing time. Such a report is refused with status 429.
     pub fn exceeds_report_rate(&mut self, now_ms: u64, config: &Config) -> bool {
         let window = now_ms / config.report_ms;
         let last = self.report_rate;
@@ -116,33 +119,33 @@
         count > MAX_REPORTS_PER_WINDOW
     }
 
-    /// The streak of that kind.
+    /// The streak of a kind of deviation.
     pub fn deviation(&mut self, kind: FindingKind) -> &mut DeviationStreak {
         &mut self.deviations[kind as usize]
     }
 
-    /// Whether a deviation of that kind holds.
+    /// Whether a deviation of a kind holds.
     pub fn has(&self, kind: FindingKind) -> bool {
         self.deviations[kind as usize].active
     }
 
-    /// Whether a deviation of that kind holds or was seen in two windows in a row.
+    /// Whether a deviation of a kind holds or was observed in at least two consecutive windows.
     pub fn has_or_nearly_has(&self, kind: FindingKind) -> bool {
         self.has(kind) || self.deviations[kind as usize].bad > 1
     }
 
-    /// When its newest report was received.
+    /// Time at which the newest report was received, Unix time in milliseconds.
     pub fn received_ms(&self) -> Option<u64> {
         self.latest.as_ref().map(|latest| latest.received_ms)
     }
 
-    /// Whether it has reported within that time.
+    /// Whether the proxy has reported within the last `limit_ms` milliseconds.
     pub fn reported_within(&self, now_ms: u64, limit_ms: u64) -> bool {
         self.received_ms().is_some_and(|received_ms| now_ms.saturating_sub(received_ms) <= limit_ms)
     }
 
-    /// Takes what a peer says of it. A pause of more than `break_ms` between two peers' reports starts
-    /// `since_ms` again.
+    /// Receives a peer's view of the proxy. A pause of more than `break_ms` between two peer reports restarts
+    /// [`AlivePerPeers::since_ms`].
     pub fn receive_peer_view(&mut self, now_ms: u64, alive: bool, break_ms: u64) {
         let since_ms = match self.alive_per_peers {
             Some(view) if now_ms.saturating_sub(view.last_ms) <= break_ms => view.since_ms,
@@ -151,12 +154,12 @@
         self.alive_per_peers = alive.then_some(AlivePerPeers { last_ms: now_ms, since_ms });
     }
 
-    /// Whether its peers consider it alive, by their reports of the last two windows.
+    /// Whether its peers consider the proxy alive, by their reports of the last two windows.
     pub fn is_alive_per_peers(&self, now_ms: u64, config: &Config) -> bool {
         self.alive_per_peers.is_some_and(|view| now_ms.saturating_sub(view.last_ms) <= 2 * config.report_ms)
     }
 
-    /// Makes a report the newest one.
+    /// Stores a report as the newest one.
     pub fn set_latest(&mut self, now_ms: u64, report: &Report, generation_first_ms: u64, received_mask: u64) {
         if generation_first_ms == now_ms {
             self.target_since_ms = now_ms;
--- a/src/route_table/drift/receipt.rs
+++ b/src/route_table/drift/receipt.rs
@@ -1,5 +1,5 @@
-//! The receipt of a report: bounds on what is kept, then the checks of its proxy, then what it says of its
-//! peers.
+//! The receipt of a report: bounds on the kept state, then the checks of the reporting proxy, then its view
+//! of its peers.
 
 use super::super::backend_list::BackendList;
 use super::super::report_check::check_limits;
@@ -8,12 +8,12 @@
 use super::{Drift, ReportOutcome};
 
 impl Drift {
-    /// Takes a report: counts it once, checks the proxy against its target table, and takes what it says of
+    /// Receives a report: counts it once, checks the proxy against its target table, and stores its view of
     /// its peers.
     ///
     /// # Errors
     ///
-    /// [`ReportError`] if the report is invalid, comes too often, or exceeds the capacity for proxies or
+    /// [`ReportError`] if the report is invalid, arrives too often, or exceeds the capacity for proxies or
     /// backends.
     pub fn receive(
         &mut self,
@@ -49,8 +49,8 @@
         Ok(place.outcome)
     }
 
-    /// Takes what a report says of other proxies. Unknown ones that are alive are added while there is
-    /// capacity: a proxy that never reports is found that way.
+    /// Stores a report's view of other proxies. Unknown proxies that are alive are added while there is
+    /// capacity, so that a proxy that never reports is found.
     fn receive_peer_views(&mut self, now_ms: u64, report: &Report, config: &Config) {
         for peer in report.members.iter().filter(|peer| peer.name != report.name) {
             let has_capacity = self.proxies.len() < config.max_proxies;
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Adds the proxy of a report if it is unknown. Past [`Config::max_proxies`], one that only
-    /// peers reported is dropped for it.
+    /// Adds the proxy of a report if it is unknown. At [`Config::max_proxies`] it replaces a proxy that only
+    /// peers have reported.
     fn ensure_capacity(&mut self, now_ms: u64, report: &Report, config: &Config) -> Result<(), ReportError> {
         if self.proxies.contains_key(&report.name) {
             return Ok(());
--- a/src/route_table/drift/report_loss.rs
+++ b/src/route_table/drift/report_loss.rs
@@ -1,45 +1,45 @@
-//! The share of reports that are lost on their way, and how long a proxy must be silent before loss cannot
-//! explain it.
+//! The share of reports that are lost in transit, and the duration of silence that such loss does not
+//! explain.
 //!
 //! Reports are numbered, so a gap in a proxy's numbers is a lost report. The gaps of all proxies together
-//! estimate the loss; [`ReportLoss::silence_threshold_ms`] follows from it. Without this, a network that
-//! loses one report in five would make proxies look lost again and again; with a fixed high threshold a
-//! healthy network would show a lost proxy late.
+//! give an estimate of the loss, from which [`ReportLoss::silence_threshold_ms`] follows. With a fixed low
+//! threshold, a network that loses one report in five would make proxies look lost repeatedly; with a fixed
+//! high one, a lost proxy would be found late in a healthy network.
 
 use super::super::Config;
 
-/// Probability, in each window, of taking one proxy's lost reports for silence.
+/// Probability, in each window, of mistaking a proxy's lost reports for silence.
 const FALSE_SILENCE_PROBABILITY: f64 = 1e-10;
-/// Most windows without a report before a proxy counts as silent, however many reports are lost.
+/// Maximum number of windows without a report before a proxy counts as silent, whatever the loss.
 const MAX_MISSED_WINDOWS: u64 = 24;
-/// Largest gap in a proxy's numbers that counts as lost reports. A larger one is a proxy that was cut off or
-/// paused.
+/// Maximum gap in a proxy's numbers that counts as lost reports. A larger gap means that the proxy was cut
+/// off or paused.
 const MAX_LOST_IN_A_ROW: u64 = 8;
-/// Weight of the counts so far when a window begins (exponential decay).
+/// Factor by which the counts decay with each window.
 const DECAY_PER_WINDOW: f64 = 0.98;
-/// Windows after which decayed counts no longer change; bounds the exponent after a long pause.
+/// Maximum number of windows in one decay; bounds the exponent after a long pause.
 const MAX_DECAY_WINDOWS: u64 = 1000;
-/// Largest loss that is reckoned with.
+/// Upper bound of the estimated loss.
 const MAX_LOSS: f64 = 0.9;
 
-/// Reports that were sent and received lately, by the gaps in their numbers, with exponential decay.
+/// Exponentially decayed counts of reports sent and received, derived from the gaps in their numbers.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ReportLoss {
     sent: f64,
     received: f64,
-    /// Number of the window up to which the counts have decayed.
+    /// Number of the window up to which the counts have been decayed.
     window: u64,
 }
 
 impl ReportLoss {
-    /// Counts a received report. `gap` is how far its number lies above the proxy's last one, 1 being the
-    /// next; 0 for one that was counted as lost and has come late.
+    /// Counts a received report. `gap` is the difference between its number and the proxy's last one: 1 for
+    /// the next report, and 0 for a late one that was counted as lost before.
     pub fn count_received(&mut self, gap: u64) {
         self.sent += if gap > MAX_LOST_IN_A_ROW { 1.0 } else { gap as f64 };
         self.received += 1.0;
     }
 
-    /// Decays the counts by the windows that have passed.
+    /// Decays the counts by the windows that have passed since the last call.
     pub fn decay(&mut self, now_ms: u64, report_ms: u64) {
         let window = now_ms / report_ms;
         let windows = window.saturating_sub(self.window).min(MAX_DECAY_WINDOWS);
@@ -54,9 +54,9 @@
         if self.sent > 0.0 { ((self.sent - self.received) / self.sent).clamp(0.0, 1.0) } else { 0.0 }
     }
 
-    /// The time without a report, ms, after which a proxy counts as silent: as many windows as are lost in a
-    /// row with a probability below [`FALSE_SILENCE_PROBABILITY`], at least `raise` of them, and half a
-    /// window for reports that are late.
+    /// The time without a report, in milliseconds, after which a proxy counts as silent: the number of
+    /// consecutive windows that are lost with a probability below [`FALSE_SILENCE_PROBABILITY`], at least
+    /// [`Config::raise_after_windows`], plus half a window for reports that are late.
     ///
     /// The loss used is one standard deviation (of a Poisson count) above the estimate, since the estimate
     /// may rest on few reports.
--- a/src/route_table/drift/report_order.rs
+++ b/src/route_table/drift/report_order.rs
@@ -1,31 +1,32 @@
-//! The order of a proxy's reports. Reports are lost, repeated, late and out of order; each counts at most
-//! once, by the generation of its process and its number within that.
+//! The order of a proxy's reports. Reports may be lost, repeated, late or out of order; each counts at most
+//! once, by the generation of its process and its number in that generation.
 
 use super::super::{Config, FindingKind, Report};
 use super::deviation::Observation;
 use super::proxy_state::{LatestReport, OlderProcess, ProxyState};
 use std::cmp::Ordering;
 
-/// Numbers that [`LatestReport::received_mask`] covers.
+/// Number of report numbers that [`LatestReport::received_mask`] covers.
 const MASK_BITS: u64 = 64;
 
 /// Whether and how a report counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReportOutcome {
-    /// It does not count: it is repeated or late, or of an older process.
+    /// The report does not count: it is repeated, late or from an older process.
     Ignored,
-    /// It counts, and has another table than the report before: its window mixes two tables.
+    /// The report counts and has another table than the previous one, so that its window mixes two tables.
     TableChanged,
-    /// It counts, with the table of the report before.
+    /// The report counts and has the table of the previous one.
     SameTable,
 }
 
-/// The place of a report among those of its proxy.
+/// The place of a report in the sequence of its proxy's reports.
 pub(super) struct ReportPlace {
-    /// Whether it counts.
+    /// Whether and how the report counts.
     pub outcome: ReportOutcome,
-    /// For the estimate of lost reports, see
-    /// [`ReportLoss::count_received`](super::report_loss::ReportLoss::count_received).
+    /// Gap in the report numbers, for
+    /// [`ReportLoss::count_received`](super::report_loss::ReportLoss::count_received); `None` if the report
+    /// is not counted there.
     pub gap: Option<u64>,
 }
 
@@ -36,7 +37,7 @@
 }
 
 impl ProxyState {
-    /// Finds the place of a report and makes it the latest one if it is newer.
+    /// Determines the place of a report, and stores it as the latest one if it is newer.
     pub fn place_report(
         &mut self,
         now_ms: u64,
@@ -63,10 +64,10 @@
         }
     }
 
-    /// A report of an older process under the same name. It never counts.
+    /// Places a report of an older process under the same name, which never counts.
     ///
-    /// Its last reports may be late by the grace time. One that goes on after that is a second process:
-    /// `zombie`.
+    /// The last reports of an ended process may be late by the grace time. A process that reports after that
+    /// is still running beside the newer one, which is a `zombie`.
     fn place_from_older_process(
         &mut self,
         now_ms: u64,
@@ -91,7 +92,7 @@
         ReportPlace::without_gap(ReportOutcome::Ignored)
     }
 
-    /// A report of the present process with a higher number than the latest.
+    /// Places a report of the present process with a higher number than the latest.
     fn place_next(&mut self, now_ms: u64, report: &Report, silence_threshold_ms: u64) -> ReportPlace {
         let Some(latest) = &self.latest else { return ReportPlace::without_gap(ReportOutcome::Ignored) };
         let gap = report.number - latest.number;
@@ -109,8 +110,8 @@
     }
 }
 
-/// A report that is not newer than the latest of its process: late if it was not received before, else
-/// repeated.
+/// Places a report that is not newer than the latest of its process: it is late if it was not received
+/// before, else repeated.
 fn place_late(latest: &mut LatestReport, number: u64) -> ReportPlace {
     let back = latest.number - number;
     let late = back < MASK_BITS && latest.received_mask & (1 << back) == 0;
--- a/src/route_table/drift/views.rs
+++ b/src/route_table/drift/views.rs
@@ -1,5 +1,5 @@
-//! What the detector shows to others: the fleet as a rollout sees it, recent counts, and the page for
-//! operators.
+//! The detector's views for other modules: the fleet for a rollout's review, recent counts, and the
+//! operators' page.
 
 use super::super::rollout::{FleetView, LiveProxy};
 use super::super::{Config, DriftPage, FindingKind, OutcomeCounts, Table};
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 impl Drift {
-    /// The fleet as the rollout of `table` sees it. Drift that was raised before it began is not its doing
+    /// The fleet as the rollout of `table` sees it. Drift from before the rollout began is not caused by it
     /// and does not count.
     pub fn fleet_view(
         &self,
@@ -31,7 +31,7 @@
         FleetView { reliable: !in_grace && !self.coverage.is_blind(), proxies: live.collect() }
     }
 
-    /// The counts of the selected proxies over the last windows.
+    /// Sums the counts of the selected proxies over the last windows.
     pub fn recent_counts(&self, selected: impl Fn(&str) -> bool) -> OutcomeCounts {
         let mut sum = OutcomeCounts::default();
         for (_, proxy) in self.proxies.iter().filter(|(name, _)| selected(name)) {
@@ -40,7 +40,7 @@
         sum
     }
 
-    /// The page that operators read.
+    /// The operators' page of the fleet's drift.
     pub fn page(&self, now_ms: u64, config: &Config) -> DriftPage {
         let silence_threshold_ms = self.report_loss.silence_threshold_ms(config);
         let mut revisions = BTreeMap::new();
--- a/src/route_table/drift/weight_test.rs
+++ b/src/route_table/drift/weight_test.rs
@@ -1,22 +1,24 @@
-//! Whether a proxy's calls follow the weights of its table: a G-test of goodness of fit (Sokal and Rohlf,
-//! "Biometry") of the calls that its backends got against their weights, zone by zone, since a proxy may
-//! prefer one zone to another.
+//! Test whether a proxy's calls follow the weights of its table: a G-test of goodness of fit (Sokal and
+//! Rohlf, "Biometry") of the backends' calls against their weights. Zones are tested separately, since a
+//! proxy may prefer one zone to another.
 
 use super::super::backend_list::BackendList;
 use super::super::{Config, Report, Weights};
 use statrs::distribution::{ChiSquared, ContinuousCDF};
 use std::collections::BTreeMap;
 
-/// Oldest windows of a test, ms: a proxy with few calls would otherwise be tested by calls of long ago.
+/// Maximum age of a test's windows, in milliseconds: a proxy with few calls would otherwise be tested by
+/// outdated calls.
 const MAX_TEST_AGE_MS: u64 = 3_600_000;
-/// Least expected calls of a backend in the test: below, G does not follow the chi-squared distribution.
+/// Minimum number of expected calls of a backend in the test; with fewer, G does not follow the chi-squared
+/// distribution.
 const MIN_EXPECTED_CALLS: f64 = 5.0;
-/// Largest share of a zone's calls that backends of weight 0 may each get, as while a table changes.
+/// Maximum share of a zone's calls that each backend of weight 0 may receive, as during a change of table.
 const MAX_ZERO_WEIGHT_SHARE: f64 = 0.01;
-/// Least probability that the evidence quotes.
+/// Lower bound of the probability that the evidence quotes.
 const MIN_QUOTED_PROBABILITY: f64 = 1e-12;
 
-/// The calls of several windows with one table and one list.
+/// The calls of several windows with one table and one list of backends.
 #[derive(Clone, Debug, Default)]
 pub(super) struct WeightTest {
     since_ms: u64,
@@ -26,38 +28,38 @@
     backends: BTreeMap<String, BackendWindows>,
 }
 
-/// What one backend got in the windows of a test.
+/// The calls of one backend in the windows of a test.
 #[derive(Clone, Copy, Debug, Default)]
 struct BackendWindows {
     calls: u64,
-    /// Windows in which it could get its full part.
+    /// Number of windows in which the backend could receive its full share.
     windows: u32,
 }
 
-/// The result of a test.
+/// The result of a weight test.
 pub(super) struct WeightTestResult {
-    /// How the calls deviate from the weights, if they do.
+    /// Description of how the calls deviate from the weights, if they do.
     pub mismatch: Option<String>,
 }
 
-/// The calls of one backend.
+/// The weight and the calls of one backend.
 struct BackendCalls<'a> {
     name: &'a str,
     weight: f64,
     calls: f64,
 }
 
-/// The backend whose calls lie furthest from their expected number.
+/// The backend with the largest relative deviation of its calls from the expected number.
 #[derive(Default)]
 struct LargestDeviation<'a> {
-    /// Difference over the expected number.
+    /// Absolute difference divided by the expected number.
     relative: f64,
     name: &'a str,
     calls: f64,
     expected: f64,
 }
 
-/// G and its degrees of freedom, summed over zones.
+/// The G statistic and its degrees of freedom, summed over zones.
 #[derive(Default)]
 struct GStatistic<'a> {
     g: f64,
@@ -67,16 +69,16 @@
 }
 
 impl WeightTest {
-    /// Number of backends that it holds counts of.
+    /// Number of backends with counts in this test.
     pub fn len(&self) -> usize {
         self.backends.len()
     }
 
     /// Adds the calls of a window.
     ///
-    /// Only backends that could get their full part in every window of the test are kept: one that was
-    /// ejected, warming up or outside of the subset got fewer calls for a good reason. The test starts again
-    /// with another list; the window in which the list changed is left out.
+    /// Only backends that could receive their full share in every window of the test are kept: one that was
+    /// ejected, warming up or outside of the subset received fewer calls for a valid reason. The test
+    /// restarts when the list changes; the window of the change is left out.
     pub fn add_window(&mut self, now_ms: u64, report: &Report) {
         let list_changed = self.windows > 0 && self.list_version != report.list_version;
         let too_old = now_ms.saturating_sub(self.since_ms) > MAX_TEST_AGE_MS;
@@ -101,7 +103,7 @@
         self.calls = self.backends.values().fold(0, |sum, backend| sum.saturating_add(backend.calls));
     }
 
-    /// The result of the test once it has [`Config::min_calls`]; a new test begins then.
+    /// Returns the result of the test once it has [`Config::min_calls`], and begins a new test.
     pub fn take_result(
         &mut self,
         weights: &Weights,
@@ -123,12 +125,13 @@
     }
 }
 
-/// Tests the calls of all zones; the text names the backend that deviates most.
+/// Tests the calls of all zones, and describes a mismatch by the backend that deviates most.
 ///
-/// A mismatch needs two things: G, divided by [`Config::dispersion`], is improbable at the
-/// [`Config::significance_level`] (a healthy proxy avoids slow backends and takes turns, so its variance is not
-/// that of independent choice); and one backend is off by [`Config::min_effect_size`] of its expected calls, so
-/// that very many calls do not make a negligible difference count.
+/// A mismatch has two conditions. G, divided by [`Config::dispersion`], is improbable at the
+/// [`Config::significance_level`]; the division is needed because a healthy proxy avoids slow backends and
+/// takes turns, so that its variance is not that of independent choice. And one backend deviates by more than
+/// [`Config::min_effect_size`] of its expected calls, so that very many calls do not make a negligible
+/// difference significant.
 fn find_mismatch<'a>(zones: impl Iterator<Item = Vec<BackendCalls<'a>>>, config: &Config) -> Option<String> {
     let mut statistic = GStatistic::default();
     for backends in zones {
@@ -153,15 +156,15 @@
     ))
 }
 
-/// A backend of weight 0 that got more than a few calls: a mismatch without a test.
+/// Describes a backend of weight 0 with more than the tolerated calls, which is a mismatch without a test.
 fn calls_at_zero_weight(backends: &[BackendCalls], zone_calls: f64) -> Option<String> {
     let tolerated = MIN_EXPECTED_CALLS.max(MAX_ZERO_WEIGHT_SHARE * zone_calls);
     let wrong = backends.iter().find(|backend| backend.weight <= 0.0 && backend.calls > tolerated)?;
     Some(format!("{} of {zone_calls} calls went to {:?}, which has weight 0", wrong.calls, wrong.name))
 }
 
-/// The backends of a zone with a weight and enough expected calls. Each removal raises the expected calls of
-/// the others.
+/// Keeps the backends of a zone with a weight above 0 and enough expected calls. Each removal changes the
+/// expected calls of the others, so they are checked again.
 fn testable(mut backends: Vec<BackendCalls>) -> Vec<BackendCalls> {
     backends.retain(|backend| backend.weight > 0.0);
     loop {
@@ -174,7 +177,7 @@
     }
 }
 
-/// Sums of weights and of calls.
+/// Sums the weights and the calls of backends.
 fn sums(backends: &[BackendCalls]) -> (f64, f64) {
     backends
         .iter()
@@ -182,7 +185,7 @@
 }
 
 impl<'a> GStatistic<'a> {
-    /// Adds a zone: `2 * sum(observed * ln(observed / expected))`.
+    /// Adds the G statistic of a zone: `2 * sum(observed * ln(observed / expected))`.
     fn add_zone(&mut self, backends: Vec<BackendCalls<'a>>) {
         let (weight, calls) = sums(&backends);
         self.degrees_of_freedom += backends.len().saturating_sub(1);
--- a/src/route_table/effect.rs
+++ b/src/route_table/effect.rs
@@ -1,9 +1,9 @@
-//! What [`Control`](super::Control) returns to its host: the effects to carry out, and the answers to its
-//! calls.
+//! The return values of [`Control`](super::Control): the effects that its host carries out, and the results
+//! of the host's calls.
 
 use super::{Finding, Revision, RouteRecord, Table};
 
-/// What the host must do.
+/// An action that the host carries out for [`Control`](super::Control).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Write the record to disk, then [`Control::apply`](super::Control::apply) it, or
@@ -12,19 +12,19 @@
     /// Evaluate a proposal against the table in force by a replay, one at a time;
     /// [`Control::receive_verdict`](super::Control::receive_verdict) takes the verdict.
     Evaluate {
-        /// The proposed table.
+        /// Proposed table.
         table: Table,
-        /// The table in force.
+        /// Table in force.
         in_force: Table,
     },
-    /// Cancel the evaluation of that revision: it is superseded, or must be run again.
+    /// Cancel the evaluation of a revision, which is superseded or must run again.
     CancelEvaluation {
-        /// The revision that was evaluated.
+        /// Revision whose evaluation is cancelled.
         revision: Revision,
     },
-    /// Wake the watches: some proxy should have another table than before.
+    /// Wake the watches: the target table of some proxy has changed.
     Publish {
-        /// [`Control::version`](super::Control::version) from now on.
+        /// New value of [`Control::version`](super::Control::version).
         version: u64,
     },
     /// Log that a finding was raised.
@@ -33,23 +33,23 @@
     Cleared(Finding),
 }
 
-/// A proposal that was accepted. It counts once its record is applied.
+/// An accepted proposal. It takes effect once its record is applied.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AcceptedProposal {
-    /// Its table, with its revision.
+    /// Proposed table, with its revision.
     pub table: Table,
-    /// The record to write before the proposer is answered.
+    /// Record that must be written before the proposer is answered.
     pub record: RouteRecord,
 }
 
-/// Why a verdict was not used.
+/// A verdict that was not used, since no proposal awaits it.
 #[derive(thiserror::Error, Clone, Debug, PartialEq)]
 #[error(
     "the verdict is of a proposal from revision {from} with digest {digest}, which is not awaited (any more)"
 )]
 pub struct StaleVerdict {
-    /// The revision that the proposal was made from.
+    /// Revision that the verdict's proposal was made from.
     pub from: Revision,
-    /// Digest of the proposal's weights.
+    /// Digest of the weights of the verdict's proposal.
     pub digest: String,
 }
--- a/src/route_table/mod.rs
+++ b/src/route_table/mod.rs
@@ -1,11 +1,11 @@
 //! The route table of a tier: the weights that operators propose, how a new table reaches the proxies, and
-//! which proxies do not do what it says. `docs/routes.md` describes it for on-call staff.
+//! which proxies deviate from it. `docs/routes.md` describes it for on-call staff.
 //!
-//! Decisions only, without I/O, clock or socket. The registry hosts [`Control`]: it passes in proposals,
-//! verdicts, reports and the time, and carries out the [`Effect`]s.
+//! This module only makes decisions; it has no I/O, clock or socket. The registry hosts [`Control`]: it
+//! passes in proposals, verdicts, reports and the time, and carries out the [`Effect`]s.
 //!
-//! - `proposal`: the checks of a proposal, and its life until it is admitted.
-//! - `rollout`: the stages of an admitted proposal; what advances, ends or rolls back a rollout.
+//! - `proposal`: the checks of a proposal, and its lifecycle until it is admitted.
+//! - `rollout`: the stages of an admitted proposal; the checks that advance, end or roll back a rollout.
 //! - `drift`: the findings about proxies, from their reports; when a proxy is reported as lost.
 //! - `record`: the durable state. `report` and `table`: the data that proxies and operators send.
 
--- a/src/route_table/outcome_counts.rs
+++ b/src/route_table/outcome_counts.rs
@@ -5,25 +5,25 @@
 use statrs::distribution::{ContinuousCDF, Normal};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Windows that [`RecentCounts`] keeps: a minute of the default reports.
+/// Number of windows that [`RecentCounts`] keeps: a minute at the default report interval.
 const RECENT_WINDOWS: u64 = 12;
 
-/// Counts of some proxies over some windows.
+/// Counts of requests and calls by outcome, of one or more proxies over one or more windows.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeCounts {
-    /// Requests of clients.
+    /// Number of requests of clients.
     pub requests: u64,
-    /// Requests that were refused.
+    /// Number of requests that were refused.
     pub refused: u64,
-    /// Requests that failed.
+    /// Number of requests that failed.
     pub failed: u64,
-    /// Calls to backends.
+    /// Number of calls to backends.
     pub calls: u64,
-    /// Calls that ended with an error.
+    /// Number of calls that ended with an error.
     pub errors: u64,
 }
 
-/// One kind of bad outcome: how many of how many.
+/// The proportion of one kind of bad outcome.
 struct Proportion {
     label: &'static str,
     bad: u64,
@@ -31,7 +31,7 @@
 }
 
 impl OutcomeCounts {
-    /// The counts of a report.
+    /// Sums the counts of a report over its backends.
     pub fn of_report(report: &Report) -> OutcomeCounts {
         let sum = |by_backend: &BTreeMap<String, u64>| {
             by_backend.values().fold(0u64, |sum, count| sum.saturating_add(*count))
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Adds other counts. They saturate: reports come from outside and may be large.
+    /// Adds other counts with saturating arithmetic, since reports come from outside and may be large.
     pub fn add(&mut self, other: &OutcomeCounts) {
         self.requests = self.requests.saturating_add(other.requests);
         self.refused = self.refused.saturating_add(other.refused);
@@ -62,12 +62,13 @@
         ]
     }
 
-    /// The first share that is significantly worse here (with the table) than in `reference` (without it), as
-    /// text.
+    /// Describes the first share that is significantly worse in these counts (with the table) than in
+    /// `reference` (without the table), if there is one.
     ///
-    /// One-sided two-proportion z test with the pooled variance: the difference must be above the critical z
-    /// score at the significance level (`chance`) and above `margin`, so that huge counts do not make a
-    /// negligible difference count. A share with fewer than `least_requests` on either side is not tested.
+    /// This is a one-sided two-proportion z-test with pooled variance. The difference must exceed the
+    /// critical value at [`Config::significance_level`] and also [`Config::min_share_difference`], so that
+    /// huge counts do not make a negligible difference significant. A share with fewer than
+    /// [`Config::min_requests`] on either side is not tested.
     pub(super) fn significantly_worse_than(
         &self,
         reference: &OutcomeCounts,
@@ -102,7 +103,8 @@
 pub(super) struct RecentCounts(VecDeque<(u64, OutcomeCounts)>);
 
 impl RecentCounts {
-    /// Adds the counts of a report that arrived in the window of that number.
+    /// Adds the counts of a report that arrived in the window with this number, and drops windows that are
+    /// too old.
     pub fn add(&mut self, window: u64, counts: &OutcomeCounts) {
         match self.0.back_mut() {
             Some((last, sum)) if *last >= window => sum.add(counts),
@@ -113,7 +115,7 @@
         }
     }
 
-    /// The sum over the windows.
+    /// Sums the counts over the kept windows.
     pub fn sum(&self) -> OutcomeCounts {
         self.0.iter().fold(OutcomeCounts::default(), |mut sum, (_, counts)| {
             sum.add(counts);
--- a/src/route_table/pages.rs
+++ b/src/route_table/pages.rs
@@ -9,23 +9,23 @@
 /// The state of the table: what is in force, the active proposal, and how earlier proposals ended.
 #[derive(Serialize, Clone, Debug)]
 pub struct StatePage {
-    /// The revision that a proposal must be made from.
+    /// Revision that a proposal must be made from.
     pub newest: Revision,
-    /// See [`Control::version`]: what watches compare.
+    /// [`Control::version`], which watches compare.
     pub version: u64,
-    /// The last good table.
+    /// Last good table.
     pub in_force: Table,
-    /// The active proposal, with its rollout.
+    /// Active proposal, with its rollout.
     #[serde(rename = "work")]
     pub active: Option<ActiveProposal>,
-    /// What the rollout waits for, if it waits.
+    /// Condition that the rollout waits for, if it waits.
     #[serde(rename = "waits")]
     pub waiting_for: Option<String>,
     /// Counts of proxies with the new table since the stage began.
     pub with_table: OutcomeCounts,
-    /// Counts of proxies without it since the stage began.
+    /// Counts of proxies without the new table since the stage began.
     pub without_table: OutcomeCounts,
-    /// The newest ended proposals, newest last.
+    /// Newest ended proposals, newest last.
     #[serde(rename = "past")]
     pub ended: Vec<EndedProposal>,
 }
@@ -33,30 +33,30 @@
 /// The state of the fleet as the drift detector sees it.
 #[derive(Serialize, Clone, Debug)]
 pub struct DriftPage {
-    /// Proxies with a report in the last two and a half windows.
+    /// Number of proxies with a report in the last two and a half windows.
     #[serde(rename = "heard")]
     pub reporting: usize,
-    /// Live proxies, by membership or by reports.
+    /// Number of live proxies, by membership or by reports.
     pub alive: usize,
     /// Whether too few proxies report to raise or clear anything.
     pub blind: bool,
-    /// Rest of the grace time, ms: nothing is raised until it is over.
+    /// Remaining grace time in milliseconds: no finding is raised until it is over.
     #[serde(rename = "quiet_ms")]
     pub grace_remaining_ms: u64,
-    /// Share of reports that are lost, by the gaps in their numbers.
+    /// Share of reports that are lost, estimated from the gaps in their numbers.
     #[serde(rename = "lost")]
     pub report_loss: f64,
-    /// Time without a report, ms, after which a proxy counts as silent or gone.
+    /// Time without a report, in milliseconds, after which a proxy counts as silent or gone.
     #[serde(rename = "missed_ms")]
     pub silence_threshold_ms: u64,
-    /// Number of reporting proxies by the revision that they have.
+    /// Number of reporting proxies by the revision that they have in force.
     pub revisions: std::collections::BTreeMap<Revision, usize>,
-    /// The findings that are raised.
+    /// Findings that are raised.
     pub findings: Vec<Finding>,
 }
 
 impl Control {
-    /// The page of the table.
+    /// The operators' page of the route table.
     pub fn state_page(&self) -> StatePage {
         StatePage {
             newest: self.newest_revision(),
@@ -70,8 +70,8 @@
         }
     }
 
-    /// The page of the fleet.
-    pub fn drift_page(&self, now: u64) -> DriftPage {
-        self.drift.page(now, &self.config)
+    /// The operators' page of the fleet's drift.
+    pub fn drift_page(&self, now_ms: u64) -> DriftPage {
+        self.drift.page(now_ms, &self.config)
     }
 }
--- a/src/route_table/proposal/check.rs
+++ b/src/route_table/proposal/check.rs
@@ -1,5 +1,5 @@
-//! Whether a proposal is valid: its texts, its weights, and how far it moves a backend from the table in
-//! force.
+//! Validation of a proposal: its texts, its weights, and how far it moves a backend's weight from the table
+//! in force.
 //!
 //! Pure functions without state. [`Control::propose`](crate::route_table::Control::propose) calls them for a
 //! new proposal, and again for an `awaited` one when the list of backends changes.
@@ -10,23 +10,23 @@
 use sha2::{Digest, Sha256};
 use std::collections::HashSet;
 
-/// Longest name of a backend, class, zone, proxy or proposer, in bytes.
+/// Maximum length of the name of a backend, class, zone, proxy or proposer, in bytes.
 pub const MAX_NAME_BYTES: usize = 253;
-/// Longest reason of an override, in bytes.
+/// Maximum length of the reason of an override, in bytes.
 pub const MAX_OVERRIDE_REASON: usize = 1024;
-/// Largest weight.
+/// Maximum weight.
 pub const MAX_WEIGHT: f64 = 1e6;
 
-/// A backend of the list, as far as weights go.
+/// A listed backend, with the fields that weights depend on.
 #[derive(Serialize, Deserialize, Clone, Debug, Default, PartialEq)]
 pub struct Backend {
-    /// Its name.
+    /// Name of the backend.
     pub host: String,
-    /// Its class of machine.
+    /// Machine class of the backend.
     pub class: String,
-    /// Its zone.
+    /// Zone of the backend.
     pub zone: String,
-    /// Its relative size in the list; the weight is multiplied by it.
+    /// Relative size of the backend in the list. The weight is multiplied by it.
     pub share: f64,
 }
 
@@ -43,12 +43,12 @@
     weights
 }
 
-/// Whether a text has 1 to `most` bytes and no control characters.
-pub(crate) fn is_printable(text: &str, most: usize) -> bool {
-    !text.is_empty() && text.len() <= most && !text.chars().any(char::is_control)
+/// Whether a text has 1 to `max_bytes` bytes and no control characters.
+pub(crate) fn is_printable(text: &str, max_bytes: usize) -> bool {
+    !text.is_empty() && text.len() <= max_bytes && !text.chars().any(char::is_control)
 }
 
-/// Digest of the listed backends, 16 hexadecimal digits of SHA-256. Their order does not count.
+/// Digest of the listed backends: 16 hexadecimal digits of a SHA-256. It does not depend on their order.
 pub fn list_digest(listed: &[Backend]) -> String {
     let mut rows: Vec<_> = listed.iter().map(|b| (&b.host, &b.class, &b.zone, b.share.to_bits())).collect();
     rows.sort();
@@ -65,13 +65,14 @@
 
 /// Checks a proposal against the weights in force and the listed backends.
 ///
-/// `max_weight_step` is the greatest factor by which a backend's weight over the mean may move. A weight
-/// under the inverse of that factor times the mean counts as the inverse, so that a backend of the mean
+/// `max_weight_step` is the maximum factor by which a backend's weight, relative to the mean, may change. A
+/// relative weight below the inverse of that factor counts as the inverse, so that a backend of the mean
 /// weight can be set to 0 at once.
 ///
 /// # Errors
 ///
-/// The first fault found: size, texts and weights, names that are not listed, then the step.
+/// [`ProposalError`] for the first fault found: in the size, texts and weights, then in names that are not
+/// listed, then in the step.
 pub fn check_proposal(
     proposal: &Proposal,
     in_force: &Weights,
@@ -86,7 +87,7 @@
     check_step(&proposal.weights, in_force, listed, max_weight_step)
 }
 
-/// Checks what can be checked without the list: count, texts and ranges.
+/// Checks the values that do not depend on the list of backends: count, texts and ranges.
 fn check_values(proposal: &Proposal) -> Result<(), ProposalError> {
     let weights = &proposal.weights;
     let count = weights.backends.len() + weights.classes.len() + weights.zones.len();
@@ -110,7 +111,8 @@
     Ok(())
 }
 
-/// Checks that each weight is of a listed backend, class or zone: a misspelt name would have no effect.
+/// Checks that each weight names a listed backend, class or zone. Failure: a misspelt name would have no
+/// effect.
 fn check_names_are_listed(weights: &Weights, listed: &[Backend]) -> Result<(), ProposalError> {
     let names = |of: fn(&Backend) -> &str| listed.iter().map(of).collect::<HashSet<_>>();
     let hosts = names(|backend| &backend.host);
@@ -129,7 +131,7 @@
     Ok(())
 }
 
-/// Checks that some backend keeps a weight, and that none moves too far relative to the mean.
+/// Checks that some backend has a weight above 0, and that no weight changes too much relative to the mean.
 fn check_step(
     proposed: &Weights,
     in_force: &Weights,
@@ -147,7 +149,7 @@
     if new_mean <= 0.0 {
         return Err(ProposalError::AllZero);
     }
-    // The list may have changed so that all weights in force are 0: then there is no step to measure.
+    // After a change of the list all weights in force may be 0; then there is no step to measure.
     if old_mean <= 0.0 {
         return Ok(());
     }
--- a/src/route_table/proposal/error.rs
+++ b/src/route_table/proposal/error.rs
@@ -1,88 +1,88 @@
-//! Why a proposal is not accepted, with the text that its proposer reads and the HTTP status.
+//! The reasons for refusing a proposal, with the text for the proposer and the HTTP status.
 
 use super::super::{MAX_WEIGHTS, Revision};
 
 /// Why a proposal was not accepted, and what to do.
 #[derive(thiserror::Error, Clone, Debug, PartialEq)]
 pub enum ProposalError {
-    /// No backend would get calls.
+    /// No listed backend would receive calls.
     #[error("every listed backend would have weight 0: give at least one a weight above 0")]
     AllZero,
-    /// A weight that is negative, not finite or too large.
+    /// A weight is negative, not finite or too large.
     #[error("{kind} {name:?}: weight {weight} must be a number from 0 to 1000000: correct it")]
     Weight {
-        /// `backend`, `class` or `zone`.
+        /// Kind of the name: `backend`, `class` or `zone`.
         kind: &'static str,
-        /// Its name.
+        /// Name of the backend, class or zone.
         name: String,
-        /// The weight proposed.
+        /// Proposed weight.
         weight: f64,
     },
-    /// No listed backend has this name, class or zone.
+    /// No listed backend has the given name, class or zone.
     #[error(
         "{kind} {name:?} is not in the list of backends: correct the name, leave it out, or register it first"
     )]
     Unknown {
-        /// `backend`, `class` or `zone`.
+        /// Kind of the name: `backend`, `class` or `zone`.
         kind: &'static str,
-        /// Its name.
+        /// Name that is not listed.
         name: String,
     },
-    /// More than [`MAX_WEIGHTS`] weights.
+    /// The proposal has more than [`MAX_WEIGHTS`] weights.
     #[error("{count} weights, of which a table has at most {MAX_WEIGHTS}: say it by class or zone")]
     TooMany {
-        /// Weights of the proposal.
+        /// Number of weights in the proposal.
         count: usize,
     },
-    /// A name or text that is empty, too long or has control characters.
+    /// A name or text is empty, too long or has control characters.
     #[error("{what}: must be 1 to {most} printable bytes: shorten or correct it")]
     Text {
-        /// Which text.
+        /// Name of the text.
         what: &'static str,
-        /// Its greatest length, in bytes.
+        /// Maximum length in bytes.
         most: usize,
     },
     /// The list of backends is empty.
     #[error("no backend is listed, so that no weight can be checked: register backends first")]
     NoBackends,
-    /// A backend's weight over the mean would move by more than the configured factor.
+    /// A backend's weight relative to the mean would change by more than the configured factor.
     #[error(
         "backend {backend:?} would go from {from:.3} to {to:.3} of the mean, by more than the factor {most}: \
          propose a smaller step, then the next"
     )]
     Step {
-        /// The first such backend.
+        /// Name of the first such backend.
         backend: String,
-        /// Its weight over the mean in the table in force.
+        /// Weight of the backend over the mean weight, by the table in force.
         from: f64,
-        /// The same in the proposal.
+        /// Weight of the backend over the mean weight, by the proposal.
         to: f64,
-        /// The configured factor.
+        /// Maximum factor, as configured.
         most: f64,
     },
-    /// Made from another table than the newest.
+    /// The proposal was made from another table than the newest.
     #[error(
         "made from revision {from}, but {newest} is the newest: read that one, make the proposal anew from it"
     )]
     Conflict {
-        /// What it was made from.
+        /// Revision that the proposal was made from.
         from: Revision,
-        /// What it must be made from.
+        /// Newest revision, which a proposal must be made from.
         newest: Revision,
     },
-    /// A rollout runs: one at a time.
+    /// A rollout is in progress; there is one at a time.
     #[error("revision {revision} is being rolled out: wait for its end, see the state of the routes")]
     RollingOut {
-        /// The revision that is rolled out.
+        /// Revision that is being rolled out.
         revision: Revision,
     },
-    /// Proxies have revisions that this registry never issued: it lost state.
+    /// Proxies have revisions that this registry never issued, so that it has lost state.
     #[error(
         "{proxies} proxies have a revision that this registry never gave, so that it lost state: bring back its \
          directory, or propose with an override and the whole weights that the fleet should have"
     )]
     Ahead {
-        /// Such proxies.
+        /// Number of proxies with such a revision.
         proxies: usize,
     },
     /// An earlier change is still being written to disk.
--- a/src/route_table/proposal/lifecycle.rs
+++ b/src/route_table/proposal/lifecycle.rs
@@ -1,5 +1,5 @@
-//! The changes of the record by which a proposal is accepted, evaluated, admitted and, before its rollout,
-//! ended.
+//! The changes of the record by which a proposal is accepted, evaluated and admitted, or ended before its
+//! rollout.
 
 use super::super::record::{ActiveProposal, Admission, ProposalOutcome};
 use super::super::{AcceptedProposal, Backend, Control, Effect, Proposal, Revision, RouteRecord, Table};
@@ -8,10 +8,10 @@
 use crate::replay::{Decision, Verdict};
 
 impl Control {
-    /// Accepts a proposal, its weights rounded to nine decimals, or says why not.
+    /// Accepts a proposal, with its weights rounded to nine decimals, or returns the reason to refuse it.
     ///
-    /// `listed` are the backends of the list now. The proposal counts once the returned record is on disk and
-    /// given to [`Control::apply`].
+    /// `listed` are the currently listed backends. The proposal takes effect once the returned record is on
+    /// disk and passed to [`Control::apply`].
     ///
     /// # Errors
     ///
@@ -73,7 +73,7 @@
         Ok(())
     }
 
-    /// By what a proposal may go out, as far as that is known when it is accepted.
+    /// The admission of a proposal at the time when it is accepted.
     fn admission(&self, override_why: Option<String>) -> Admission {
         match override_why {
             Some(why) => Admission::Override { why },
@@ -82,18 +82,18 @@
         }
     }
 
-    /// The next record of a proposal that awaits its verdict, or none while it waits.
+    /// The next record of a proposal that awaits its verdict, or `None` while it waits.
     pub(crate) fn decide_awaited(&self, now_ms: u64) -> Option<RouteRecord> {
         self.evaluate_for_changed_list(now_ms)
             .or_else(|| self.apply_verdict(now_ms))
             .or_else(|| self.lapse_without_verdict(now_ms))
     }
 
-    /// Evaluates the proposal again for another list of backends, or ends it if it is not valid for that
-    /// list.
+    /// Evaluates the proposal again when the list of backends has changed, or ends it if it is not valid for
+    /// the new list.
     ///
-    /// Failure: a verdict over backends that are gone would admit weights for a fleet that nobody replayed.
-    /// An empty list is skipped: it means that the list is not known yet.
+    /// Failure: a verdict on backends that are gone would admit weights for a fleet that was never replayed.
+    /// An empty list is skipped, since it means that the list is not known yet.
     fn evaluate_for_changed_list(&self, now_ms: u64) -> Option<RouteRecord> {
         let active = self.record.active.as_ref()?;
         let backends = &self.backends.list;
@@ -115,7 +115,7 @@
         Some(record)
     }
 
-    /// Admits the proposal or ends it, by the verdict of its replay.
+    /// Admits or ends the proposal according to the verdict of its replay.
     fn apply_verdict(&self, now_ms: u64) -> Option<RouteRecord> {
         let verdict = self.verdict.clone()?;
         let decision = verdict.decision.clone();
@@ -133,8 +133,9 @@
         Some(record)
     }
 
-    /// Ends the proposal if no verdict has come in [`Config::verdict_timeout_ms`](super::super::Config), counted
-    /// from the start of the registry at the earliest.
+    /// Ends the proposal if no verdict has arrived within
+    /// [`Config::verdict_timeout_ms`](super::super::Config::verdict_timeout_ms), counted from its acceptance
+    /// or from the start of the registry, whichever is later.
     fn lapse_without_verdict(&self, now_ms: u64) -> Option<RouteRecord> {
         let active = self.record.active.as_ref()?;
         let timeout_ms = self.config.verdict_timeout_ms;
@@ -148,7 +149,7 @@
         Some(record)
     }
 
-    /// Whether a verdict is of the proposal that awaits one.
+    /// Whether a verdict is on the proposal that currently awaits one.
     pub(crate) fn is_awaited(&self, verdict: &Verdict) -> bool {
         self.record.active.as_ref().is_some_and(|active| {
             active.admission == Admission::Awaited
@@ -157,15 +158,15 @@
         })
     }
 
-    /// The evaluation that the active proposal awaits, if it awaits one.
+    /// The effect that requests the evaluation of the active proposal, if that awaits its verdict.
     pub(crate) fn evaluation_request(&self) -> Option<Effect> {
         let awaiting = |active: &&ActiveProposal| active.admission == Admission::Awaited;
         let active = self.record.active.as_ref().filter(awaiting)?;
         Some(Effect::Evaluate { table: active.table.clone(), in_force: self.record.in_force.clone() })
     }
 
-    /// A revision above all that were ever issued, also by a registry whose state was lost: above the
-    /// record's, above every reported one, and not below Unix time in milliseconds.
+    /// A revision above all that were ever issued, also by a registry whose state was lost: above the highest
+    /// one in the record, above every reported one, and not below Unix time in milliseconds.
     pub(crate) fn new_revision(&self, now_ms: u64) -> Revision {
         let above_issued = self.record.highest_revision + 1;
         let above_reported = self.drift.highest_revision() + 1;
--- a/src/route_table/proposal/mod.rs
+++ b/src/route_table/proposal/mod.rs
@@ -1,12 +1,12 @@
-//! The life of a proposal outside of its rollout: it is checked, accepted, evaluated by a replay, and
+//! The lifecycle of a proposal outside of its rollout: it is checked, accepted, evaluated by a replay, and
 //! admitted or ended.
 //!
-//! Phases, by the states of the state page: `awaited` (accepted, its evaluation runs); `verdict`, `override`
+//! Phases, by their names on the state page: `awaited` (accepted, its evaluation runs); `verdict`, `override`
 //! or `unjudged` (admitted: the rollout begins in the same change); then the stages `few`, `tenth`, `half`,
 //! `all` of [`rollout`](super::rollout); last one of `done`, `stopped`, `refused`, `cannot_tell`, `lapsed`.
 //!
-//! `check` says whether a proposal can be accepted, without state. `lifecycle` accepts it, and ends it while
-//! it is `awaited`. All state is the active proposal of the [`RouteRecord`](super::RouteRecord).
+//! `check` validates a proposal without state. `lifecycle` accepts a proposal, and ends it while it is
+//! `awaited`. The only state is the active proposal of the [`RouteRecord`](super::RouteRecord).
 
 mod check;
 mod error;
--- a/src/route_table/record.rs
+++ b/src/route_table/record.rs
@@ -1,5 +1,5 @@
-//! What is durable of the route table. One record holds the complete state, so that the newest record of the
-//! log is enough to resume from, and a log that ends between two writes never holds half of a decision.
+//! The durable state of the route table. One record holds the complete state, so that the newest record of
+//! the log is enough to resume from, and a log that ends between two writes never holds half of a decision.
 //!
 //! The registry writes records as JSON: the serialized names of fields and variants are a contract with
 //! stored data and with readers of the state page; where a field has another name here, `serde(rename)` keeps
@@ -10,30 +10,30 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// Issued revisions whose digest is remembered, the newest ones.
+/// Number of issued revisions that a record keeps with their digests, the newest ones.
 const MAX_ISSUED: usize = 64;
-/// Ended proposals that are remembered, the newest ones.
+/// Number of ended proposals that a record keeps, the newest ones.
 const MAX_ENDED: usize = 16;
 
-/// The complete state after a change. A record replaces all with a lower `change`.
+/// The complete state of the route table after a change. A record replaces all records with a lower `change`.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct RouteRecord {
-    /// Number of the change: Unix time in milliseconds, or one above the last where that is higher.
+    /// Number of the change: Unix time in milliseconds, or the previous number plus 1 where that is higher.
     pub change: u64,
-    /// The change that last altered which table any proxy should have: what watches compare.
+    /// Number of the last change that gave some proxy another target table. Watches compare it.
     pub version: u64,
-    /// The highest revision ever issued.
+    /// Highest revision ever issued.
     #[serde(rename = "last")]
     pub highest_revision: Revision,
-    /// The last good table: that of all proxies that no stage of a rollout includes.
+    /// Last good table: the target of all proxies that no stage of a rollout includes.
     pub in_force: Table,
-    /// The newest issued revisions with their digests, newest last.
+    /// Newest issued revisions with their digests, newest last.
     #[serde(rename = "known")]
     pub issued: Vec<IssuedRevision>,
-    /// The proposal that has not ended, if there is one.
+    /// Proposal that has not ended, if there is one.
     #[serde(rename = "work")]
     pub active: Option<ActiveProposal>,
-    /// The newest ended proposals, newest last.
+    /// Newest ended proposals, newest last.
     #[serde(rename = "past")]
     pub ended: Vec<EndedProposal>,
 }
@@ -63,28 +63,30 @@
         }
     }
 
-    /// The evaluation that is awaited: revision of the proposal, and digest of the list it is evaluated for.
+    /// Key of the awaited evaluation: the revision of the proposal, and the digest of the list of backends
+    /// that it is evaluated for.
     pub(super) fn awaited_evaluation(&self) -> Option<(Revision, &str)> {
         let active = self.active.as_ref().filter(|active| active.admission == Admission::Awaited)?;
         Some((active.table.revision, &active.list_digest))
     }
 
-    /// What identifies a stage with its members: a record with another one starts the stage's counts again.
-    /// Members are only ever added within a stage, so their number is enough.
+    /// Key of a stage with its members. A record with another key restarts the stage's counts. Members are
+    /// only added within a stage, so their number is enough to identify them.
     pub(super) fn stage_key(&self) -> Option<(Revision, Stage, usize)> {
         let active = self.active.as_ref()?;
         let rollout = active.rollout.as_ref()?;
         Some((active.table.revision, rollout.stage, rollout.members.len()))
     }
 
-    /// Adds an issued revision; the oldest ones are dropped.
+    /// Adds an issued revision, and drops the oldest ones past [`MAX_ISSUED`].
     pub(super) fn remember_issued(&mut self, revision: Revision, digest: String) {
         self.issued.push(IssuedRevision { revision, digest });
         let surplus = self.issued.len().saturating_sub(MAX_ISSUED);
         self.issued.drain(..surplus);
     }
 
-    /// Moves the active proposal, if there is one, to the ended ones.
+    /// Moves the active proposal, if there is one, to the ended ones, and drops the oldest past
+    /// [`MAX_ENDED`].
     ///
     /// The predictions of its verdict are dropped: they take far more space than the rest of the record.
     pub(super) fn end_active(&mut self, now_ms: u64, end: ProposalOutcome) {
@@ -106,43 +108,43 @@
     }
 }
 
-/// A revision that was issued: proxies were, or could have been, given its table.
+/// An issued revision: proxies have received its table or could have.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct IssuedRevision {
-    /// Its number.
+    /// Number of the revision.
     pub revision: Revision,
-    /// Digest of its weights.
+    /// Digest of the revision's weights.
     pub digest: String,
 }
 
 /// A proposal that was accepted and has not ended.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct ActiveProposal {
-    /// Its table.
+    /// Proposed table.
     pub table: Table,
-    /// By what it may be rolled out.
+    /// Grounds on which the proposal may be rolled out.
     #[serde(rename = "admitted")]
     pub admission: Admission,
-    /// [`super::list_digest`] of the backends that it was checked against.
+    /// [`super::list_digest`] of the backends that the proposal was checked against.
     #[serde(rename = "list")]
     pub list_digest: String,
-    /// The replay's verdict, if it has one.
+    /// Verdict of the replay, once there is one.
     pub verdict: Option<Verdict>,
-    /// Its rollout, once it is admitted.
+    /// Rollout of the proposal, once it is admitted.
     pub rollout: Option<Rollout>,
 }
 
-/// By what a proposal may be rolled out.
+/// The grounds on which a proposal may be rolled out.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 #[serde(rename_all = "snake_case", tag = "by")]
 pub enum Admission {
-    /// Nothing yet: the verdict of its replay is awaited.
+    /// The proposal is not admitted yet: the verdict of its replay is awaited.
     Awaited,
-    /// The replay's verdict.
+    /// The verdict of the replay admitted the proposal.
     Verdict,
-    /// An operator, without a verdict.
+    /// An operator admitted the proposal without a verdict.
     Override {
-        /// The reason that the operator gave.
+        /// Reason that the operator gave.
         why: String,
     },
     /// The configuration requires no verdict (`judge = false`).
@@ -152,26 +154,26 @@
 /// The durable state of a rollout.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct Rollout {
-    /// The stage that it is in.
+    /// Current stage.
     pub stage: Stage,
-    /// Names of the proxies that should have the table; in [`Stage::All`] every other one should too. Empty
-    /// until the first review.
+    /// Names of the proxies that should have the table; in [`Stage::All`] every other proxy should have it
+    /// too. Empty until the first review.
     pub members: BTreeSet<String>,
     /// Counts of the members over the last minute before they got the table.
     #[serde(rename = "own")]
     pub member_baseline: OutcomeCounts,
-    /// Counts of proxies without the table, from the stage before or from the minute before the rollout:
-    /// compared with where too few proxies are left without the table.
+    /// Counts of proxies without the table, from the previous stage or from the minute before the rollout.
+    /// They are the reference where too few proxies are left without the table.
     #[serde(rename = "before")]
     pub fleet_baseline: OutcomeCounts,
-    /// When the rollout began, Unix time in milliseconds.
+    /// Start of the rollout, Unix time in milliseconds.
     pub began_ms: u64,
-    /// When the stage began, Unix time in milliseconds.
+    /// Start of the current stage, Unix time in milliseconds.
     #[serde(rename = "stage_ms")]
     pub stage_began_ms: u64,
 }
 
-/// The stages of a rollout, in order; [`super::stage_size`] is the number of proxies of each.
+/// The stages of a rollout, in order; [`super::stage_size`] gives the number of proxies of each.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
@@ -188,49 +190,51 @@
 /// A proposal that has ended.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct EndedProposal {
-    /// Its revision.
+    /// Revision of the proposed table.
     pub revision: Revision,
-    /// The table it was made from.
+    /// Revision that the proposal was made from.
     pub from: Revision,
-    /// Who proposed it.
+    /// Name of the proposer.
     pub by: String,
-    /// When it was accepted, Unix time in milliseconds.
+    /// Time at which the proposal was accepted, Unix time in milliseconds.
     #[serde(rename = "at_ms")]
     pub accepted_ms: u64,
-    /// By what it could be rolled out.
+    /// Grounds on which the proposal could be rolled out.
     #[serde(rename = "admitted")]
     pub admission: Admission,
-    /// Its verdict, without the predictions.
+    /// Verdict of the replay, without its predictions.
     pub verdict: Option<Verdict>,
-    /// When it ended, Unix time in milliseconds.
+    /// Time at which the proposal ended, Unix time in milliseconds.
     pub ended_ms: u64,
-    /// How it ended.
+    /// Outcome of the proposal.
     pub end: ProposalOutcome,
 }
 
-/// How a proposal ended. `Done` and `Stopped` end a rollout, the others a proposal before its rollout.
+/// The outcome of a proposal. `Done` and `Stopped` end a rollout; the others end a proposal before its
+/// rollout.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 #[serde(rename_all = "snake_case", tag = "end")]
 pub enum ProposalOutcome {
-    /// All proxies have it: it is the table in force.
+    /// The rollout completed: the proposed table is the table in force.
     Done,
-    /// The rollout was stopped, see `rollout` for the causes.
+    /// The rollout was stopped; the module `rollout` lists the causes.
     Stopped {
-        /// The stage that it was in.
+        /// Stage in which the rollout was stopped.
         stage: Stage,
-        /// Why, and what an operator can do.
+        /// Cause, and what an operator can do.
         why: String,
-        /// The revision by which the last good weights were issued again, if they were.
+        /// Revision under which the last good weights were reissued, if they were.
         #[serde(rename = "back")]
         rollback_revision: Option<Revision>,
     },
-    /// The verdict was `refuse`.
+    /// The verdict of the replay was `refuse`.
     Refused,
-    /// The verdict was `cannot_tell`.
+    /// The verdict of the replay was `cannot_tell`.
     CannotTell,
-    /// It was overtaken, got no verdict in time, or became invalid for another list of backends.
+    /// The proposal was superseded, got no verdict in time, or became invalid when the list of backends
+    /// changed.
     Lapsed {
-        /// Why, and what an operator can do.
+        /// Cause, and what an operator can do.
         why: String,
     },
 }
--- a/src/route_table/report_check.rs
+++ b/src/route_table/report_check.rs
@@ -1,19 +1,19 @@
-//! Whether a report is valid by itself: sizes, names, digest and ranges, before anything of it is kept.
+//! Validation of a single report, before any of it is kept: sizes, names, digest and ranges.
 //!
 //! Reports come from outside. Each bound here limits the memory or the arithmetic of the drift detector.
 
 use super::proposal::{MAX_NAME_BYTES, is_printable};
 use super::{Config, MAX_REPORTED, MAX_WITNESSED, Report};
 
-/// Largest count of requests or calls in a report; a window of any proxy has far fewer.
+/// Maximum count of requests or calls in a report; a window of any proxy has far fewer.
 pub const MAX_COUNT: u64 = 1 << 40;
-/// How far ahead of the registry's clock a revision or a generation may lie, ms: a day, far above what clocks
-/// differ by. A larger revision would raise the revision of every later proposal.
+/// Maximum lead of a revision or a generation over the registry's clock, in milliseconds: a day, far above
+/// the usual difference between clocks. A larger revision would raise the revision of every later proposal.
 const MAX_CLOCK_LEAD_MS: u64 = 86_400_000;
 
 /// Longest window of a report, as a multiple of `report_ms`: a paused proxy has a long one.
 const MAX_WINDOWS_IN_A_REPORT: u64 = 100;
-/// Most live proxies that a report may claim.
+/// Maximum number of live proxies that a report may claim.
 const MAX_ALIVE: u32 = 1 << 16;
 /// Length of a digest, in hexadecimal digits.
 const DIGEST_DIGITS: usize = 16;
@@ -21,57 +21,57 @@
 /// Why a report was refused, and what to do.
 #[derive(thiserror::Error, Clone, Debug, PartialEq)]
 pub enum ReportError {
-    /// A name that is empty, too long or has control characters.
+    /// A name is empty, too long or has control characters.
     #[error("{what}: must be 1 to {MAX_NAME_BYTES} printable bytes: correct the proxy's configuration")]
     Name {
-        /// What it names.
+        /// Part of the report that holds the name.
         what: &'static str,
     },
-    /// Too many entries.
+    /// A part of the report has too many entries.
     #[error("{what}: {count} entries, at most {most}: send the others in the next report")]
     TooMany {
-        /// Which part of the report.
+        /// Part of the report.
         what: &'static str,
-        /// Its entries.
+        /// Number of entries.
         count: usize,
-        /// The most that are accepted.
+        /// Maximum number of entries.
         most: usize,
     },
-    /// Not 16 hexadecimal digits.
+    /// The digest is not 16 lower-case hexadecimal digits.
     #[error(
         "digest: must be 16 lower-case hexadecimal digits: the proxy's build is not of this registry's kind"
     )]
     Digest,
-    /// A number out of its range.
+    /// A number is out of its range.
     #[error("{what}: {value} is out of range: see the proxy's clock and build")]
     Number {
-        /// Which number.
+        /// Field that holds the number.
         what: &'static str,
-        /// Its value.
+        /// Value that was reported.
         value: u64,
     },
-    /// No capacity for another proxy.
+    /// There is no capacity for another proxy.
     #[error(
         "reports of {most} proxies are kept and no more: raise routes.names, or have fewer proxies report here"
     )]
     Full {
-        /// The most that are kept.
+        /// Maximum number of proxies.
         most: usize,
     },
-    /// No capacity for counts of more backends.
+    /// There is no capacity for the counts of more backends.
     #[error("counts of {most} backends are kept and no more: raise routes.counts, or use smaller subsets")]
     FullCounts {
-        /// The most that are kept.
+        /// Maximum number of backend counts.
         most: usize,
     },
-    /// Far more reports of one name than one a window.
+    /// Reports under one name arrive far more often than once a window.
     #[error(
         "{name:?} reports more often than every {least_ms} ms: see its report_ms, or whether two use its name"
     )]
     TooOften {
-        /// The proxy.
+        /// Name of the proxy.
         name: String,
-        /// The time between two reports, ms.
+        /// Expected interval between two reports, in milliseconds.
         least_ms: u64,
     },
 }
@@ -88,11 +88,11 @@
     }
 }
 
-/// Checks a report by itself: first sizes, then names, the digest and numbers.
+/// Validates a report: first its sizes, then names, the digest and numbers.
 ///
 /// # Errors
 ///
-/// The first fault found.
+/// [`ReportError`] for the first fault found.
 pub(super) fn check_limits(report: &Report, now_ms: u64, config: &Config) -> Result<(), ReportError> {
     check_sizes(report)?;
     check_names(report)?;
--- a/src/route_table/rollout/review.rs
+++ b/src/route_table/rollout/review.rs
@@ -1,17 +1,17 @@
 //! The review of a stage at a tick: whether it waits, gets more members, advances, completes or is stopped.
 //!
-//! Pure functions over the durable [`Rollout`], the counts of the stage and the fleet as drift sees it. The
-//! checks are listed in order in [`next_step`].
+//! Pure functions of the durable [`Rollout`], the counts of the stage and the drift detector's view of the
+//! fleet. [`next_step`] lists the checks in order.
 
 use super::super::{Config, OutcomeCounts, Rollout, Stage};
 use super::stage::{proxy_rank, stage_size};
 use super::state::{FleetView, LiveProxy, RolloutStep, StageProgress};
 use std::collections::BTreeSet;
 
-/// Reviews the stage. The first check that has an answer decides; a stage that passes all of them advances.
+/// Reviews the stage. The first check that returns a step decides; a stage that passes all checks advances.
 ///
-/// Damage stops the rollout in the first tick that shows it, also in a stage that still waits for other
-/// things; what is only missing (reports, the table, requests) is waited for until the stage times out.
+/// Harm stops the rollout in the first tick that shows it, also in a stage that still waits for something
+/// else. Missing reports, tables or requests are waited for until the stage times out.
 pub(crate) fn next_step(
     config: &Config,
     now_ms: u64,
@@ -31,7 +31,7 @@
         .unwrap_or_else(|| review.advance())
 }
 
-/// One stage at one tick, with the live proxies divided into its members and the others.
+/// The review of a stage at one tick, with the live proxies divided into its members and the others.
 struct StageReview<'a> {
     config: &'a Config,
     rollout: &'a Rollout,
@@ -60,10 +60,10 @@
     /// Waits, or stops the rollout once [`Config::stage_timeout_ms`] have passed since
     /// [`StageProgress::since_ms`].
     ///
-    /// That time starts again when the members change, after a pause and after a restart of the registry.
+    /// That time restarts when the members change, and after a pause or a restart of the registry.
     ///
-    /// Failure: a condition that never comes true would block every later proposal. It shows as `waits` on
-    /// the state page.
+    /// Failure: a condition that never becomes true would block every later proposal. The state page shows it
+    /// as `waits`.
     fn wait_or_time_out(&self, reason: String) -> RolloutStep {
         if self.elapsed_ms > self.config.stage_timeout_ms {
             let reason = format!("waited for {} ms: {reason}", self.config.stage_timeout_ms);
@@ -72,39 +72,41 @@
         RolloutStep::Wait { reason }
     }
 
-    /// Without a majority of reports, silence of the members would pass for health.
+    /// Waits while the view of the fleet is not reliable or no proxy reports. Failure: without reports from a
+    /// majority, silence of the members would be taken for health.
     fn wait_for_fleet(&self, fleet: &FleetView) -> Option<RolloutStep> {
         if !fleet.reliable {
             let reason = "too few proxies are heard to judge by: see the drift page, have the proxies report";
             return Some(self.wait_or_time_out(reason.into()));
         }
-        let no_proxies = self.wanted() == 0;
+        let no_proxies = self.target_size() == 0;
         no_proxies.then(|| self.wait_or_time_out("no proxy reports: configure the proxies' reports".into()))
     }
 
-    /// How many members the current stage should have.
-    fn wanted(&self) -> usize {
+    /// Number of members that the current stage should have.
+    fn target_size(&self) -> usize {
         stage_size(self.rollout.stage, self.live, self.config.first_stage_proxies)
     }
 
-    /// Fills the stage with the next proxies in rank: at its start, and where members went silent.
+    /// Adds the next proxies in rank, at the start of the stage and where members went silent.
     ///
-    /// Failure: a table that makes proxies crash would silence its members and spread by their replacement. A
-    /// stage therefore names at most twice its size; past that it waits for its members and times out.
+    /// Failure: a table that makes proxies crash would silence its members and spread through their
+    /// replacements. A stage therefore names at most twice its size; after that it waits for its members and
+    /// times out.
     fn replace_silent_members(&self) -> Option<RolloutStep> {
-        let wanted = self.wanted();
-        let most_names = 2 * wanted;
+        let target_size = self.target_size();
+        let max_named = 2 * target_size;
         let named = self.rollout.members.len();
-        if self.members.len() >= wanted || named >= most_names {
+        if self.members.len() >= target_size || named >= max_named {
             return None;
         }
-        let missing = wanted - self.members.len();
-        let members = self.members_with_next(missing.min(most_names - named));
+        let missing = target_size - self.members.len();
+        let members = self.members_with_next(missing.min(max_named - named));
         Some(RolloutStep::Assign { stage: self.rollout.stage, members })
     }
 
-    /// Counts to compare with: of proxies without the table in this stage, or, where too few are left without
-    /// it, of the fleet before.
+    /// Reference counts: those of proxies without the table in this stage, or, where they have too few
+    /// requests, those of the fleet from before.
     fn comparison(&self) -> &OutcomeCounts {
         if self.progress.without_table.requests >= self.config.min_requests {
             &self.progress.without_table
@@ -113,11 +115,11 @@
         }
     }
 
-    /// Stops if proxies with the table do worse than those without, and worse than the same proxies did
-    /// before.
+    /// Stops the rollout if proxies with the table do significantly worse than those without, and worse than
+    /// the same proxies did before.
     ///
-    /// The second condition guards against proxies that differ in what they call: such a member is worse than
-    /// the others with any table. It is dropped while the members' own counts from before are too few to
+    /// The second condition guards against members whose calls differ from those of other proxies: they may
+    /// do worse with any table. It is not applied while the members' own earlier counts are too few to
     /// compare with.
     fn stop_if_worse(&self) -> Option<RolloutStep> {
         let with_table = &self.progress.with_table;
@@ -132,10 +134,10 @@
         Some(RolloutStep::Stop { reason })
     }
 
-    /// Stops if a greater share of the members drifts than of the others.
+    /// Stops the rollout if a greater share of the members drifts than of the others.
     ///
-    /// Where fewer than one proxy is left without the table for every ten with it, there is nothing to
-    /// compare with: then more than a tenth of the members is too much.
+    /// Where fewer than one proxy without the table is left for every ten with it, there is nothing to
+    /// compare with: then the limit is a tenth of the members.
     fn stop_if_drifting(&self) -> Option<RolloutStep> {
         let drifting = |side: &[&LiveProxy]| side.iter().filter(|proxy| proxy.drifting).count();
         let members = self.members.len();
@@ -165,7 +167,7 @@
         Some(self.wait_or_time_out(reason))
     }
 
-    /// Waits until the stage has lasted [`Config::min_stage_ms`]. This is the one wait that cannot time out.
+    /// Waits until the stage has lasted [`Config::min_stage_ms`]. This wait alone cannot time out.
     fn wait_for_min_time(&self) -> Option<RolloutStep> {
         let elapsed_ms = self.elapsed_ms;
         let least_ms = self.config.min_stage_ms;
@@ -173,8 +175,7 @@
         too_short.then(|| RolloutStep::Wait { reason: format!("stands for {elapsed_ms} of {least_ms} ms") })
     }
 
-    /// Waits until both sides have enough requests for the comparison of [`Self::stop_if_worse`] to mean
-    /// something.
+    /// Waits until both sides have enough requests for the comparison of [`Self::stop_if_worse`].
     fn wait_for_requests(&self) -> Option<RolloutStep> {
         let least = self.config.min_requests;
         let with_table = self.progress.with_table.requests;
@@ -187,7 +188,7 @@
         })
     }
 
-    /// The stage has passed: on to the next one that has more members than this, or complete after the last.
+    /// Advances to the next stage that has more members than the current one, or completes after the last.
     fn advance(&self) -> RolloutStep {
         if self.rollout.stage == Stage::All {
             return RolloutStep::Complete;
@@ -202,7 +203,7 @@
         RolloutStep::Assign { stage: Stage::All, members: self.rollout.members.clone() }
     }
 
-    /// The named members and the next `more` proxies in rank that report.
+    /// Names of the current members and of the next `more` reporting proxies in rank.
     fn members_with_next(&self, more: usize) -> BTreeSet<String> {
         let mut others = self.others.clone();
         others.sort_by_key(|proxy| (proxy_rank(proxy.name), proxy.name));
--- a/src/route_table/rollout/state.rs
+++ b/src/route_table/rollout/state.rs
@@ -1,69 +1,69 @@
-//! What a review of a rollout reads besides the record, and what it decides.
+//! The input of a rollout's review besides the record, and its result.
 
 use super::super::{OutcomeCounts, Stage};
 use std::collections::BTreeSet;
 
-/// What was counted in the current stage. In memory only.
+/// The counts of the current stage. They are kept in memory only.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StageProgress {
-    /// When counting began: the last change of the stage or its members, the start of the registry, or the
-    /// end of a pause of the registry itself.
+    /// Start of counting, Unix time in milliseconds: the last change of the stage or its members, the start
+    /// of the registry, or the end of a pause of the registry itself.
     pub since_ms: u64,
     /// Counts reported by proxies that have the new table.
     pub with_table: OutcomeCounts,
-    /// Counts reported by proxies that do not have it.
+    /// Counts reported by proxies that do not have the new table.
     pub without_table: OutcomeCounts,
-    /// What the stage waits for, for the state page.
+    /// Condition that the stage waits for, shown on the state page.
     pub waiting_for: Option<String>,
 }
 
 impl StageProgress {
-    /// Nothing counted yet.
+    /// Creates empty counts that start at `now_ms`.
     pub fn new(now_ms: u64) -> Self {
         StageProgress { since_ms: now_ms, ..StageProgress::default() }
     }
 }
 
-/// A proxy whose reports arrive.
+/// A proxy that currently reports.
 #[derive(Clone, Debug)]
 pub(crate) struct LiveProxy<'a> {
-    /// Its name.
+    /// Name of the proxy.
     pub name: &'a str,
-    /// Whether its newest report has the table of this rollout, by revision and digest.
+    /// Whether the proxy's newest report has the revision and digest of the table of this rollout.
     pub has_table: bool,
-    /// Whether `diverged` or `effect` is raised of it since the rollout began.
+    /// Whether `diverged` or `effect` holds for the proxy and began after the rollout did.
     pub drifting: bool,
 }
 
-/// The fleet as the reports show it.
+/// The state of the fleet according to the proxies' reports.
 pub(crate) struct FleetView<'a> {
-    /// Whether a majority of the proxies reports, and has for the grace time.
+    /// Whether a majority of the proxies reports and the grace time is over.
     pub reliable: bool,
-    /// All proxies that report.
+    /// Proxies that currently report.
     pub proxies: Vec<LiveProxy<'a>>,
 }
 
-/// What a rollout does next.
+/// The next step of a rollout.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum RolloutStep {
-    /// Nothing yet.
+    /// The stage stays as it is.
     Wait {
-        /// What it waits for, as operators read it.
+        /// Condition that the stage waits for, as text for operators.
         reason: String,
     },
-    /// The table goes to these members: a wider stage, or the same one with silent members replaced.
+    /// The table is assigned to these members: a wider stage, or the same stage with silent members replaced.
     Assign {
-        /// The stage from now on.
+        /// Stage to enter or stay in.
         stage: Stage,
-        /// All members of the stage; for [`Stage::All`] every proxy counts besides.
+        /// Names of all members of the stage. In [`Stage::All`] every other proxy is a member too.
         members: BTreeSet<String>,
     },
-    /// The last stage has passed: the table is in force.
+    /// The last stage has passed: the table goes into force.
     Complete,
-    /// The rollout ends. The last good weights go out again, unless no proxy was given the table yet or
+    /// The rollout ends. The last good weights are reissued, unless no proxy was given the table yet or
     /// proxies have revisions that this registry never issued.
     Stop {
-        /// Why, as operators read it.
+        /// Cause, as text for operators.
         reason: String,
     },
 }
--- a/src/route_table/rollout/transition.rs
+++ b/src/route_table/rollout/transition.rs
@@ -1,4 +1,4 @@
-//! The changes of the record by which a rollout begins, goes on and ends.
+//! The changes of the record by which a rollout begins, advances and ends.
 
 use super::super::record::{ProposalOutcome, Rollout, Stage};
 use super::super::{Admission, Control, OutcomeCounts, RouteRecord, Table};
@@ -6,8 +6,8 @@
 use std::collections::BTreeSet;
 
 impl Control {
-    /// Begins the rollout of the active proposal, in the stage `few` and without members: the next review
-    /// names them.
+    /// Begins the rollout of the active proposal, in the stage `few` and without members. The next review
+    /// assigns them.
     pub(crate) fn start_rollout(&self, record: &mut RouteRecord, now_ms: u64) {
         let fleet_baseline = self.drift.recent_counts(|_| true);
         let Some(active) = &mut record.active else { return };
@@ -24,7 +24,7 @@
         record.remember_issued(revision, digest);
     }
 
-    /// The next record of the rollout, or none while it waits.
+    /// Reviews the rollout and returns its next record, or `None` while it waits.
     pub(crate) fn decide_rollout(&mut self, now_ms: u64) -> Option<RouteRecord> {
         let active = self.record.active.as_ref()?;
         let rollout = active.rollout.as_ref()?;
@@ -55,10 +55,10 @@
         Some(record)
     }
 
-    /// Whether the reports show, before any proxy got the table, that this registry lost state.
+    /// Whether the reports show, before any proxy was given the table, that this registry lost state.
     ///
-    /// Failure: a registry that starts from an old directory takes a proposal before the proxies report, and
-    /// would then give the fleet an older table than it has. An override states that this is intended.
+    /// Failure: a registry that starts from an old directory accepts a proposal before the proxies report,
+    /// and would then give the fleet an older table than it has. An override states that this is intended.
     fn lost_state_before_first_member(
         &self,
         admission: &Admission,
@@ -69,7 +69,7 @@
         fleet.reliable && self.drift.proxies_ahead() > 0 && !overridden && rollout.members.is_empty()
     }
 
-    /// Gives the table to more proxies, and keeps what they and the fleet counted before as baselines.
+    /// Assigns the table to more proxies, and keeps their earlier counts and the fleet's as baselines.
     fn assign_members(&self, record: &mut RouteRecord, now_ms: u64, stage: Stage, members: BTreeSet<String>) {
         let change = record.change;
         let Some(rollout) = record.active.as_mut().and_then(|active| active.rollout.as_mut()) else { return };
@@ -88,7 +88,7 @@
         record.version = change;
     }
 
-    /// Stops the rollout: the last good weights go out to all proxies, as a new revision.
+    /// Stops the rollout, and reissues the last good weights to all proxies as a new revision.
     ///
     /// Nothing is rolled back if no proxy was given the table yet, or if proxies have revisions that this
     /// registry never issued: then its last good table may be older than what the fleet has.
@@ -121,14 +121,15 @@
             record.remember_issued(revision, record.in_force.digest.clone());
             rollback_revision = Some(revision);
         }
-        // The members' target changes also where nothing is rolled back: watches must compare again.
+        // The members' target also changes where nothing is rolled back, so watches must compare again.
         record.version = record.change;
         record.end_active(now_ms, ProposalOutcome::Stopped { stage, why, rollback_revision });
     }
 
-    /// Counts a report for the stage, on the side of its table.
+    /// Adds the counts of a report to those with or without the new table, by the report's revision.
     ///
-    /// A window in which the proxy changed its table (`same_table` false) mixes both tables and is left out.
+    /// A window in which the proxy changed to the new table (`same_table` is false) mixes both tables and is
+    /// left out.
     pub(crate) fn count_for_stage(&mut self, revision: u64, same_table: bool, counts: &OutcomeCounts) {
         let rolling_out = self.record.active.as_ref().filter(|active| active.rollout.is_some());
         let has_new_table = rolling_out.is_some_and(|active| active.table.revision == revision);
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Counting starts again: a stage began, or the registry itself paused.
+    /// Restarts the counts of the stage: a stage began or got members, or the registry itself paused.
     pub(crate) fn restart_stage_counts(&mut self, now_ms: u64) {
         self.stage_progress = StageProgress::new(now_ms);
     }
--- a/tests/routes_judged.rs
+++ b/tests/routes_judged.rs
@@ -41,7 +41,9 @@
     assert_eq!(page["judging"]["failed"], false);
     // Overtaken: that judging ends, the next one begins.
     let next = take(&registry, proposal(revision, &[("s1", 0.9)], token)).await;
-    registry.logged("judging ended: overtaken").await;
+    registry
+        .logged("evaluation cancelled: its proposal was superseded, ended or must be evaluated again")
+        .await;
     let page = until(&registry, "/registry/routes", |page| page["judging"]["revision"] == next).await;
     assert_eq!(
         (&page["past"][0]["revision"], &page["past"][0]["end"]["end"]),
