--- a/benches/drift.rs
+++ b/benches/drift.rs
@@ -18,18 +18,22 @@
 /// What a report names where 60 backends are listed: those of the subset, the others, and members.
 const NAMED: (usize, usize, usize) = (10, 50, 16);
 
-fn restarts_with_an_older(fleet: &mut Fleet, n: usize) {
-    fleet.restart(n);
-    older(fleet, n);
+fn restart_and_revert_table(fleet: &mut Fleet, n: usize) {
+    fleet.restart_proxy(n);
+    revert_table(fleet, n);
 }
 
 /// All have a table that says something else than even parts.
 fn settled(loss: f64, seed: u64) -> Fleet {
-    let mut fleet = Fleet::new(PROXIES, Config { min_stage_ms: 5000, ..unjudged() }, seed);
+    let mut fleet = Fleet::new(PROXIES, Config { min_stage_ms: 5000, ..config_without_verdicts() }, seed);
     fleet.run(40_000);
-    fleet.propose(proposal(0, &[("b0", 2.0), ("b3", 0.5)])).expect("taken");
-    assert!(fleet.until(300_000, |f| f.end() == Some(ProposalOutcome::Done)), "{:?}", fleet.end());
-    fleet.loss = loss;
+    fleet.propose(proposal(0, &[("b0", 2.0), ("b3", 0.5)])).expect("the proposal is accepted");
+    assert!(
+        fleet.run_until(300_000, |f| f.last_outcome() == Some(ProposalOutcome::Done)),
+        "{:?}",
+        fleet.last_outcome()
+    );
+    fleet.loss_rate = loss;
     fleet.run(600_000);
     assert_eq!(fleet.raised, []);
     fleet
@@ -42,14 +46,14 @@
         let (n, wait) = (fleet.rng.usize(0..PROXIES), fleet.rng.u64(0..10_000));
         fleet.run(wait);
         let name = Some(format!("p{n}"));
-        let began = fleet.now;
+        let began = fleet.now_ms;
         fault(&mut fleet, n);
         let found = |f: &Fleet| f.raised.iter().any(|(_, r)| r.kind == kind && r.proxy == name);
-        assert!(fleet.until(3_600_000, found), "{kind:?} {:?}", fleet.findings());
-        times.record(fleet.now - began).expect("in range");
-        heal(&mut fleet, n);
+        assert!(fleet.run_until(3_600_000, found), "{kind:?} {:?}", fleet.findings());
+        times.record(fleet.now_ms - began).expect("in range");
+        repair(&mut fleet, n);
         // Until none of its starts counts for flapping any more.
-        assert!(fleet.until(3_600_000, |f| f.findings().is_empty()), "{:?}", fleet.findings());
+        assert!(fleet.run_until(3_600_000, |f| f.findings().is_empty()), "{:?}", fleet.findings());
         fleet.run(400_000);
         fleet.raised.clear();
     }
@@ -83,7 +87,7 @@
 
 /// Milliseconds of processor for an hour of reports: read only, and taken with a tick a second.
 fn cost() {
-    let config = unjudged();
+    let config = config_without_verdicts();
     let mut reports: Vec<_> = (0..PROXIES).map(report).collect();
     let bytes: usize = reports.iter().map(|r| serde_json::to_vec(r).expect("written").len()).sum();
     let windows = 3_600_000 / config.report_ms;
@@ -97,7 +101,7 @@
             let began = Instant::now();
             let report: Report = serde_json::from_slice(&text).expect("read");
             let middle = Instant::now();
-            control.receive_report(now, report).expect("taken");
+            control.receive_report(now, report).expect("the report is accepted");
             if n % 60 == 0 {
                 let effects = control.tick(now);
                 assert!(effects.is_empty(), "{effects:?}");
@@ -121,12 +125,12 @@
 
 fn main() {
     let kinds: [(FindingKind, Fault); 6] = [
-        (FindingKind::Lagging, restarts_with_an_older),
-        (FindingKind::Diverged, spoil),
-        (FindingKind::Ahead, unknown),
-        (FindingKind::Effect, even),
-        (FindingKind::Silent, cut),
-        (FindingKind::Gone, down),
+        (FindingKind::Lagging, restart_and_revert_table),
+        (FindingKind::Diverged, report_wrong_digest),
+        (FindingKind::Ahead, report_unissued_revision),
+        (FindingKind::Effect, ignore_weights),
+        (FindingKind::Silent, disconnect),
+        (FindingKind::Gone, stop_proxy),
     ];
     println!("time to the finding, p50 / p99 (over the grace), {FAULTS} faults each");
     println!("| finding | no loss | 10 % lost | 20 % lost |\n| --- | --- | --- | --- |");
@@ -140,8 +144,8 @@
     println!("\n| reports lost | false findings in a day of {PROXIES} proxies |\n| --- | --- |");
     let days = std::thread::scope(|scope| {
         let day = |loss: f64| {
-            let mut fleet = Fleet::new(PROXIES, unjudged(), 1);
-            fleet.loss = loss;
+            let mut fleet = Fleet::new(PROXIES, config_without_verdicts(), 1);
+            fleet.loss_rate = loss;
             fleet.run(86_400_000);
             fleet.raised.len()
         };
--- a/benches/routes.rs
+++ b/benches/routes.rs
@@ -53,8 +53,8 @@
 }
 
 async fn cost() {
-    let registry = host(&data_dir("bench-routes-cost"), "").await;
-    register(&registry, BACKENDS).await;
+    let registry = start_route_registry(&data_dir("bench-routes-cost"), "").await;
+    register_backends(&registry, BACKENDS).await;
     let mut lists = JoinSet::new();
     let (seq, at) = (registry.get("").await["seq"].as_u64().expect("seq"), registry.address);
     for _ in 0..PROXIES {
@@ -71,9 +71,9 @@
     lists.shutdown().await;
     let fleet = Fleet::start(at, PROXIES, BACKENDS, Duration::from_secs(5));
     sleep(Duration::from_secs(10)).await;
-    let reports = fleet.taken.load(Relaxed);
+    let reports = fleet.accepted_reports.load(Relaxed);
     let (cpu, bytes) = taken(&registry).await;
-    let rate = (fleet.taken.load(Relaxed) - reports) as f64 / MEASURED.as_secs_f64();
+    let rate = (fleet.accepted_reports.load(Relaxed) - reports) as f64 / MEASURED.as_secs_f64();
     println!(
         "{PROXIES} proxies, {BACKENDS} backends, {rate:.1} reports/s: {cpu:.2} % of a core, {:.1} kB/s; their list watches \
          (1 s each): {list_cpu:.2} %, {:.1} kB/s; ratio {:.2} and {:.2}",
@@ -87,8 +87,8 @@
 
 async fn rollout() {
     let keys = format!("judge = false\nreport_ms = 1000\ngrace_ms = 3000\nstand_ms = {STAND_MS}");
-    let registry = host(&data_dir("bench-routes-rollout"), &keys).await;
-    register(&registry, BACKENDS).await;
+    let registry = start_route_registry(&data_dir("bench-routes-rollout"), &keys).await;
+    register_backends(&registry, BACKENDS).await;
     let fleet = Fleet::start(registry.address, PROXIES, BACKENDS, Duration::from_secs(1));
     sleep(Duration::from_secs(8)).await;
     let token = acquire(&registry, "operator").await;
@@ -96,9 +96,9 @@
     let (status, answer) = propose(&registry, &proposal(0, &[("s1", 0.5)], token)).await;
     assert_eq!(status, 200, "{answer}");
     let revision = answer["revision"].as_u64().expect("a revision");
-    fleet.all_hold(revision).await;
+    fleet.wait_for_revision(revision).await;
     let held = began.elapsed().as_secs_f64();
-    until(&registry, "/registry/routes", |page| page["in_force"]["revision"] == revision).await;
+    wait_for_page(&registry, "/registry/routes", |page| page["in_force"]["revision"] == revision).await;
     let in_force = began.elapsed().as_secs_f64();
     let stands = 4.0 * STAND_MS as f64 / 1000.0;
     println!(
@@ -111,13 +111,13 @@
 
 async fn judging() {
     // One registry beside the other: what judges is measured between two rounds of the one that does not.
-    let idle = host(&data_dir("bench-routes-idle"), "").await;
-    let registry = host(&data_dir("bench-routes-judging"), "judge_seeds = 100").await;
+    let idle = start_route_registry(&data_dir("bench-routes-idle"), "").await;
+    let registry = start_route_registry(&data_dir("bench-routes-judging"), "judge_seeds = 100").await;
     for each in [&idle, &registry] {
-        register(each, 8).await;
+        register_backends(each, 8).await;
         latencies(each).await;
     }
-    for segment in recorded(120.0) {
+    for segment in record_segments(120.0) {
         let answer = call(registry.address, "PUT", "/registry/traces", segment).await;
         assert!(matches!(answer, Ok((200, _))), "{answer:?}");
     }
@@ -126,7 +126,7 @@
     let (status, answer) = propose(&registry, &proposal(0, &[("s1", 0.8)], token)).await;
     assert_eq!(status, 200, "{answer}");
     let judged = |page: &serde_json::Value| page["judging"]["progress"].as_f64() > Some(0.0);
-    until(&registry, "/registry/routes", judged).await;
+    wait_for_page(&registry, "/registry/routes", judged).await;
     let (before, began) = (cpu(&registry), Instant::now());
     let with = latencies(&registry).await;
     let page = page(&registry, "/registry/routes").await;
--- a/tests/compatibility/operations.rs
+++ b/tests/compatibility/operations.rs
@@ -6,7 +6,7 @@
 use crate::proxy_golden::{masked, same, same_json};
 use crate::proxy_program::operate;
 use crate::rig::{Discovery, Do, Proxy, Scene, scene_with, settings};
-use crate::table_rig::{Tables, table};
+use crate::table_rig::{StubRegistry, table_page};
 use crate::waits::soon;
 use serde_json::{Value, json};
 use std::fmt::Write;
@@ -115,7 +115,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn routes_and_record_have_these_keys() {
-    let tables = Tables::start(&table(3, &[("a", 0.5)])).await;
+    let tables = StubRegistry::start(&table_page(3, &[("a", 0.5)])).await;
     let scene = scene(|config| {
         let registries = [tables.address.to_string()];
         config["routes"] = json!({"registries": registries, "name": "n0", "report_ms": 100});
--- a/tests/compatibility/registry_calls.rs
+++ b/tests/compatibility/registry_calls.rs
@@ -8,7 +8,7 @@
 use crate::proxy_program::masked_head;
 use crate::proxy_traffic::{Asked, Recorder};
 use crate::rig::{Backend, Do, Orders, Proxy, settings};
-use crate::table_rig::table;
+use crate::table_rig::table_page;
 use load_balancer::route_table::{ExclusionReason, Report, Witness};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -24,7 +24,7 @@
 async fn scene() -> Scene {
     let orders = Arc::new(Orders::default());
     let a = Backend::start("a", &orders).await;
-    let registry = Recorder::start(json!([a.line("SERVING")]), table(3, &[("a", 0.5)])).await;
+    let registry = Recorder::start(json!([a.line("SERVING")]), table_page(3, &[("a", 0.5)])).await;
     let at = registry.address.to_string();
     let config = json!({
         "name": "n0", "listen": "127.0.0.1:0", "discovery": at, "service": "search", "seed": "1", "ops": "127.0.0.1:0",
--- a/tests/compatibility/segments.rs
+++ b/tests/compatibility/segments.rs
@@ -13,7 +13,7 @@
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as f64;
     let packed = read(file);
     let ended = Segment::decode(&packed).expect("it is read").span_ms.1;
-    crate::routes_rig::shifted(&packed, now - ago_ms as f64 - ended, process)
+    crate::routes_rig::shift_packed(&packed, now - ago_ms as f64 - ended, process)
 }
 
 fn read(file: &str) -> Vec<u8> {
--- a/tests/fleet_rig/mod.rs
+++ b/tests/fleet_rig/mod.rs
@@ -7,7 +7,9 @@
 use crate::fault_relay::{Links, Relay};
 use crate::registry_rig::{Registry, data_dir, entry};
 use crate::rig::{Proxy, settings};
-use crate::routes_rig::{acquire, host, page, proposal, propose, until};
+use crate::routes_rig::{
+    acquire, page, proposal, propose, start_route_registry as host, wait_for_page as until,
+};
 use crate::waits::soon;
 use load::{Answers, Worker, call_on};
 use serde_json::{Value, json};
--- a/tests/routes/main.rs
+++ b/tests/routes/main.rs
@@ -1,4 +1,5 @@
-//! The route table: checks, verdicts, the rollout and its end, with the registry killed in between.
+//! The route table on a simulated fleet: checks of proposals, verdicts, rollouts and their ends, with kills of the
+//! registry in between.
 
 mod proposals;
 mod rollouts;
--- a/tests/routes_fleet.rs
+++ b/tests/routes_fleet.rs
@@ -1,4 +1,4 @@
-//! The route table among real processes, with faults between them.
+//! The route table with real registry, proxy and backend processes, and faults between them.
 
 mod fault_relay;
 mod fleet_rig;
@@ -12,42 +12,46 @@
 use serde_json::{Value, json};
 use std::sync::atomic::Ordering::Relaxed;
 
-/// A rollout of seconds, without a judging; windows that a busy machine does not miss by chance.
+/// Settings for rollouts that take seconds, without an evaluation. `raise` is high enough that a busy machine raises no
+/// findings by chance.
 const QUICK: &str =
     "judge = false\ngrace_ms = 2500\nstand_ms = 1200\nleast_requests = 100\nraise = 6\nclear = 2";
 
-fn of(kind: &str, n: usize) -> (String, Option<String>) {
+/// The finding of a kind about proxy `n`.
+fn finding(kind: &str, n: usize) -> (String, Option<String>) {
     (kind.into(), Some(format!("n{n}")))
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_proxy_stopped_through_a_whole_rollout_catches_up_and_nothing_false_is_said() {
+async fn a_proxy_paused_during_a_rollout_catches_up_and_no_false_finding_is_raised() {
     let mut tier = Tier::start(Plan { name: "stopped", keys: QUICK, ..Plan::default() }).await;
     tier.proxies[5].send_signal("-STOP");
-    let unheard = |page: &Value| found(page).iter().any(|f| *f == of("silent", 5) || *f == of("gone", 5));
-    tier.drift(unheard).await;
+    let lost =
+        |page: &Value| found(page).iter().any(|f| *f == finding("silent", 5) || *f == finding("gone", 5));
+    tier.drift(lost).await;
     let revision = tier.propose(&[("s1", 0.5)]).await;
     assert_eq!(tier.over(revision).await["end"]["end"], "done");
     tier.proxies[5].send_signal("-CONT");
     let held = tier.holds(5, |held| held["revision"] == revision).await;
     assert_eq!(held["weights"]["s1"], 0.5);
-    let fine = |page: &Value| page["revisions"] == json!({revision.to_string(): 6}) && found(page).is_empty();
-    tier.drift(fine).await;
+    let recovered =
+        |page: &Value| page["revisions"] == json!({revision.to_string(): 6}) && found(page).is_empty();
+    tier.drift(recovered).await;
     let raised = tier.raised();
     assert!(
-        !raised.is_empty() && raised.iter().all(|f| *f == of("silent", 5) || *f == of("gone", 5)),
+        !raised.is_empty() && raised.iter().all(|f| *f == finding("silent", 5) || *f == finding("gone", 5)),
         "{raised:?}"
     );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_proxy_cut_from_the_registry_goes_on_with_its_last_good_table_and_is_silent() {
+async fn a_proxy_cut_off_from_the_registry_keeps_its_last_good_table_and_is_silent() {
     let mut tier = Tier::start(Plan { name: "cut", keys: QUICK, ..Plan::default() }).await;
     let first = tier.propose(&[("s1", 0.5)]).await;
     assert_eq!(tier.over(first).await["end"]["end"], "done");
     tier.holds(5, |held| held["revision"] == first).await;
     tier.cut(5).await;
-    tier.drift(|page| found(page) == [of("silent", 5)]).await;
+    tier.drift(|page| found(page) == [finding("silent", 5)]).await;
     let second = tier.propose(&[("s1", 0.5), ("s2", 0.25)]).await;
     assert_eq!(tier.over(second).await["end"]["end"], "done");
     let held = tier.held(5).await;
@@ -57,28 +61,28 @@
     tier.heal(5);
     tier.holds(5, |held| held["revision"] == second && held["error"].is_null()).await;
     tier.drift(|page| found(page).is_empty()).await;
-    assert_eq!(tier.raised(), [of("silent", 5)]);
+    assert_eq!(tier.raised(), [finding("silent", 5)]);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_table_that_makes_a_backend_fail_stops_at_its_stage_and_goes_back() {
+async fn a_table_that_sends_calls_to_a_failing_backend_is_stopped_and_rolled_back() {
     let keys = &format!("{QUICK}\nstep = 1000\nchance = 0.01");
     let plan = Plan { name: "bad", keys, class: "once", ..Plan::default() };
     let mut tier = Tier::start(plan).await;
     let good = tier.propose(&[("s3", 0.01)]).await;
     assert_eq!(tier.over(good).await["end"]["end"], "done");
-    // An ill machine, which the table keeps nearly empty, is given nearly all calls.
+    // A failing backend, which receives few calls by the table in force, is given nearly all calls.
     tier.workers[3].fails.store(50, Relaxed);
     let (before, failed) = (tier.answers.all(), tier.answers.failed.load(Relaxed));
     let bad = tier.propose(&[("s0", 0.02), ("s1", 0.02), ("s2", 0.02)]).await;
     let end = tier.over(bad).await["end"].clone();
     assert_eq!(end["end"], "stopped", "{end}");
-    assert!(["few", "tenth"].contains(&end["stage"].as_str().expect("a stage")), "{end}");
-    let back =
+    assert!(["few", "tenth"].contains(&end["stage"].as_str().expect("the outcome has a stage")), "{end}");
+    let rollback =
         tier.state(|page| page["newest"].as_u64() > Some(bad) && page["work"].is_null()).await["newest"]
             .clone();
     for n in 0..6 {
-        let held = tier.holds(n, |held| held["revision"] == back).await;
+        let held = tier.holds(n, |held| held["revision"] == rollback).await;
         assert_eq!(held["weights"]["s3"], 0.01);
     }
     let all = tier.answers.all() - before;
@@ -86,15 +90,15 @@
     println!("of the fleet's requests from the proposal to its end, {all}, a share of {share:.4} failed");
     assert!(
         share > 0.0 && share < 0.17,
-        "a third of the proxies sent half of their calls into failure: {share}"
+        "at most a third of the proxies had half of their calls fail: {share}"
     );
-    assert!(tier.shares(1000).await[3] < 0.02, "it is nearly empty again");
+    assert!(tier.shares(1000).await[3] < 0.02, "the failing backend receives few calls again");
     let others: Vec<_> = tier.raised().into_iter().filter(|f| f.0 != "effect").collect();
     assert!(others.is_empty(), "{others:?}");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn with_half_of_the_fleet_cut_off_the_registry_is_blind_and_says_nothing_false() {
+async fn with_half_of_the_fleet_cut_off_the_registry_is_blind_and_raises_no_false_finding() {
     let mut tier = Tier::start(Plan { name: "half", keys: QUICK, ..Plan::default() }).await;
     let revision = tier.propose(&[("s1", 0.5)]).await;
     assert_eq!(tier.over(revision).await["end"]["end"], "done");
@@ -102,7 +106,7 @@
         tier.cut(n).await;
     }
     tier.drift(|page| page["blind"] == true).await;
-    // For longer than a silence takes to be raised.
+    // The cut lasts longer than a silent proxy takes to be raised.
     for n in 3..6 {
         tier.holds(n, |held| held["reports"]["lost"].as_u64() > Some(15)).await;
     }
@@ -115,60 +119,62 @@
     assert_eq!(tier.raised(), [("blind".to_string(), None)]);
 }
 
-/// Each proposal is judged by what these very proxies recorded, with more room in the back-test than a quiet machine needs.
-const JUDGED: &str = "grace_ms = 2500\nstand_ms = 1200\nleast_requests = 100\nraise = 6\nclear = 2\nstep = 1000\n\
+/// Settings for evaluations of what the proxies record, with wider bounds in the back-test than an idle machine needs.
+const WITH_EVALUATION: &str = "grace_ms = 2500\nstand_ms = 1200\nleast_requests = 100\nraise = 6\nclear = 2\nstep = 1000\n\
     judge_seeds = 3\nbounds = { span_ms = 20000, share = 0.3, p50 = 0.4, p99 = 0.6, p99_growth = 3.0, unseen = 1.2 }";
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn what_was_recorded_admits_a_mild_table_whose_shares_come_true_and_turns_an_absurd_one_down_by_name() {
+async fn a_moderate_table_is_admitted_with_true_predictions_and_an_extreme_one_is_refused_by_backend() {
     let record = json!({"sampled": 1.0, "segment_ms": 1000});
     let work = std::time::Duration::from_millis(40);
-    let (proxies, keys, name) = (5, JUDGED, "judged");
+    let (proxies, keys, name) = (5, WITH_EVALUATION, "judged");
     let plan = Plan { name, proxies, keys, work, slots: 5, rate: 80.0, record, ..Plan::default() };
     let mut tier = Tier::start(plan).await;
-    let traces = |least: u64| {
-        let held = move |page: &Value| page["recorded"].as_u64() >= Some(least);
-        routes_rig::until(&tier.registry, "/registry/traces", held)
+    let wait_for_traces = |least: u64| {
+        let has_traces = move |page: &Value| page["recorded"].as_u64() >= Some(least);
+        routes_rig::wait_for_page(&tier.registry, "/registry/traces", has_traces)
     };
-    let torn = routes_rig::recorded(5.0).swap_remove(0);
-    let torn =
-        registry_rig::call(tier.registry.address, "PUT", "/registry/traces", torn[..torn.len() / 2].to_vec());
-    assert_eq!(torn.await.expect("answered").0, 400);
-    traces(3500).await;
-    tier.proxies.pop().expect("five").kill().await;
-    let page = traces(6500).await;
+    let segment = routes_rig::record_segments(5.0).swap_remove(0);
+    let half = segment[..segment.len() / 2].to_vec();
+    let answer = registry_rig::call(tier.registry.address, "PUT", "/registry/traces", half);
+    assert_eq!(answer.await.expect("the registry answers").0, 400);
+    wait_for_traces(3500).await;
+    tier.proxies.pop().expect("there are five proxies").kill().await;
+    let page = wait_for_traces(6500).await;
     assert_eq!((&page["proxies"], &page["missing"]), (&json!(5), &json!(0)), "{page}");
 
-    let mild = tier.propose(&[("s0", 0.7)]).await;
-    let judged =
+    let moderate = tier.propose(&[("s0", 0.7)]).await;
+    let verdict =
         tier.state(|page| page["work"]["verdict"]["proposed"].is_object()).await["work"]["verdict"].clone();
-    let past = tier.over(mild).await;
-    assert_eq!(past["end"]["end"], "done", "{past}");
-    assert_eq!(past["verdict"]["decision"], "admit", "{past}");
+    let ended = tier.over(moderate).await;
+    assert_eq!(ended["end"]["end"], "done", "{ended}");
+    assert_eq!(ended["verdict"]["decision"], "admit", "{ended}");
     let measured = tier.shares(2500).await;
     for (n, share) in measured.iter().enumerate() {
-        let said = &judged["proposed"]["backends"][format!("s{n}")]["share"];
-        let (low, high) = (said["low"].as_f64().expect("low"), said["high"].as_f64().expect("high"));
+        let predicted = &verdict["proposed"]["backends"][format!("s{n}")]["share"];
+        let bound = |key: &str| predicted[key].as_f64().expect("the prediction has both bounds");
+        let (low, high) = (bound("low"), bound("high"));
         println!("s{n}: measured {share:.4}, predicted {low:.4} to {high:.4}");
-        assert!((low..=high).contains(share), "s{n}: measured {share}, said {said}");
+        assert!((low..=high).contains(share), "s{n}: measured {share}, predicted {predicted}");
     }
 
-    let refused = tier.propose(&[("s0", 0.0), ("s1", 0.002), ("s2", 0.002)]).await;
-    let past = tier.over(refused).await;
-    let verdict = &past["verdict"];
-    println!("absurd: {verdict}");
-    // Refused for what it bears; or past all that was seen there, where the machine was too busy for the model to know.
+    let extreme = tier.propose(&[("s0", 0.0), ("s1", 0.002), ("s2", 0.002)]).await;
+    let ended = tier.over(extreme).await;
+    let verdict = &ended["verdict"];
+    println!("verdict on the extreme table: {verdict}");
+    // The load of s3 breaks a bound, or exceeds all that was recorded, which a busy machine leaves the model unable to
+    // judge.
     let named =
         if verdict["decision"] == "refuse" { &verdict["breach"]["name"] } else { &verdict["backend"] };
     assert!(
-        ["refused", "cannot_tell"].map(Value::from).contains(&past["end"]["end"]) && named == "s3",
-        "{past}"
+        ["refused", "cannot_tell"].map(Value::from).contains(&ended["end"]["end"]) && named == "s3",
+        "{ended}"
     );
-    assert_eq!(tier.held(0).await["revision"], mild, "nobody was given it");
+    assert_eq!(tier.held(0).await["revision"], moderate, "no proxy was given the extreme table");
     let others: Vec<_> = tier
         .raised()
         .into_iter()
-        .filter(|f| ![of("gone", 4), of("silent", 4), ("blind".into(), None)].contains(f))
+        .filter(|f| ![finding("gone", 4), finding("silent", 4), ("blind".into(), None)].contains(f))
         .collect();
     assert!(others.is_empty(), "{others:?}");
 }
--- a/tests/routes_proxy.rs
+++ b/tests/routes_proxy.rs
@@ -1,4 +1,4 @@
-//! The proxy's side of the route table, against a registry that gives whatever it is told to.
+//! The proxy's side of the route table, against a stub registry that serves valid and invalid tables.
 
 mod fault_relay;
 mod rig;
@@ -13,12 +13,13 @@
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::time::Duration;
-use table_rig::{Tables, table};
+use table_rig::{StubRegistry, table_page};
 use tokio::time::sleep;
 
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-async fn watching(registry: SocketAddr) -> Scene {
+/// Starts a proxy that watches the route table at an address and reports there.
+async fn start_proxy(registry: SocketAddr) -> Scene {
     scene_with(settings(), |config| {
         config["ops"] = "127.0.0.1:0".into();
         config["routes"] = json!({"registries": [registry.to_string()], "name": "n0", "report_ms": 200});
@@ -26,34 +27,36 @@
     .await
 }
 
+/// The proxy's operations page of the route table.
 async fn page(proxy: &Proxy) -> Value {
     let page = proxy.tell("routes").await;
-    serde_json::from_str(page.lines().next().expect("a page")).expect("JSON")
+    serde_json::from_str(page.lines().next().expect("the page has a line")).expect("the page is JSON")
 }
 
-async fn until(proxy: &Proxy, is: impl Fn(&Value) -> bool) -> Value {
+/// Waits until the proxy's page fulfils a condition, and returns the page.
+async fn wait_for_page(proxy: &Proxy, condition: impl Fn(&Value) -> bool) -> Value {
     soon(async {
         loop {
             let page = page(proxy).await;
-            if is(&page) {
+            if condition(&page) {
                 return page;
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     })
     .await
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_table_weighs_the_picks_and_reports_tell_what_was_sent() {
-    let empty = table(3, &[("a", 0.0)]);
-    let tables = Tables::start(&empty).await;
-    let scene = watching(tables.address).await;
-    let held = until(&scene.proxy, |page| page["revision"] == 3).await;
+async fn the_table_weights_the_selection_and_reports_count_the_calls() {
+    let without_a = table_page(3, &[("a", 0.0)]);
+    let registry = StubRegistry::start(&without_a).await;
+    let scene = start_proxy(registry.address).await;
+    let held = wait_for_page(&scene.proxy, |page| page["revision"] == 3).await;
     assert_eq!(held["weights"], json!({"a": 0.0, "b": 1.0}));
     assert_eq!((&held["error"], &held["newest"]), (&Value::Null, &json!(3)));
-    let first = tables.report(|r| r["revision"] == 3).await;
-    assert_eq!(first["digest"], empty["digest"]);
+    let first = registry.wait_for_report(|r| r["revision"] == 3).await;
+    assert_eq!(first["digest"], without_a["digest"]);
     assert_eq!((&first["name"], &first["zone"], &first["alive"]), (&json!("n0"), &json!("a"), &json!(0)));
     let mut caller = scene.proxy.caller().await;
     for _ in 0..200 {
@@ -62,123 +65,131 @@
     assert_eq!((scene.orders.by("a"), scene.orders.by("b")), (0, 200));
     scene.orders.give([Do::Answer(500)]);
     caller.call("once").await;
-    // What the windows tell adds up to what the backends saw.
+    // The counts of all windows add up to the calls that the backends received.
     let sum = |key: &str, name: &str| -> u64 {
-        tables.reports().iter().filter_map(|r| r[key][name].as_u64()).sum()
+        registry.reports().iter().filter_map(|r| r[key][name].as_u64()).sum()
     };
     soon(async {
-        let requests = || tables.reports().iter().filter_map(|r| r["requests"].as_u64()).sum::<u64>();
+        let requests = || registry.reports().iter().filter_map(|r| r["requests"].as_u64()).sum::<u64>();
         while (sum("calls", "b"), sum("errors", "b"), requests()) != (201, 1, 201) {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     })
     .await;
-    let reports = tables.reports();
+    let reports = registry.reports();
     assert_eq!((sum("calls", "a"), reports.iter().filter_map(|r| r["failed"].as_u64()).sum::<u64>()), (0, 1));
     let numbers: Vec<u64> = reports.iter().filter_map(|r| r["number"].as_u64()).collect();
     assert_eq!(numbers, Vec::from_iter(1..=reports.len() as u64));
     assert!(reports.iter().all(|r| r["generation"] == first["generation"]));
-    let asked = tables.asked();
-    assert!(asked[0].starts_with("/registry/routes?name=n0&generation=") && !asked[0].contains("after="));
-    assert!(asked[1].ends_with("&after=3&wait_ms=5000"), "{}", asked[1]);
-    // A newcomer is weighed too, by its class of machine.
+    let watches = registry.table_requests();
+    assert!(watches[0].starts_with("/registry/routes?name=n0&generation=") && !watches[0].contains("after="));
+    assert!(watches[1].ends_with("&after=3&wait_ms=5000"), "{}", watches[1]);
+    // A backend that is added later gets a weight too, here by its machine class.
     let weights = Weights { classes: [("m".to_string(), 0.5)].into(), ..Weights::default() };
-    tables.give(json!({"revision": 4, "newest": 4, "digest": weights.digest(), "weights": weights}));
-    until(&scene.proxy, |page| page["weights"] == json!({"a": 0.5, "b": 0.5})).await;
+    registry.serve(json!({"revision": 4, "newest": 4, "digest": weights.digest(), "weights": weights}));
+    wait_for_page(&scene.proxy, |page| page["weights"] == json!({"a": 0.5, "b": 0.5})).await;
     let c = Backend::start("c", &scene.orders).await;
     scene.discovery.tell(vec![scene.a.line("SERVING"), scene.b.line("DRAINING"), c.line("SERVING")]).await;
-    let held = until(&scene.proxy, |page| page["weights"]["c"].is_number()).await;
+    let held = wait_for_page(&scene.proxy, |page| page["weights"]["c"].is_number()).await;
     assert_eq!(held["weights"], json!({"a": 0.5, "c": 0.5}));
     assert_eq!(held["left_out"]["b"], "draining");
 }
 
 #[rstest]
-#[case::other_digest(with(table(4, &[("a", 0.5)]), "digest", json!("0123456789abcdef")), "is spoilt")]
-#[case::negative(table(4, &[("a", -0.5)]), "0 or more")]
-#[case::went_back(table(2, &[("a", 0.5)]), "registry is behind")]
-#[case::other_under_its_revision(table(3, &[("a", 0.5)]), "another table under revision 3")]
-#[case::no_table(json!({"revision": 4}), "cannot be read")]
+#[case::wrong_digest(with(table_page(4, &[("a", 0.5)]), "digest", json!("0123456789abcdef")), "is spoilt")]
+#[case::negative(table_page(4, &[("a", -0.5)]), "0 or more")]
+#[case::older_revision(table_page(2, &[("a", 0.5)]), "registry is behind")]
+#[case::other_table_under_the_same_revision(table_page(3, &[("a", 0.5)]), "another table under revision 3")]
+#[case::incomplete(json!({"revision": 4}), "cannot be read")]
 #[case::too_long(json!("x".repeat(9 << 20)), "length limit")]
-#[case::too_many(full(5, MAX_WEIGHTS + 1), "are more than 16384")]
+#[case::too_many_weights(table_with_longest_names(5, MAX_WEIGHTS + 1), "are more than 16384")]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_table_that_cannot_be_taken_leaves_the_last_good_one(#[case] bad: Value, #[case] why: &str) {
-    let tables = Tables::start(&table(3, &[("a", 0.25)])).await;
-    let mut scene = watching(tables.address).await;
-    until(&scene.proxy, |page| page["revision"] == 3).await;
-    tables.give(bad);
-    let held = until(&scene.proxy, |page| page["error"].as_str().is_some_and(|e| e.contains(why))).await;
+async fn an_invalid_table_leaves_the_last_good_one_in_force(#[case] invalid: Value, #[case] why: &str) {
+    let registry = StubRegistry::start(&table_page(3, &[("a", 0.25)])).await;
+    let mut scene = start_proxy(registry.address).await;
+    wait_for_page(&scene.proxy, |page| page["revision"] == 3).await;
+    registry.serve(invalid);
+    let held =
+        wait_for_page(&scene.proxy, |page| page["error"].as_str().is_some_and(|e| e.contains(why))).await;
     assert_eq!((&held["revision"], &held["weights"]["a"]), (&json!(3), &json!(0.25)));
     scene.proxy.notes(why).await;
     assert_eq!(scene.proxy.call("look").await.0, 200);
-    tables.report(|r| r["number"].as_u64() > Some(1) && r["revision"] == 3).await;
-    tables.give(table(5, &[("a", 2.0)]));
-    let held = until(&scene.proxy, |page| page["revision"] == 5).await;
+    registry.wait_for_report(|r| r["number"].as_u64() > Some(1) && r["revision"] == 3).await;
+    registry.serve(table_page(5, &[("a", 2.0)]));
+    let held = wait_for_page(&scene.proxy, |page| page["revision"] == 5).await;
     assert_eq!((&held["error"], &held["weights"]["a"]), (&Value::Null, &json!(2.0)));
 }
 
-/// A table of so many backends' weights under the longest names, that of `a` among them.
-fn full(revision: u64, count: usize) -> Value {
+/// A table of `count` weights with names of the maximum length, one of them for `a`.
+fn table_with_longest_names(revision: u64, count: usize) -> Value {
     let name = |n: usize| format!("{n:0>width$}", width = MAX_NAME_BYTES);
     let names: Vec<String> = (1..count).map(name).collect();
     let mut weights: Vec<(&str, f64)> = names.iter().map(|name| (name.as_str(), 0.123456789)).collect();
     weights.push(("a", 0.75));
-    table(revision, &weights)
+    table_page(revision, &weights)
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_table_of_as_many_weights_as_it_may_have_is_taken_whatever_their_names() {
-    let tables = Tables::start(&table(3, &[("a", 0.25)])).await;
-    let scene = watching(tables.address).await;
-    until(&scene.proxy, |page| page["revision"] == 3).await;
-    let most = full(4, MAX_WEIGHTS);
-    assert_eq!(most["weights"]["backends"].as_object().expect("weights").len(), MAX_WEIGHTS);
-    tables.give(most);
-    let held = until(&scene.proxy, |page| page["revision"] == 4).await;
+async fn a_table_with_the_most_weights_and_the_longest_names_is_applied() {
+    let registry = StubRegistry::start(&table_page(3, &[("a", 0.25)])).await;
+    let scene = start_proxy(registry.address).await;
+    wait_for_page(&scene.proxy, |page| page["revision"] == 3).await;
+    let largest = table_with_longest_names(4, MAX_WEIGHTS);
+    let backends = largest["weights"]["backends"].as_object().expect("the weights are an object");
+    assert_eq!(backends.len(), MAX_WEIGHTS);
+    registry.serve(largest);
+    let held = wait_for_page(&scene.proxy, |page| page["revision"] == 4).await;
     assert_eq!((&held["error"], &held["weights"]["a"]), (&Value::Null, &json!(0.75)));
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_last_good_table_outlives_the_registry_and_what_was_missed_is_caught_up_with() {
-    let tables = Tables::start(&table(3, &[("a", 0.25)])).await;
-    let relay = Relay::start(tables.address).await;
-    let scene = watching(relay.address).await;
-    until(&scene.proxy, |page| page["revision"] == 3).await;
-    relay.lead_to(closed().await);
-    until(&scene.proxy, |page| page["error"].is_string()).await;
-    tables.give(table(4, &[("b", 0.25)]));
-    let held = until(&scene.proxy, |page| page["reports"]["lost"].as_u64() >= Some(3)).await;
+async fn the_last_good_table_stays_without_the_registry_and_the_newest_is_applied_after_reconnecting() {
+    let registry = StubRegistry::start(&table_page(3, &[("a", 0.25)])).await;
+    let relay = Relay::start(registry.address).await;
+    let scene = start_proxy(relay.address).await;
+    wait_for_page(&scene.proxy, |page| page["revision"] == 3).await;
+    relay.lead_to(unused_address().await);
+    wait_for_page(&scene.proxy, |page| page["error"].is_string()).await;
+    registry.serve(table_page(4, &[("b", 0.25)]));
+    let held = wait_for_page(&scene.proxy, |page| page["reports"]["lost"].as_u64() >= Some(3)).await;
     assert_eq!((&held["revision"], &held["weights"]["a"]), (&json!(3), &json!(0.25)));
     assert!(held["error"].is_string() && held["reports"]["error"].is_string());
     assert_eq!(scene.proxy.call("look").await.0, 200);
-    let last = tables.reports().len();
-    relay.lead_to(tables.address);
-    until(&scene.proxy, |page| page["revision"] == 4 && page["error"].is_null()).await;
-    let report = tables.report(|r| r["revision"] == 4).await;
-    assert!(report["number"].as_u64() > Some(last as u64 + 1), "the lost ones are missing: {report}");
-    assert!(report["window_ms"].as_u64() < Some(600), "and are in no later one: {report}");
-    let lost = "reports are taken again";
-    until(&scene.proxy, |page| page["reports"]["error"].is_null()).await;
+    let last = registry.reports().len();
+    relay.lead_to(registry.address);
+    wait_for_page(&scene.proxy, |page| page["revision"] == 4 && page["error"].is_null()).await;
+    let report = registry.wait_for_report(|r| r["revision"] == 4).await;
+    assert!(
+        report["number"].as_u64() > Some(last as u64 + 1),
+        "the numbers of lost reports are skipped: {report}"
+    );
+    assert!(
+        report["window_ms"].as_u64() < Some(600),
+        "a later report does not include lost windows: {report}"
+    );
+    wait_for_page(&scene.proxy, |page| page["reports"]["error"].is_null()).await;
     let mut proxy = scene.proxy;
-    proxy.notes(lost).await;
+    proxy.notes("reports are taken again").await;
 }
 
-/// An address at which nobody listens.
-async fn closed() -> SocketAddr {
-    let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    listener.local_addr().expect("bound")
+/// An address on which no process listens.
+async fn unused_address() -> SocketAddr {
+    let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port is bound");
+    listener.local_addr().expect("a bound listener has an address")
 }
 
+/// Replaces the value of a key of a page.
 fn with(mut page: Value, key: &str, value: Value) -> Value {
     page[key] = value;
     page
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn what_is_recorded_comes_in_segments_that_tell_what_happened() {
-    let tables = Tables::start(&table(0, &[])).await;
+async fn recorded_requests_are_sent_in_segments_with_their_outcomes() {
+    let registry = StubRegistry::start(&table_page(0, &[])).await;
     let scene = scene_with(settings(), |config| {
         config["ops"] = "127.0.0.1:0".into();
-        config["routes"] = json!({"registries": [tables.address.to_string()], "name": "n0"});
+        config["routes"] = json!({"registries": [registry.address.to_string()], "name": "n0"});
         config["record"] = json!({"sampled": 1.0, "segment_ms": 1000});
     })
     .await;
@@ -189,16 +200,16 @@
     }
     let mut segments: Vec<Segment> = Vec::new();
     while segments.iter().map(|s| s.traces.len()).sum::<usize>() < 20 {
-        let packed = tables.segments(segments.len() + 1).await;
-        segments = packed.iter().map(|bytes| Segment::decode(bytes).expect("sound")).collect();
+        let packed = registry.wait_for_segments(segments.len() + 1).await;
+        segments = packed.iter().map(|bytes| Segment::decode(bytes).expect("the segment is valid")).collect();
     }
     assert_eq!(
         segments.iter().map(|s| (s.seen, s.dropped)).fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1)),
         (20, 0)
     );
     let traces: Vec<_> = segments.iter().flat_map(|s| &s.traces).collect();
-    let told: Vec<_> = traces[0].tries.iter().map(|t| (t.reply, t.in_flight)).collect();
-    assert_eq!((traces[0].ending, told), (Ending::Served, vec![(Reply::Error, 0), (Reply::Ok, 0)]));
+    let replies: Vec<_> = traces[0].tries.iter().map(|t| (t.reply, t.in_flight)).collect();
+    assert_eq!((traces[0].ending, replies), (Ending::Served, vec![(Reply::Error, 0), (Reply::Ok, 0)]));
     assert!(traces[0].took_ms >= traces[0].tries[1].after_ms && traces[0].patience_ms == 60_000.0);
     assert!(traces.iter().skip(1).all(|t| t.tries.len() == 1 && t.ending == Ending::Served));
     let numbers: Vec<u64> = segments.iter().map(|s| s.number).collect();
@@ -210,7 +221,7 @@
         assert_eq!((name.as_str(), backends), ("n0", vec![("a", "m"), ("b", "m")]));
         assert!(
             load_balancer::platform_settings::parse(settings.as_bytes()).is_ok(),
-            "the module can be started by them"
+            "the recorded settings start the module"
         );
     }
     let page = scene.proxy.tell("record").await;
@@ -218,12 +229,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn without_configuration_there_is_no_table_and_nobody_is_asked() {
-    let tables = Tables::start(&table(3, &[])).await;
+async fn without_configuration_no_table_is_requested() {
+    let registry = StubRegistry::start(&table_page(3, &[])).await;
     let scene = scene_with(settings(), |config| config["ops"] = "127.0.0.1:0".into()).await;
     assert_eq!(scene.proxy.tell("routes").await, "NAK no routes\n");
     assert_eq!(scene.proxy.tell("record").await, "NAK no record\n");
-    assert!(tables.asked().is_empty());
+    assert!(registry.table_requests().is_empty());
 }
 
 #[rstest]
@@ -231,7 +242,7 @@
 #[case(json!({"name": "two words"}), "routes.name: from 1 to 63")]
 #[case(json!({"registry": "x"}), "unknown field `registry`")]
 #[tokio::test]
-async fn a_slip_in_the_configuration_ends_the_start(#[case] routes: Value, #[case] why: &str) {
+async fn an_invalid_configuration_ends_the_program_with_its_cause(#[case] routes: Value, #[case] why: &str) {
     let discovery = Discovery::start(Vec::new()).await;
     let mut config = discovery.config(settings());
     config["routes"] = routes;
--- a/tests/routes_rig/mod.rs
+++ b/tests/routes_rig/mod.rs
@@ -1,11 +1,11 @@
-//! A fleet of proxies as a registry sees them: each watches its table, takes what is newer and reports. For tests of the
-//! registry's side and for benchmarks; what they report is made up.
+//! Simulated proxies against a registry process: each watches its table, applies newer ones and sends generated
+//! reports. Tests of the registry's side and benchmarks use it.
 #![allow(dead_code)]
 
 mod records;
 
 #[allow(unused_imports)]
-pub use records::{recorded, shifted};
+pub use records::{record_segments, shift_packed};
 
 use crate::registry_rig::{Line, Registry, entry};
 use crate::waits::soon;
@@ -21,82 +21,87 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// Flags for a registry that hosts the route table, with these keys under `[routes]`.
-pub fn hosting(data: &Path, keys: &str) -> [String; 2] {
-    std::fs::create_dir_all(data).expect("made");
+/// Writes a configuration file with these keys under `[routes]`, and returns the flags for a registry that reads it and
+/// hosts the route table.
+pub fn route_table_flags(data: &Path, keys: &str) -> [String; 2] {
+    std::fs::create_dir_all(data).expect("the data directory is created");
     let file = data.join("registry.toml");
-    std::fs::write(&file, format!("[routes]\nenabled = true\n{keys}\n")).expect("written");
+    std::fs::write(&file, format!("[routes]\nenabled = true\n{keys}\n"))
+        .expect("the configuration file is written");
     ["--config".into(), file.display().to_string()]
 }
 
-/// A registry that hosts it.
-pub async fn host(data: &Path, keys: &str) -> Registry {
-    host_with(data, keys, &[]).await
+/// Starts a registry that hosts the route table, with these keys under `[routes]`.
+pub async fn start_route_registry(data: &Path, keys: &str) -> Registry {
+    start_route_registry_with_flags(data, keys, &[]).await
 }
 
-/// The same, with more flags.
-pub async fn host_with(data: &Path, keys: &str, more: &[&str]) -> Registry {
-    let flags = hosting(data, keys);
+/// Starts a registry that hosts the route table, with these keys under `[routes]` and further flags.
+pub async fn start_route_registry_with_flags(data: &Path, keys: &str, more: &[&str]) -> Registry {
+    let flags = route_table_flags(data, keys);
     Registry::start(data, &[&flags.each_ref().map(String::as_str), more].concat()).await
 }
 
-/// Registers so many backends, `s0` and on.
-pub async fn register(registry: &Registry, backends: usize) {
-    let one = |n: usize| {
-        let mut entry = entry(&format!("s{n}"), "127.0.0.1:9".parse().expect("address"), "SERVING");
+/// Registers a number of backends, named `s0`, `s1` and so on.
+pub async fn register_backends(registry: &Registry, backends: usize) {
+    let backend = |n: usize| {
+        let mut entry =
+            entry(&format!("s{n}"), "127.0.0.1:9".parse().expect("the address is valid"), "SERVING");
         entry["class"] = "m".into();
         entry
     };
-    registry.put(86_400_000, (0..backends).map(one).collect()).await;
+    registry.put(86_400_000, (0..backends).map(backend).collect()).await;
 }
 
-/// The token of the duty `routes`, acquired by a holder.
+/// Acquires the duty `routes` for a holder, and returns its fencing token.
 pub async fn acquire(registry: &Registry, holder: &str) -> u64 {
-    let ask = json!({"duty": "routes", "holder": holder, "ttl_ms": 600_000}).to_string();
-    let (status, text) = registry.call("PUT", "/registry/leases", &ask).await;
+    let lease = json!({"duty": "routes", "holder": holder, "ttl_ms": 600_000}).to_string();
+    let (status, text) = registry.call("PUT", "/registry/leases", &lease).await;
     assert_eq!(status, 200, "{text}");
-    serde_json::from_str::<Value>(&text).expect("JSON")["token"].as_u64().expect("a token")
+    serde_json::from_str::<Value>(&text).expect("the answer is JSON")["token"]
+        .as_u64()
+        .expect("the answer has a token")
 }
 
-/// The body of a proposal of some backends' weights.
+/// The body of a proposal of weights by backend, made from revision `from`.
 pub fn proposal(from: u64, weights: &[(&str, f64)], token: u64) -> Value {
     let weights: BTreeMap<&str, f64> = weights.iter().copied().collect();
     let fence = json!({"duty": "routes", "token": token});
     json!({"from": from, "weights": {"backends": weights}, "by": "operator", "fence": fence})
 }
 
-/// Puts a proposal; its status, and its answer as JSON or text.
+/// Sends a proposal, and returns the status and the answer as JSON, or as a string if it is text.
 pub async fn propose(registry: &Registry, body: &Value) -> (u16, Value) {
     let (status, text) = registry.call("PUT", "/registry/routes", &body.to_string()).await;
     (status, serde_json::from_str(&text).unwrap_or(Value::String(text)))
 }
 
-/// The revision in force by the state page.
+/// The revision in force according to the state page.
 pub fn in_force(page: &Value) -> u64 {
-    page["in_force"]["revision"].as_u64().expect("a revision")
+    page["in_force"]["revision"].as_u64().expect("the page has a revision in force")
 }
 
-/// A proposal that is taken; its revision.
-pub async fn take(registry: &Registry, body: Value) -> u64 {
+/// Sends a proposal, asserts that it is accepted, and returns its revision.
+pub async fn propose_accepted(registry: &Registry, body: Value) -> u64 {
     let (status, answer) = propose(registry, &body).await;
     assert_eq!(status, 200, "{answer}");
-    answer["revision"].as_u64().expect("a revision")
+    answer["revision"].as_u64().expect("the answer has a revision")
 }
 
-/// The JSON at a path of a registry.
+/// Reads the page at a path of a registry as JSON.
 pub async fn page(registry: &Registry, path: &str) -> Value {
     let (status, text) = registry.call("GET", path, "").await;
     assert_eq!(status, 200, "{text}");
-    serde_json::from_str(&text).expect("JSON")
+    serde_json::from_str(&text).expect("the page is JSON")
 }
 
-/// Waits until the page at a path says so, and gives it.
-pub async fn until(registry: &Registry, path: &str, so: impl Fn(&Value) -> bool) -> Value {
+/// Waits until the page at a path fulfils a condition, and returns the page.
+pub async fn wait_for_page(registry: &Registry, path: &str, condition: impl Fn(&Value) -> bool) -> Value {
     let mut last = Value::Null;
     let wait = async {
         loop {
             last = page(registry, path).await;
-            if so(&last) {
+            if condition(&last) {
                 return;
             }
             sleep(Duration::from_millis(20)).await;
@@ -108,62 +113,65 @@
     last
 }
 
-/// What a proxy holds.
+/// The table that a simulated proxy has in force.
 #[derive(Clone, Default)]
-pub struct Held {
-    pub any: bool,
+pub struct HeldTable {
+    /// Whether the proxy has received a table.
+    pub received: bool,
     pub revision: u64,
     pub digest: String,
     pub weights: Weights,
 }
 
-/// A fleet.
+/// A fleet of simulated proxies.
 pub struct Fleet {
     registry: watch::Sender<SocketAddr>,
-    held: Vec<Arc<Mutex<Held>>>,
-    /// Answers with an older table than was held.
-    pub older: Arc<AtomicU64>,
-    /// Reports taken.
-    pub taken: Arc<AtomicU64>,
+    held: Vec<Arc<Mutex<HeldTable>>>,
+    /// Number of answers with an older table than the proxy had.
+    pub older_tables: Arc<AtomicU64>,
+    /// Number of reports that the registry accepted.
+    pub accepted_reports: Arc<AtomicU64>,
     tasks: JoinSet<()>,
 }
 
-fn lock(held: &Mutex<Held>) -> MutexGuard<'_, Held> {
-    held.lock().expect("sound")
+fn lock(held: &Mutex<HeldTable>) -> MutexGuard<'_, HeldTable> {
+    held.lock().expect("the lock is not poisoned")
 }
 
 impl Fleet {
-    /// So many proxies that report of so many backends, this often.
-    pub fn start(at: SocketAddr, proxies: usize, backends: usize, every: Duration) -> Fleet {
+    /// Starts proxies that watch the registry at an address and report on `backends` backends at an interval.
+    pub fn start(registry: SocketAddr, proxies: usize, backends: usize, interval: Duration) -> Fleet {
         let mut fleet = Fleet {
-            registry: watch::Sender::new(at),
+            registry: watch::Sender::new(registry),
             held: (0..proxies).map(|_| Arc::default()).collect(),
-            older: Arc::default(),
-            taken: Arc::default(),
+            older_tables: Arc::default(),
+            accepted_reports: Arc::default(),
             tasks: JoinSet::new(),
         };
         for n in 0..proxies {
-            let (held, at) = (fleet.held[n].clone(), fleet.registry.subscribe());
-            fleet.tasks.spawn(follow(n, held.clone(), at.clone(), fleet.older.clone()));
-            fleet.tasks.spawn(report(n, (proxies, backends), every, held, at, fleet.taken.clone()));
+            let (held, registry) = (fleet.held[n].clone(), fleet.registry.subscribe());
+            let older_tables = fleet.older_tables.clone();
+            fleet.tasks.spawn(watch_table(n, held.clone(), registry.clone(), older_tables));
+            let accepted = fleet.accepted_reports.clone();
+            fleet.tasks.spawn(send_reports(n, (proxies, backends), interval, held, registry, accepted));
         }
         fleet
     }
 
-    /// The registry is somewhere else.
-    pub fn lead_to(&self, at: SocketAddr) {
-        self.registry.send_replace(at);
+    /// Directs all proxies to a registry at another address.
+    pub fn set_registry(&self, registry: SocketAddr) {
+        self.registry.send_replace(registry);
     }
 
-    /// How many proxies hold a revision.
-    pub fn holders(&self, revision: u64) -> usize {
+    /// Number of proxies that have a revision in force.
+    pub fn count_with_revision(&self, revision: u64) -> usize {
         self.held.iter().filter(|held| lock(held).revision == revision).count()
     }
 
-    /// Waits until all hold a revision.
-    pub async fn all_hold(&self, revision: u64) {
+    /// Waits until all proxies have a revision in force.
+    pub async fn wait_for_revision(&self, revision: u64) {
         soon(async {
-            while self.holders(revision) < self.held.len() {
+            while self.count_with_revision(revision) < self.held.len() {
                 sleep(Duration::from_millis(20)).await;
             }
         })
@@ -171,77 +179,91 @@
     }
 }
 
-fn name(n: usize) -> String {
+fn proxy_name(n: usize) -> String {
     format!("p{n}")
 }
 
-async fn follow(n: usize, held: Arc<Mutex<Held>>, at: watch::Receiver<SocketAddr>, older: Arc<AtomicU64>) {
+/// Watches the table of a proxy, applies newer ones, and counts answers with older ones.
+async fn watch_table(
+    n: usize,
+    held: Arc<Mutex<HeldTable>>,
+    registry: watch::Receiver<SocketAddr>,
+    older_tables: Arc<AtomicU64>,
+) {
     let mut line = Line::default();
     loop {
-        let mut path = format!("/registry/routes?name={}&generation=1", name(n));
-        if let Some(held) = Some(lock(&held)).filter(|held| held.any) {
+        let mut path = format!("/registry/routes?name={}&generation=1", proxy_name(n));
+        if let Some(held) = Some(lock(&held)).filter(|held| held.received) {
             path += &format!("&after={}&wait_ms=5000", held.revision);
         }
-        let to = *at.borrow();
-        let Ok((200, text)) = line.call(to, "GET", &path, Vec::new()).await else {
+        let address = *registry.borrow();
+        let Ok((200, text)) = line.call(address, "GET", &path, Vec::new()).await else {
             sleep(Duration::from_millis(50)).await;
             continue;
         };
-        let page: Value = serde_json::from_str(&text).expect("JSON");
-        let (revision, mut held) = (page["revision"].as_u64().expect("a revision"), lock(&held));
+        let page: Value = serde_json::from_str(&text).expect("the table is JSON");
+        let (revision, mut held) =
+            (page["revision"].as_u64().expect("the table has a revision"), lock(&held));
         if revision < held.revision {
-            older.fetch_add(1, Relaxed);
-        } else if revision > held.revision || !held.any {
-            let weights: Weights = serde_json::from_value(page["weights"].clone()).expect("weights");
+            older_tables.fetch_add(1, Relaxed);
+        } else if revision > held.revision || !held.received {
+            let weights: Weights =
+                serde_json::from_value(page["weights"].clone()).expect("the table has weights");
             assert_eq!(page["digest"], weights.digest());
-            *held = Held { any: true, revision, digest: weights.digest(), weights };
+            *held = HeldTable { received: true, revision, digest: weights.digest(), weights };
         }
     }
 }
 
-async fn report(
+/// Sends a proxy's reports at an interval, and counts the accepted ones.
+async fn send_reports(
     n: usize,
     (proxies, backends): (usize, usize),
-    every: Duration,
-    held: Arc<Mutex<Held>>,
-    at: watch::Receiver<SocketAddr>,
-    taken: Arc<AtomicU64>,
+    interval: Duration,
+    held: Arc<Mutex<HeldTable>>,
+    registry: watch::Receiver<SocketAddr>,
+    accepted: Arc<AtomicU64>,
 ) {
     let mut line = Line::default();
-    sleep(every.mul_f64(n as f64 / proxies as f64)).await;
-    let mut ticks = tokio::time::interval(every);
+    sleep(interval.mul_f64(n as f64 / proxies as f64)).await;
+    let mut ticks = tokio::time::interval(interval);
     for number in 1.. {
         ticks.tick().await;
-        let Some(now) = Some(lock(&held).clone()).filter(|held| held.any) else { continue };
-        let to = *at.borrow();
-        let body = made_up(n, (proxies, backends), number, every, &now);
-        if let Ok((200, _)) = line.call(to, "PUT", "/registry/reports", body).await {
-            taken.fetch_add(1, Relaxed);
+        let Some(table) = Some(lock(&held).clone()).filter(|held| held.received) else { continue };
+        let address = *registry.borrow();
+        let body = encode_report(n, (proxies, backends), number, interval, &table);
+        if let Ok((200, _)) = line.call(address, "PUT", "/registry/reports", body).await {
+            accepted.fetch_add(1, Relaxed);
         }
     }
 }
 
-/// A report that does what the table says.
-pub fn made_up(n: usize, of: (usize, usize), number: u64, every: Duration, held: &Held) -> Vec<u8> {
-    let (proxies, backends) = of;
+/// Encodes a report of proxy `n` whose calls follow its table, as JSON.
+pub fn encode_report(
+    n: usize,
+    (proxies, backends): (usize, usize),
+    number: u64,
+    interval: Duration,
+    held: &HeldTable,
+) -> Vec<u8> {
     let calls: BTreeMap<String, u64> = (0..backends)
         .map(|b| format!("s{b}"))
         .map(|b| (b.clone(), (20.0 * held.weights.of(&b, "m", "a")).round() as u64))
         .collect();
-    let others = (1..proxies).map(|k| name((n + k * number as usize) % proxies)).take(8);
+    let others = (1..proxies).map(|k| proxy_name((n + k * number as usize) % proxies)).take(8);
     let report = Report {
-        name: name(n),
+        name: proxy_name(n),
         generation: 1,
         number,
         zone: "a".into(),
         revision: held.revision,
         digest: held.digest.clone(),
-        window_ms: every.as_millis() as u64,
+        window_ms: interval.as_millis() as u64,
         requests: calls.values().sum(),
         calls,
         alive: proxies as u32,
         members: others.map(|name| Witness { name, generation: 1, alive: true }).collect(),
         ..Report::default()
     };
-    serde_json::to_vec(&report).expect("JSON")
+    serde_json::to_vec(&report).expect("a report is written as JSON")
 }
--- a/tests/table_rig/mod.rs
+++ b/tests/table_rig/mod.rs
@@ -1,5 +1,5 @@
-//! A registry of the tests' own, of which a proxy gets whatever table it is told to give, sound or not, and that keeps
-//! what proxies send.
+//! A stub registry that serves any page as the route table, valid or not, and keeps the reports and segments that
+//! proxies send.
 #![allow(dead_code)]
 
 use crate::waits::soon;
@@ -20,95 +20,103 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// A watch waits no longer here, whatever it asks for.
-const WAIT: Duration = Duration::from_millis(500);
+/// Longest wait of a watch, whatever wait it requests.
+const MAX_WAIT: Duration = Duration::from_millis(500);
 
-/// What it is told to give, and what came.
-pub struct Tables {
+/// A stub registry and what it has received.
+pub struct StubRegistry {
     pub address: SocketAddr,
-    kept: Arc<Kept>,
+    state: Arc<StubState>,
 }
 
 #[derive(Default)]
-struct Kept {
+struct StubState {
+    /// Page that is served as the route table.
     page: watch::Sender<String>,
-    given: Mutex<String>,
-    asked: watch::Sender<Vec<String>>,
+    /// Page that was served last.
+    served: Mutex<String>,
+    /// Paths and queries of the requests for the route table.
+    table_requests: watch::Sender<Vec<String>>,
     reports: watch::Sender<Vec<Value>>,
     segments: watch::Sender<Vec<Bytes>>,
 }
 
-impl Tables {
-    pub async fn start(page: &Value) -> Tables {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("bound");
-        let kept = Arc::new(Kept::default());
-        kept.page.send_replace(page.to_string());
-        let all = kept.clone();
+impl StubRegistry {
+    pub async fn start(page: &Value) -> StubRegistry {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port is bound");
+        let address = listener.local_addr().expect("a bound listener has an address");
+        let state = Arc::new(StubState::default());
+        state.page.send_replace(page.to_string());
+        let server_state = state.clone();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let kept = all.clone();
-                let service = service_fn(move |request| answer(kept.clone(), request));
+                let state = server_state.clone();
+                let service = service_fn(move |request| answer(state.clone(), request));
                 tokio::spawn(http1::Builder::new().serve_connection(TokioIo::new(stream), service));
             }
         });
-        Tables { address, kept }
+        StubRegistry { address, state }
     }
 
-    /// Gives this from now on.
-    pub fn give(&self, page: impl ToString) {
-        self.kept.page.send_replace(page.to_string());
+    /// Serves another page from now on.
+    pub fn serve(&self, page: impl ToString) {
+        self.state.page.send_replace(page.to_string());
     }
 
-    /// The first report that is so, of those that have come or are to come.
-    pub async fn report(&self, is: impl Fn(&Value) -> bool) -> Value {
-        let mut reports = self.kept.reports.subscribe();
-        let all = soon(reports.wait_for(|all| all.iter().any(&is))).await.expect("open");
-        all.iter().find(|report| is(report)).cloned().expect("it is there")
+    /// Waits for a report that fulfils a condition, and returns the first one.
+    pub async fn wait_for_report(&self, condition: impl Fn(&Value) -> bool) -> Value {
+        let mut reports = self.state.reports.subscribe();
+        let all =
+            soon(reports.wait_for(|all| all.iter().any(&condition))).await.expect("the channel is open");
+        all.iter().find(|report| condition(report)).cloned().expect("a report fulfils the condition")
     }
 
     /// All reports so far.
     pub fn reports(&self) -> Vec<Value> {
-        self.kept.reports.borrow().clone()
+        self.state.reports.borrow().clone()
     }
 
-    /// The segments, once there are so many.
-    pub async fn segments(&self, n: usize) -> Vec<Bytes> {
-        soon(self.kept.segments.subscribe().wait_for(|all| all.len() >= n)).await.expect("open").clone()
+    /// Waits until at least `count` segments have arrived, and returns all of them.
+    pub async fn wait_for_segments(&self, count: usize) -> Vec<Bytes> {
+        let mut segments = self.state.segments.subscribe();
+        soon(segments.wait_for(|all| all.len() >= count)).await.expect("the channel is open").clone()
     }
 
-    /// What was asked for, by path and query.
-    pub fn asked(&self) -> Vec<String> {
-        self.kept.asked.borrow().clone()
+    /// Paths and queries of the requests for the route table so far.
+    pub fn table_requests(&self) -> Vec<String> {
+        self.state.table_requests.borrow().clone()
     }
 }
 
-async fn answer(kept: Arc<Kept>, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
+async fn answer(
+    state: Arc<StubState>,
+    request: Request<Incoming>,
+) -> Result<Response<Full<Bytes>>, Infallible> {
     let path = request.uri().to_string();
     if path.starts_with("/registry/routes") {
-        kept.asked.send_modify(|all| all.push(path.clone()));
-        let mut page = kept.page.subscribe();
+        state.table_requests.send_modify(|all| all.push(path.clone()));
+        let mut page = state.page.subscribe();
         if path.contains("after=") {
-            let given = kept.given.lock().expect("sound").clone();
-            let _ = timeout(WAIT, page.wait_for(|page| *page != given)).await;
+            let served = state.served.lock().expect("the lock is not poisoned").clone();
+            let _ = timeout(MAX_WAIT, page.wait_for(|page| *page != served)).await;
         }
         let page = page.borrow().clone();
-        kept.given.lock().expect("sound").clone_from(&page);
+        state.served.lock().expect("the lock is not poisoned").clone_from(&page);
         return Ok(Response::new(Full::new(page.into())));
     }
     let Ok(body) = request.into_body().collect().await else { return Ok(Response::default()) };
     match path.as_str() {
         "/registry/reports" => {
             let report = serde_json::from_slice(&body.to_bytes()).expect("a report is JSON");
-            kept.reports.send_modify(|all| all.push(report));
+            state.reports.send_modify(|all| all.push(report));
         }
-        _ => kept.segments.send_modify(|all| all.push(body.to_bytes())),
+        _ => state.segments.send_modify(|all| all.push(body.to_bytes())),
     }
     Ok(Response::default())
 }
 
-/// A sound table.
-pub fn table(revision: u64, weights: &[(&str, f64)]) -> Value {
+/// A valid page of a table with weights by backend.
+pub fn table_page(revision: u64, weights: &[(&str, f64)]) -> Value {
     let backends = weights.iter().map(|(name, weight)| (name.to_string(), *weight)).collect();
     let weights = Weights { backends, ..Weights::default() };
     json!({"revision": revision, "digest": weights.digest(), "weights": weights, "newest": revision})
