--- a/src/bin/registry/http/route_table.rs
+++ b/src/bin/registry/http/route_table.rs
@@ -54,7 +54,7 @@
     weights: Weights,
     by: String,
     #[serde(default, rename = "override")]
-    override_why: Option<String>,
+    override_reason: Option<String>,
     fence: Fence,
 }
 
@@ -86,13 +86,13 @@
 /// PUT `/registry/routes`: proposes another table.
 async fn propose(request: Request<Incoming>, context: &Context) -> HandlerResult {
     let body: ProposalBody = context.write_bodies.json(request).await?;
-    let ProposalBody { from, weights, by, override_why, fence } = body;
+    let ProposalBody { from, weights, by, override_reason, fence } = body;
     if fence.duty != PROPOSER_DUTY {
         return Err(Rejection::bad_request(format!(
             "fence: duty must be {PROPOSER_DUTY:?}; acquire it at /registry/leases"
         )));
     }
-    let proposal = Proposal { from, weights, by, override_why };
+    let proposal = Proposal { from, weights, by, override_reason };
     write_and_answer(WriteOperation::Proposal { proposal, fence }, &context.writes).await
 }
 
--- a/src/bin/registry/route_table/evaluation.rs
+++ b/src/bin/registry/route_table/evaluation.rs
@@ -105,7 +105,7 @@
         if self.requests.send(EvaluationRequest { evaluation, job }).is_err() {
             error!(
                 revision,
-                "the evaluation thread has ended, the proposal gets no verdict: restart the registry, or propose with an override"
+                "the evaluation thread has ended, no verdict follows: restart the registry, or propose with an override"
             );
         }
     }
@@ -151,7 +151,7 @@
 ) {
     // This sets the priority of the present thread and of the threads that it starts, not of the process.
     if let Err(e) = rustix::process::setpriority_process(None, LOWEST_PRIORITY) {
-        warn!(error = %e, "cannot lower the priority of the evaluation thread: evaluations compete with lists, watches and writes for the processor");
+        warn!(error = %e, "cannot lower the priority of the evaluation thread: evaluations may delay other work");
     }
     while let Ok(EvaluationRequest { evaluation, job }) = queue.recv() {
         // Failure: a panic in the replay would end this thread, and later proposals would never get a verdict. It is
--- a/src/route_table/config.rs
+++ b/src/route_table/config.rs
@@ -146,8 +146,8 @@
         Self::new(key, "above 0 and under 1", value > 0.0 && value < 1.0, value)
     }
 
-    fn count(key: &'static str, value: u64, most: u64, range: &'static str) -> Self {
-        Self::new(key, range, (1..=most).contains(&value), value)
+    fn count(key: &'static str, value: u64, max: u64, range: &'static str) -> Self {
+        Self::new(key, range, (1..=max).contains(&value), value)
     }
 }
 
--- a/src/route_table/drift/receipt.rs
+++ b/src/route_table/drift/receipt.rs
@@ -28,11 +28,11 @@
         let silence_threshold_ms = self.report_loss.silence_threshold_ms(config);
         let Some(proxy) = self.proxies.get_mut(&report.name) else { return Ok(ReportOutcome::Ignored) };
         if proxy.exceeds_report_rate(now_ms, config) {
-            return Err(ReportError::TooOften { name: report.name, least_ms: config.report_ms });
+            return Err(ReportError::TooOften { name: report.name, min_interval_ms: config.report_ms });
         }
         let other_counts = self.backend_counts - proxy.weight_test.len();
         if other_counts + report.calls.len() > config.max_backend_counts {
-            return Err(ReportError::FullCounts { most: config.max_backend_counts });
+            return Err(ReportError::FullCounts { max: config.max_backend_counts });
         }
         let place = proxy.place_report(now_ms, &report, silence_threshold_ms, config);
         if let Some(gap) = place.gap {
@@ -73,7 +73,7 @@
         if self.proxies.len() >= config.max_proxies {
             let only_per_peers = self.proxies.iter().find(|(_, proxy)| proxy.latest.is_none());
             let Some(name) = only_per_peers.map(|(name, _)| name.clone()) else {
-                return Err(ReportError::Full { most: config.max_proxies });
+                return Err(ReportError::Full { max: config.max_proxies });
             };
             self.proxies.remove(&name);
         }
--- a/src/route_table/proposal/check.rs
+++ b/src/route_table/proposal/check.rs
@@ -95,14 +95,14 @@
         return Err(ProposalError::TooMany { count });
     }
     if !is_printable(&proposal.by, MAX_NAME_BYTES) {
-        return Err(ProposalError::Text { what: "by", most: MAX_NAME_BYTES });
+        return Err(ProposalError::Text { what: "by", max: MAX_NAME_BYTES });
     }
-    if proposal.override_why.as_ref().is_some_and(|why| !is_printable(why, MAX_OVERRIDE_REASON)) {
-        return Err(ProposalError::Text { what: "override", most: MAX_OVERRIDE_REASON });
+    if proposal.override_reason.as_ref().is_some_and(|why| !is_printable(why, MAX_OVERRIDE_REASON)) {
+        return Err(ProposalError::Text { what: "override", max: MAX_OVERRIDE_REASON });
     }
     for (kind, name, weight) in weights.iter() {
         if !is_printable(name, MAX_NAME_BYTES) {
-            return Err(ProposalError::Text { what: kind, most: MAX_NAME_BYTES });
+            return Err(ProposalError::Text { what: kind, max: MAX_NAME_BYTES });
         }
         if !(0.0..=MAX_WEIGHT).contains(&weight) {
             return Err(ProposalError::Weight { kind, name: name.into(), weight });
@@ -158,7 +158,7 @@
         let to = new / new_mean;
         let moved = from.max(1.0 / max_step) / to.max(1.0 / max_step);
         if moved.max(1.0 / moved) > max_step * (1.0 + 1e-9) {
-            return Err(ProposalError::Step { backend: backend.host.clone(), from, to, most: max_step });
+            return Err(ProposalError::Step { backend: backend.host.clone(), from, to, max: max_step });
         }
     }
     Ok(())
--- a/src/route_table/proposal/error.rs
+++ b/src/route_table/proposal/error.rs
@@ -35,19 +35,19 @@
         count: usize,
     },
     /// A name or text is empty, too long or has control characters.
-    #[error("{what}: must be 1 to {most} printable bytes: shorten or correct it")]
+    #[error("{what}: must be 1 to {max} printable bytes: shorten or correct it")]
     Text {
         /// Name of the text.
         what: &'static str,
         /// Maximum length in bytes.
-        most: usize,
+        max: usize,
     },
     /// The list of backends is empty.
     #[error("no backend is listed, so that no weight can be checked: register backends first")]
     NoBackends,
     /// A backend's weight relative to the mean would change by more than the configured factor.
     #[error(
-        "backend {backend:?} would go from {from:.3} to {to:.3} of the mean, by more than the factor {most}: \
+        "backend {backend:?} would go from {from:.3} to {to:.3} of the mean, by more than the factor {max}: \
          propose a smaller step, then the next"
     )]
     Step {
@@ -58,7 +58,7 @@
         /// Weight of the backend over the mean weight, by the proposal.
         to: f64,
         /// Maximum factor, as configured.
-        most: f64,
+        max: f64,
     },
     /// The proposal was made from another table than the newest.
     #[error(
--- a/src/route_table/proposal/lifecycle.rs
+++ b/src/route_table/proposal/lifecycle.rs
@@ -38,7 +38,7 @@
             accepted_ms: now_ms,
         };
         record.highest_revision = table.revision;
-        let admission = self.admission(proposal.override_why);
+        let admission = self.admission(proposal.override_reason);
         let admitted = admission != Admission::Awaited;
         record.active = Some(ActiveProposal {
             table: table.clone(),
@@ -67,15 +67,15 @@
         }
         check_proposal(proposal, &self.record.in_force.weights, listed, self.config.max_weight_step)?;
         let proxies = self.drift.proxies_ahead();
-        if proxies > 0 && proposal.override_why.is_none() {
+        if proxies > 0 && proposal.override_reason.is_none() {
             return Err(ProposalError::Ahead { proxies });
         }
         Ok(())
     }
 
     /// The admission of a proposal at the time when it is accepted.
-    fn admission(&self, override_why: Option<String>) -> Admission {
-        match override_why {
+    fn admission(&self, override_reason: Option<String>) -> Admission {
+        match override_reason {
             Some(why) => Admission::Override { why },
             None if self.config.require_verdict => Admission::Awaited,
             None => Admission::Unjudged,
@@ -103,7 +103,7 @@
         }
         let mut record = self.next_record(now_ms);
         let Table { weights, by, from, .. } = active.table.clone();
-        let proposal = Proposal { from, weights, by, override_why: None };
+        let proposal = Proposal { from, weights, by, override_reason: None };
         let in_force = &self.record.in_force.weights;
         match check_proposal(&proposal, in_force, backends, self.config.max_weight_step) {
             Ok(()) => record.active.as_mut()?.list_digest = list_digest,
--- a/src/route_table/report_check.rs
+++ b/src/route_table/report_check.rs
@@ -28,14 +28,14 @@
         what: &'static str,
     },
     /// A part of the report has too many entries.
-    #[error("{what}: {count} entries, at most {most}: send the others in the next report")]
+    #[error("{what}: {count} entries, at most {max}: send the others in the next report")]
     TooMany {
         /// Part of the report.
         what: &'static str,
         /// Number of entries.
         count: usize,
         /// Maximum number of entries.
-        most: usize,
+        max: usize,
     },
     /// The digest is not 16 lower-case hexadecimal digits.
     #[error(
@@ -52,27 +52,27 @@
     },
     /// There is no capacity for another proxy.
     #[error(
-        "reports of {most} proxies are kept and no more: raise routes.names, or have fewer proxies report here"
+        "reports of {max} proxies are kept and no more: raise routes.names, or have fewer proxies report here"
     )]
     Full {
         /// Maximum number of proxies.
-        most: usize,
+        max: usize,
     },
     /// There is no capacity for the counts of more backends.
-    #[error("counts of {most} backends are kept and no more: raise routes.counts, or use smaller subsets")]
+    #[error("counts of {max} backends are kept and no more: raise routes.counts, or use smaller subsets")]
     FullCounts {
         /// Maximum number of backend counts.
-        most: usize,
+        max: usize,
     },
     /// Reports under one name arrive far more often than once a window.
     #[error(
-        "{name:?} reports more often than every {least_ms} ms: see its report_ms, or whether two use its name"
+        "{name:?} reports more often than every {min_interval_ms} ms: see its report_ms, or whether two use its name"
     )]
     TooOften {
         /// Name of the proxy.
         name: String,
         /// Expected interval between two reports, in milliseconds.
-        least_ms: u64,
+        min_interval_ms: u64,
     },
 }
 
@@ -107,8 +107,8 @@
         ("left_out", report.left_out.len(), MAX_REPORTED),
         ("members", report.members.len(), MAX_WITNESSED),
     ];
-    match sizes.into_iter().find(|(_, count, most)| count > most) {
-        Some((what, count, most)) => Err(ReportError::TooMany { what, count, most }),
+    match sizes.into_iter().find(|(_, count, max)| count > max) {
+        Some((what, count, max)) => Err(ReportError::TooMany { what, count, max }),
         None => Ok(()),
     }
 }
--- a/src/route_table/rollout/review.rs
+++ b/src/route_table/rollout/review.rs
@@ -170,20 +170,20 @@
     /// Waits until the stage has lasted [`Config::min_stage_ms`]. This wait alone cannot time out.
     fn wait_for_min_time(&self) -> Option<RolloutStep> {
         let elapsed_ms = self.elapsed_ms;
-        let least_ms = self.config.min_stage_ms;
-        let too_short = elapsed_ms < least_ms;
-        too_short.then(|| RolloutStep::Wait { reason: format!("stands for {elapsed_ms} of {least_ms} ms") })
+        let min_ms = self.config.min_stage_ms;
+        let too_short = elapsed_ms < min_ms;
+        too_short.then(|| RolloutStep::Wait { reason: format!("stands for {elapsed_ms} of {min_ms} ms") })
     }
 
     /// Waits until both sides have enough requests for the comparison of [`Self::stop_if_worse`].
     fn wait_for_requests(&self) -> Option<RolloutStep> {
-        let least = self.config.min_requests;
+        let min_requests = self.config.min_requests;
         let with_table = self.progress.with_table.requests;
         let without_table = self.comparison().requests;
-        let too_few = with_table < least || without_table < least;
+        let too_few = with_table < min_requests || without_table < min_requests;
         too_few.then(|| {
             self.wait_or_time_out(format!(
-                "{with_table} requests with the table and {without_table} without: each side needs {least} to compare"
+                "{with_table} requests with the table and {without_table} without: each side needs {min_requests} to compare"
             ))
         })
     }
--- a/src/route_table/rollout/stage.rs
+++ b/src/route_table/rollout/stage.rs
@@ -13,11 +13,11 @@
 /// Number of members of a stage, out of `live` proxies. No stage has fewer than `first_stage_proxies`, unless
 /// fewer are live.
 pub fn stage_size(stage: Stage, live: usize, first_stage_proxies: usize) -> usize {
-    let least = first_stage_proxies.min(live);
+    let min_size = first_stage_proxies.min(live);
     match stage {
-        Stage::Few => least,
-        Stage::Tenth => least.max(live.div_ceil(10)),
-        Stage::Half => least.max(live.div_ceil(2)),
+        Stage::Few => min_size,
+        Stage::Tenth => min_size.max(live.div_ceil(10)),
+        Stage::Half => min_size.max(live.div_ceil(2)),
         Stage::All => live,
     }
 }
--- a/src/route_table/table.rs
+++ b/src/route_table/table.rs
@@ -88,5 +88,5 @@
     pub by: String,
     /// Reason to roll out the proposal without a verdict, kept in the record; `None` waits for the verdict.
     #[serde(default, rename = "override", skip_serializing_if = "Option::is_none")]
-    pub override_why: Option<String>,
+    pub override_reason: Option<String>,
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -26,7 +26,7 @@
     let propose = |count: usize| {
         let mut control = Control::new(Config { require_verdict: false, ..Config::default() }, NOW);
         let proposal =
-            Proposal { from: 0, weights: weights(count), by: "operator".into(), override_why: None };
+            Proposal { from: 0, weights: weights(count), by: "operator".into(), override_reason: None };
         let taken = control.propose(NOW, proposal, &backends(MAX_WEIGHTS + 1));
         (taken, control.newest_revision())
     };
@@ -78,7 +78,7 @@
         assert_eq!(control.receive_report(NOW, report(&format!("p{n}"), 1)), Ok(()), "proxy {n}");
     }
     let refused = control.receive_report(NOW, report("one-more", 1)).expect_err("refused");
-    assert_eq!((&refused, refused.status()), (&ReportError::Full { most: names }, 503));
+    assert_eq!((&refused, refused.status()), (&ReportError::Full { max: names }, 503));
     assert!(refused.to_string().contains("raise routes.names"), "{refused}");
     assert_eq!(control.receive_report(NOW + 5000, report("p0", 2)), Ok(()), "the others go on");
     assert_eq!(control.drift_page(NOW + 5000).revisions.values().sum::<usize>(), names);
--- a/tests/route_fleet/mod.rs
+++ b/tests/route_fleet/mod.rs
@@ -93,7 +93,7 @@
 pub fn proposal(from: Revision, weights: &[(&str, f64)]) -> Proposal {
     let backends = weights.iter().map(|(name, weight)| (name.to_string(), *weight)).collect();
     let weights = Weights { backends, ..Weights::default() };
-    Proposal { from, weights, by: "op".into(), override_why: None }
+    Proposal { from, weights, by: "op".into(), override_reason: None }
 }
 
 impl Fleet {
--- a/tests/routes/proposals.rs
+++ b/tests/routes/proposals.rs
@@ -38,7 +38,7 @@
         assert!(check(&Proposal { by: by.into(), ..proposal(0, &[]) }).is_err());
     }
     assert!(
-        check(&Proposal { override_why: Some("x".repeat(MAX_OVERRIDE_REASON + 1)), ..proposal(0, &[]) })
+        check(&Proposal { override_reason: Some("x".repeat(MAX_OVERRIDE_REASON + 1)), ..proposal(0, &[]) })
             .is_err()
     );
     let mut zone = proposal(0, &[]);
@@ -108,7 +108,7 @@
     fleet.propose(proposal(0, &[("b0", 3.0)])).expect("the proposal is accepted");
     assert_eq!(fleet.last_outcome(), Some(ProposalOutcome::CannotTell));
     let evaluations = fleet.evaluations;
-    let overriding = Proposal { override_why: Some("an outage".into()), ..proposal(0, &[("b0", 3.0)]) };
+    let overriding = Proposal { override_reason: Some("an outage".into()), ..proposal(0, &[("b0", 3.0)]) };
     let revision = fleet.propose(overriding).expect("the proposal is accepted");
     assert_eq!(fleet.evaluations, evaluations, "an override is not evaluated");
     let active = fleet.control.state_page().active.expect("the rollout is in progress");
--- a/tests/routes/rollouts.rs
+++ b/tests/routes/rollouts.rs
@@ -98,7 +98,7 @@
     assert_eq!(fleet.count_with_revision(lost), 20);
     let without_override = proposal(first, &[("b0", 1.0)]);
     assert_eq!(fleet.propose(without_override.clone()), Err(ProposalError::Ahead { proxies: 20 }));
-    let overriding = Proposal { override_why: Some("the log was lost".into()), ..without_override };
+    let overriding = Proposal { override_reason: Some("the log was lost".into()), ..without_override };
     let next = fleet.propose(overriding).expect("the proposal is accepted");
     assert!(next > lost);
     let done = |f: &Fleet| f.control.in_force().revision == next;
--- a/tests/routes_judged.rs
+++ b/tests/routes_judged.rs
@@ -111,9 +111,9 @@
     let weights = |backends: Value| with("weights", json!({"backends": backends}));
     let many: serde_json::Map<String, Value> =
         (0..=MAX_WEIGHTS).map(|n| (format!("s{n}"), json!(1.0))).collect();
-    let held = HeldTable { digest: "0".repeat(16), ..HeldTable::default() };
-    let text =
-        String::from_utf8(encode_report(0, (1, 2), 1, REPORT_INTERVAL, &held)).expect("the report is text");
+    let applied = AppliedTable { digest: "0".repeat(16), ..AppliedTable::default() };
+    let text = String::from_utf8(encode_report(0, (1, 2), 1, REPORT_INTERVAL, &applied))
+        .expect("the report is text");
     let report = |name: &str| text.replace("\"p0\"", &format!("{name:?}"));
     let (routes, reports, traces) = ("/registry/routes", "/registry/reports", "/registry/traces");
     let invalid: Vec<(&str, String, u16)> = vec![
--- a/tests/routes_proxy.rs
+++ b/tests/routes_proxy.rs
@@ -52,9 +52,9 @@
     let without_a = table_page(3, &[("a", 0.0)]);
     let registry = StubRegistry::start(&without_a).await;
     let scene = start_proxy(registry.address).await;
-    let held = wait_for_page(&scene.proxy, |page| page["revision"] == 3).await;
-    assert_eq!(held["weights"], json!({"a": 0.0, "b": 1.0}));
-    assert_eq!((&held["error"], &held["newest"]), (&Value::Null, &json!(3)));
+    let state = wait_for_page(&scene.proxy, |page| page["revision"] == 3).await;
+    assert_eq!(state["weights"], json!({"a": 0.0, "b": 1.0}));
+    assert_eq!((&state["error"], &state["newest"]), (&Value::Null, &json!(3)));
     let first = registry.wait_for_report(|r| r["revision"] == 3).await;
     assert_eq!(first["digest"], without_a["digest"]);
     assert_eq!((&first["name"], &first["zone"], &first["alive"]), (&json!("n0"), &json!("a"), &json!(0)));
@@ -90,9 +90,9 @@
     wait_for_page(&scene.proxy, |page| page["weights"] == json!({"a": 0.5, "b": 0.5})).await;
     let c = Backend::start("c", &scene.orders).await;
     scene.discovery.tell(vec![scene.a.line("SERVING"), scene.b.line("DRAINING"), c.line("SERVING")]).await;
-    let held = wait_for_page(&scene.proxy, |page| page["weights"]["c"].is_number()).await;
-    assert_eq!(held["weights"], json!({"a": 0.5, "c": 0.5}));
-    assert_eq!(held["left_out"]["b"], "draining");
+    let state = wait_for_page(&scene.proxy, |page| page["weights"]["c"].is_number()).await;
+    assert_eq!(state["weights"], json!({"a": 0.5, "c": 0.5}));
+    assert_eq!(state["left_out"]["b"], "draining");
 }
 
 #[rstest]
@@ -109,15 +109,15 @@
     let mut scene = start_proxy(registry.address).await;
     wait_for_page(&scene.proxy, |page| page["revision"] == 3).await;
     registry.serve(invalid);
-    let held =
+    let state =
         wait_for_page(&scene.proxy, |page| page["error"].as_str().is_some_and(|e| e.contains(why))).await;
-    assert_eq!((&held["revision"], &held["weights"]["a"]), (&json!(3), &json!(0.25)));
+    assert_eq!((&state["revision"], &state["weights"]["a"]), (&json!(3), &json!(0.25)));
     scene.proxy.notes(why).await;
     assert_eq!(scene.proxy.call("look").await.0, 200);
     registry.wait_for_report(|r| r["number"].as_u64() > Some(1) && r["revision"] == 3).await;
     registry.serve(table_page(5, &[("a", 2.0)]));
-    let held = wait_for_page(&scene.proxy, |page| page["revision"] == 5).await;
-    assert_eq!((&held["error"], &held["weights"]["a"]), (&Value::Null, &json!(2.0)));
+    let state = wait_for_page(&scene.proxy, |page| page["revision"] == 5).await;
+    assert_eq!((&state["error"], &state["weights"]["a"]), (&Value::Null, &json!(2.0)));
 }
 
 /// A table of `count` weights with names of the maximum length, one of them for `a`.
@@ -138,8 +138,8 @@
     let backends = largest["weights"]["backends"].as_object().expect("the weights are an object");
     assert_eq!(backends.len(), MAX_WEIGHTS);
     registry.serve(largest);
-    let held = wait_for_page(&scene.proxy, |page| page["revision"] == 4).await;
-    assert_eq!((&held["error"], &held["weights"]["a"]), (&Value::Null, &json!(0.75)));
+    let state = wait_for_page(&scene.proxy, |page| page["revision"] == 4).await;
+    assert_eq!((&state["error"], &state["weights"]["a"]), (&Value::Null, &json!(0.75)));
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -151,9 +151,9 @@
     relay.lead_to(unused_address().await);
     wait_for_page(&scene.proxy, |page| page["error"].is_string()).await;
     registry.serve(table_page(4, &[("b", 0.25)]));
-    let held = wait_for_page(&scene.proxy, |page| page["reports"]["lost"].as_u64() >= Some(3)).await;
-    assert_eq!((&held["revision"], &held["weights"]["a"]), (&json!(3), &json!(0.25)));
-    assert!(held["error"].is_string() && held["reports"]["error"].is_string());
+    let state = wait_for_page(&scene.proxy, |page| page["reports"]["lost"].as_u64() >= Some(3)).await;
+    assert_eq!((&state["revision"], &state["weights"]["a"]), (&json!(3), &json!(0.25)));
+    assert!(state["error"].is_string() && state["reports"]["error"].is_string());
     assert_eq!(scene.proxy.call("look").await.0, 200);
     let last = registry.reports().len();
     relay.lead_to(registry.address);
--- a/tests/routes_rig/mod.rs
+++ b/tests/routes_rig/mod.rs
@@ -115,7 +115,7 @@
 
 /// The table that a simulated proxy has in force.
 #[derive(Clone, Default)]
-pub struct HeldTable {
+pub struct AppliedTable {
     /// Whether the proxy has received a table.
     pub received: bool,
     pub revision: u64,
@@ -126,7 +126,7 @@
 /// A fleet of simulated proxies.
 pub struct Fleet {
     registry: watch::Sender<SocketAddr>,
-    held: Vec<Arc<Mutex<HeldTable>>>,
+    applied: Vec<Arc<Mutex<AppliedTable>>>,
     /// Number of answers with an older table than the proxy had.
     pub older_tables: Arc<AtomicU64>,
     /// Number of reports that the registry accepted.
@@ -134,8 +134,8 @@
     tasks: JoinSet<()>,
 }
 
-fn lock(held: &Mutex<HeldTable>) -> MutexGuard<'_, HeldTable> {
-    held.lock().expect("the lock is not poisoned")
+fn lock(applied: &Mutex<AppliedTable>) -> MutexGuard<'_, AppliedTable> {
+    applied.lock().expect("the lock is not poisoned")
 }
 
 impl Fleet {
@@ -143,17 +143,17 @@
     pub fn start(registry: SocketAddr, proxies: usize, backends: usize, interval: Duration) -> Fleet {
         let mut fleet = Fleet {
             registry: watch::Sender::new(registry),
-            held: (0..proxies).map(|_| Arc::default()).collect(),
+            applied: (0..proxies).map(|_| Arc::default()).collect(),
             older_tables: Arc::default(),
             accepted_reports: Arc::default(),
             tasks: JoinSet::new(),
         };
         for n in 0..proxies {
-            let (held, registry) = (fleet.held[n].clone(), fleet.registry.subscribe());
+            let (applied, registry) = (fleet.applied[n].clone(), fleet.registry.subscribe());
             let older_tables = fleet.older_tables.clone();
-            fleet.tasks.spawn(watch_table(n, held.clone(), registry.clone(), older_tables));
+            fleet.tasks.spawn(watch_table(n, applied.clone(), registry.clone(), older_tables));
             let accepted = fleet.accepted_reports.clone();
-            fleet.tasks.spawn(send_reports(n, (proxies, backends), interval, held, registry, accepted));
+            fleet.tasks.spawn(send_reports(n, (proxies, backends), interval, applied, registry, accepted));
         }
         fleet
     }
@@ -165,13 +165,13 @@
 
     /// Number of proxies that have a revision in force.
     pub fn count_with_revision(&self, revision: u64) -> usize {
-        self.held.iter().filter(|held| lock(held).revision == revision).count()
+        self.applied.iter().filter(|applied| lock(applied).revision == revision).count()
     }
 
     /// Waits until all proxies have a revision in force.
     pub async fn wait_for_revision(&self, revision: u64) {
         soon(async {
-            while self.count_with_revision(revision) < self.held.len() {
+            while self.count_with_revision(revision) < self.applied.len() {
                 sleep(Duration::from_millis(20)).await;
             }
         })
@@ -186,15 +186,15 @@
 /// Watches the table of a proxy, applies newer ones, and counts answers with older ones.
 async fn watch_table(
     n: usize,
-    held: Arc<Mutex<HeldTable>>,
+    applied: Arc<Mutex<AppliedTable>>,
     registry: watch::Receiver<SocketAddr>,
     older_tables: Arc<AtomicU64>,
 ) {
     let mut line = Line::default();
     loop {
         let mut path = format!("/registry/routes?name={}&generation=1", proxy_name(n));
-        if let Some(held) = Some(lock(&held)).filter(|held| held.received) {
-            path += &format!("&after={}&wait_ms=5000", held.revision);
+        if let Some(applied) = Some(lock(&applied)).filter(|applied| applied.received) {
+            path += &format!("&after={}&wait_ms=5000", applied.revision);
         }
         let address = *registry.borrow();
         let Ok((200, text)) = line.call(address, "GET", &path, Vec::new()).await else {
@@ -202,15 +202,15 @@
             continue;
         };
         let page: Value = serde_json::from_str(&text).expect("the table is JSON");
-        let (revision, mut held) =
-            (page["revision"].as_u64().expect("the table has a revision"), lock(&held));
-        if revision < held.revision {
+        let (revision, mut applied) =
+            (page["revision"].as_u64().expect("the table has a revision"), lock(&applied));
+        if revision < applied.revision {
             older_tables.fetch_add(1, Relaxed);
-        } else if revision > held.revision || !held.received {
+        } else if revision > applied.revision || !applied.received {
             let weights: Weights =
                 serde_json::from_value(page["weights"].clone()).expect("the table has weights");
             assert_eq!(page["digest"], weights.digest());
-            *held = HeldTable { received: true, revision, digest: weights.digest(), weights };
+            *applied = AppliedTable { received: true, revision, digest: weights.digest(), weights };
         }
     }
 }
@@ -220,7 +220,7 @@
     n: usize,
     (proxies, backends): (usize, usize),
     interval: Duration,
-    held: Arc<Mutex<HeldTable>>,
+    applied: Arc<Mutex<AppliedTable>>,
     registry: watch::Receiver<SocketAddr>,
     accepted: Arc<AtomicU64>,
 ) {
@@ -229,7 +229,7 @@
     let mut ticks = tokio::time::interval(interval);
     for number in 1.. {
         ticks.tick().await;
-        let Some(table) = Some(lock(&held).clone()).filter(|held| held.received) else { continue };
+        let Some(table) = Some(lock(&applied).clone()).filter(|applied| applied.received) else { continue };
         let address = *registry.borrow();
         let body = encode_report(n, (proxies, backends), number, interval, &table);
         if let Ok((200, _)) = line.call(address, "PUT", "/registry/reports", body).await {
@@ -244,11 +244,11 @@
     (proxies, backends): (usize, usize),
     number: u64,
     interval: Duration,
-    held: &HeldTable,
+    applied: &AppliedTable,
 ) -> Vec<u8> {
     let calls: BTreeMap<String, u64> = (0..backends)
         .map(|b| format!("s{b}"))
-        .map(|b| (b.clone(), (20.0 * held.weights.of(&b, "m", "a")).round() as u64))
+        .map(|b| (b.clone(), (20.0 * applied.weights.of(&b, "m", "a")).round() as u64))
         .collect();
     let others = (1..proxies).map(|k| proxy_name((n + k * number as usize) % proxies)).take(8);
     let report = Report {
@@ -256,8 +256,8 @@
         generation: 1,
         number,
         zone: "a".into(),
-        revision: held.revision,
-        digest: held.digest.clone(),
+        revision: applied.revision,
+        digest: applied.digest.clone(),
         window_ms: interval.as_millis() as u64,
         requests: calls.values().sum(),
         calls,
