--- a/src/route_table/drift/receipt.rs
+++ b/src/route_table/drift/receipt.rs
@@ -1,5 +1,5 @@
-//! The receipt of a report: bounds on what is kept, then the checks of its proxy, then what it says of its
-//! peers.
+//! The receipt of a report: bounds on the kept state, then the checks of the reporting proxy, then its view
+//! of its peers.
 
 use super::super::backend_list::BackendList;
 use super::super::report_check::check_limits;
@@ -8,12 +8,12 @@
 use super::{Drift, ReportOutcome};
 
 impl Drift {
-    /// Takes a report: counts it once, checks the proxy against its target table, and takes what it says of
+    /// Receives a report: counts it once, checks the proxy against its target table, and stores its view of
     /// its peers.
     ///
     /// # Errors
     ///
-    /// [`ReportError`] if the report is invalid, comes too often, or exceeds the capacity for proxies or
+    /// [`ReportError`] if the report is invalid, arrives too often, or exceeds the capacity for proxies or
     /// backends.
     pub fn receive(
         &mut self,
@@ -28,11 +28,11 @@
         let silence_threshold_ms = self.report_loss.silence_threshold_ms(config);
         let Some(proxy) = self.proxies.get_mut(&report.name) else { return Ok(ReportOutcome::Ignored) };
         if proxy.exceeds_report_rate(now_ms, config) {
-            return Err(ReportError::TooOften { name: report.name, least_ms: config.report_ms });
+            return Err(ReportError::TooOften { name: report.name, min_interval_ms: config.report_ms });
         }
         let other_counts = self.backend_counts - proxy.weight_test.len();
         if other_counts + report.calls.len() > config.max_backend_counts {
-            return Err(ReportError::FullCounts { most: config.max_backend_counts });
+            return Err(ReportError::FullCounts { max: config.max_backend_counts });
         }
         let place = proxy.place_report(now_ms, &report, silence_threshold_ms, config);
         if let Some(gap) = place.gap {
@@ -49,8 +49,8 @@
         Ok(place.outcome)
     }
 
-    /// Takes what a report says of other proxies. Unknown ones that are alive are added while there is
-    /// capacity: a proxy that never reports is found that way.
+    /// Stores a report's view of other proxies. Unknown proxies that are alive are added while there is
+    /// capacity, so that a proxy that never reports is found.
     fn receive_peer_views(&mut self, now_ms: u64, report: &Report, config: &Config) {
         for peer in report.members.iter().filter(|peer| peer.name != report.name) {
             let has_capacity = self.proxies.len() < config.max_proxies;
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Adds the proxy of a report if it is unknown. Past [`Config::max_proxies`], one that only
-    /// peers reported is dropped for it.
+    /// Adds the proxy of a report if it is unknown. At [`Config::max_proxies`] it replaces a proxy that only
+    /// peers have reported.
     fn ensure_capacity(&mut self, now_ms: u64, report: &Report, config: &Config) -> Result<(), ReportError> {
         if self.proxies.contains_key(&report.name) {
             return Ok(());
@@ -73,7 +73,7 @@
         if self.proxies.len() >= config.max_proxies {
             let only_per_peers = self.proxies.iter().find(|(_, proxy)| proxy.latest.is_none());
             let Some(name) = only_per_peers.map(|(name, _)| name.clone()) else {
-                return Err(ReportError::Full { most: config.max_proxies });
+                return Err(ReportError::Full { max: config.max_proxies });
             };
             self.proxies.remove(&name);
         }
--- a/tests/fleet_rig/mod.rs
+++ b/tests/fleet_rig/mod.rs
@@ -7,7 +7,7 @@
 use crate::fault_relay::{Links, Relay};
 use crate::registry_rig::{Registry, data_dir, entry};
 use crate::rig::{ProxyProcess, settings};
-use crate::routes_rig::{acquire, host, page, proposal, propose, until};
+use crate::routes_rig::{acquire, page, proposal, propose, start_route_registry, wait_for_page};
 use crate::waits::within_deadline;
 use load::{LimitedBackend, ResponseCounts, run_client};
 use serde_json::{Value, json};
@@ -74,7 +74,7 @@
     /// Starts all processes and clients and waits until every proxy reports.
     pub async fn start(plan: FleetPlan<'_>) -> ProcessFleet {
         let keys = format!("report_ms = {REPORT_MS}\n{}", plan.keys);
-        let registry = host(&data_dir(plan.name), &keys).await;
+        let registry = start_route_registry(&data_dir(plan.name), &keys).await;
         let (mut backends, mut relays, mut proxies) = (Vec::new(), Vec::new(), Vec::new());
         for _ in 0..plan.backends {
             backends.push(LimitedBackend::start(plan.work, plan.slots, plan.capacity).await);
@@ -133,11 +133,11 @@
     }
 
     pub async fn wait_for_routes(&self, condition: impl Fn(&Value) -> bool) -> Value {
-        until(&self.registry, "/registry/routes", condition).await
+        wait_for_page(&self.registry, "/registry/routes", condition).await
     }
 
     pub async fn wait_for_drift(&self, condition: impl Fn(&Value) -> bool) -> Value {
-        until(&self.registry, "/registry/drift", condition).await
+        wait_for_page(&self.registry, "/registry/drift", condition).await
     }
 
     /// Returns the current findings: kind, and the proxy if the finding concerns one.
