--- a/src/bin/proxy/body/buffer_budget.rs
+++ b/src/bin/proxy/body/buffer_budget.rs
@@ -9,8 +9,8 @@
 
 /// The bytes that are left for buffered bodies.
 ///
-/// Failure: many bodies are buffered at once and exceed the memory limit. A body that gets no reservation is streamed,
-/// as a long one is, and cannot be sent again once an attempt has read a part of it.
+/// Without this budget, many bodies buffered at once could exceed the memory limit. A body that gets no reservation is
+/// streamed, as a long one is, and cannot be sent again once an attempt has read a part of it.
 pub struct BufferBudget(Cell<usize>);
 
 /// Bytes reserved for one body; returned to the budget when dropped.
@@ -20,13 +20,13 @@
 }
 
 impl BufferBudget {
-    /// A budget of `bytes`.
+    /// Creates a budget of `bytes`.
     pub fn new(bytes: usize) -> Rc<Self> {
         Rc::new(BufferBudget(Cell::new(bytes)))
     }
 
-    /// Reserves memory for a body of this length, or for the longest buffered one where the length is unknown. None if
-    /// too little is left, or if the body is too long to be buffered.
+    /// Reserves memory for a body of `length` bytes, or for the longest buffered one if the length is unknown.
+    /// Returns `None` if too little is left, or if the body is too long to be buffered.
     pub fn reserve(self: &Rc<Self>, length: Option<u64>) -> Option<BufferReservation> {
         let length = length.unwrap_or(MAX_BUFFERED_BODY_BYTES as u64);
         let bytes = usize::try_from(length).ok().filter(|bytes| *bytes <= MAX_BUFFERED_BODY_BYTES)?;
@@ -37,7 +37,7 @@
 }
 
 impl BufferReservation {
-    /// Returns what exceeds `bytes`, once the body's length is known.
+    /// Reduces the reservation to `bytes` once the body's length is known, and returns the excess to the budget.
     pub fn shrink(&mut self, bytes: usize) {
         let excess = self.bytes.saturating_sub(bytes);
         self.bytes -= excess;
--- a/src/bin/proxy/body/mod.rs
+++ b/src/bin/proxy/body/mod.rs
@@ -1,10 +1,10 @@
-//! Request and response bodies: buffered where they are small, streamed where they are not.
+//! Request and response bodies: small ones are buffered, others are streamed.
 //!
 //! - [`buffer_budget`] bounds the memory of all buffered bodies together.
-//! - [`rate_floor`] reads a body and ends it when its sender is too slow.
-//! - [`remaining`] streams the part of a request's body that was not buffered to the one attempt that can send it.
+//! - [`rate_floor`] reads a body and fails it when its sender is too slow.
+//! - [`remaining`] streams the unbuffered part of a request's body to the one attempt that can send it.
 //!
-//! A streamed body is read from one side only as the other side accepts it.
+//! A streamed body is read from one side only as fast as the other side accepts it.
 
 mod buffer_budget;
 mod rate_floor;
@@ -18,5 +18,5 @@
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
 /// The longest body that is passed on, in bytes.
 pub const MAX_BODY_BYTES: u64 = 32 << 20;
-/// Bytes of each of the HTTP library's buffers: one for each direction of a connection.
-pub const BUFFER: usize = 16 * 1024;
+/// Size in bytes of each of the HTTP library's buffers; a connection has one for each direction.
+pub const HTTP_BUFFER_BYTES: usize = 16 * 1024;
--- a/src/bin/proxy/body/rate_floor.rs
+++ b/src/bin/proxy/body/rate_floor.rs
@@ -1,7 +1,7 @@
 //! A body whose sender must keep a minimum rate.
 //!
-//! The time that counts against the sender is the time in which this program waits for it; time in which the body is
-//! not read costs it nothing.
+//! Only the time in which the proxy waits for the sender counts against it; time in which the proxy does not read
+//! the body does not.
 
 use super::MAX_BUFFERED_BODY_BYTES;
 use bytes::{Bytes, BytesMut};
@@ -13,79 +13,79 @@
 use std::time::Duration;
 use tokio::time::{Instant, Sleep, sleep};
 
-/// How long the rest of a refused body is read before the connection closes.
+/// Longest time for which the rest of a rejected body is read before the connection closes.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The minimum rate of a body's sender.
 #[derive(Clone, Copy)]
 pub struct RateFloor {
-    /// How long it may send nothing.
+    /// Longest time for which the sender may send nothing.
     pub stall: Duration,
-    /// How long it may be waited for in all, besides what its bytes add.
+    /// Total time for which the proxy may wait for the sender, in addition to the time that the received bytes earn.
     pub slack: Duration,
-    /// Bytes that add a second to the slack.
+    /// Received bytes that add one second to the slack.
     pub bytes_per_s: f64,
 }
 
-/// For clients that send a request.
+/// The minimum rate of a client that sends a request body.
 ///
-/// Failure: a client stops in the middle of its request and holds a connection and memory. It is ended 2 s after its last
-/// byte, or once the slack is used up; proper clients send 64 kB a second. No deadline counts before the last byte, so that
-/// no setting bears on this.
+/// A client that stops in the middle of its request would hold a connection and memory. Its request ends 2 s after
+/// the last received byte, or once the slack is used up; well-behaved clients send 64 kB per second. The client's
+/// deadline does not apply before the last byte, so that no setting affects this.
 pub const CLIENT_RATE_FLOOR: RateFloor =
     RateFloor { stall: Duration::from_secs(2), slack: Duration::from_secs(5), bytes_per_s: 16_000.0 };
-/// For the response of a backend; a long one is passed on however slow it is above this.
+/// The minimum rate of a backend's response body. A long response is passed on as long as it keeps this rate.
 pub const BACKEND_RATE_FLOOR: RateFloor =
     RateFloor { stall: Duration::from_secs(10), slack: Duration::from_secs(60), bytes_per_s: 1000.0 };
 
-/// A wait for the sender.
+/// A wait for the sender that has not ended.
 struct Wait {
     since: Instant,
     timeout: Pin<Box<Sleep>>,
 }
 
-/// A body, and how long its sender has been waited for.
+/// A body with a minimum rate, which tracks how long the proxy has waited for its sender.
 pub struct RateLimitedBody {
     body: Incoming,
     floor: RateFloor,
-    /// Bytes received.
+    /// Number of bytes received.
     received: u64,
-    /// The sum of the waits that are over.
+    /// Sum of the completed waits.
     waited: Duration,
     current_wait: Option<Wait>,
     deadline: Option<Instant>,
 }
 
 impl RateLimitedBody {
-    /// A body of which nothing has been read.
+    /// Wraps a body of which nothing has been read.
     pub fn new(body: Incoming, floor: RateFloor) -> Self {
         let waited = Duration::ZERO;
         RateLimitedBody { body, floor, received: 0, waited, current_wait: None, deadline: None }
     }
 
     /// Sets a deadline after which reads fail, whatever the rate.
-    pub fn end_by(&mut self, deadline: Instant) {
+    pub fn set_deadline(&mut self, deadline: Instant) {
         self.deadline = Some(deadline);
-        // A wait that has begun has its timeout from before: the next read begins another under the deadline.
+        // The current wait has a timeout without the deadline; the next read begins a wait that includes it.
         self.end_wait();
     }
 
-    /// The bytes that are still to be received, if the length is known.
+    /// Returns the number of bytes still to be received, if the length is known.
     pub fn announced_bytes_left(&self) -> Option<u64> {
         self.body.size_hint().exact()
     }
 
-    /// The bytes received.
+    /// Returns the number of bytes received.
     pub fn received_bytes(&self) -> u64 {
         self.received
     }
 
-    /// Whether the last byte has been received.
+    /// Returns whether the last byte has been received.
     pub fn is_complete(&self) -> bool {
         self.body.is_end_stream()
     }
 
-    /// Polls for the next piece of data; none at the end. Trailers are skipped.
+    /// Polls for the next chunk of data, which is `None` at the end. Trailers are skipped.
     ///
     /// Fails with `TimedOut` if the sender is below the floor or the deadline has passed.
     pub fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<Option<Bytes>>> {
@@ -128,12 +128,13 @@
         }
     }
 
-    /// The next piece of data; none at the end. Fails as [`Self::poll_next`].
+    /// Returns the next chunk of data, `None` at the end. Fails as [`Self::poll_next`] does.
     pub async fn next(&mut self) -> io::Result<Option<Bytes>> {
         std::future::poll_fn(|cx| self.poll_next(cx)).await
     }
 
-    /// Appends the body to `buffer` until it exceeds what is buffered; returns whether it was read to its end.
+    /// Appends the body to `buffer` until the buffer exceeds [`MAX_BUFFERED_BODY_BYTES`]. Returns whether the body
+    /// was read to its end.
     pub async fn read_into(&mut self, buffer: &mut BytesMut) -> io::Result<bool> {
         while buffer.len() <= MAX_BUFFERED_BODY_BYTES {
             match self.next().await? {
@@ -144,10 +145,10 @@
         Ok(false)
     }
 
-    /// Reads and discards the rest of the body, for 5 s at most.
+    /// Reads and discards the rest of the body for at most 5 s.
     ///
-    /// Failure: a connection that closes with unread data is reset, and a sender that is still writing never reads its
-    /// answer.
+    /// A connection that closes with unread data is reset, and a sender that is still writing would not receive the
+    /// response.
     pub async fn drain(mut self) {
         let read_all = async { while let Ok(Some(_)) = self.next().await {} };
         let _ = tokio::time::timeout(DRAIN_TIMEOUT, read_all).await;
--- a/src/bin/proxy/body/remaining.rs
+++ b/src/bin/proxy/body/remaining.rs
@@ -1,7 +1,7 @@
 //! The part of a request's body that was not buffered.
 //!
-//! It is streamed once, to one attempt, as it is received. The request and the attempt share it: the request waits for
-//! its end, the attempt reads it.
+//! The part is streamed once, to one attempt, as it is received. The request and the attempt share it: the request
+//! waits for its end, the attempt reads it.
 
 use super::MAX_BODY_BYTES;
 use super::rate_floor::RateLimitedBody;
@@ -15,32 +15,32 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How much of a streamed body has been received.
+/// The state of a streamed body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyState {
-    /// A part of it.
+    /// A part of the body has been received.
     InProgress,
-    /// All of it; the last byte at this time.
+    /// The complete body has been received, the last byte at this time.
     Complete(Instant),
-    /// No more will be received: its client stopped or left, it is too long, or it was withdrawn.
+    /// No more will be received: the client stopped or left, or the body is too long or was withdrawn.
     Broken,
 }
 
 /// The part of a request's body that was not buffered.
 pub struct RemainingBody {
-    /// None once it has ended or was withdrawn.
+    /// The body to read; `None` once it has ended or was withdrawn.
     body: RefCell<Option<RateLimitedBody>>,
     length: Option<u64>,
     state: Cell<BodyState>,
     state_changed: Notify,
     was_passed_on: Cell<bool>,
     client: Weak<Client>,
-    /// How long the client waits for its answer after the last byte.
+    /// Time for which the client waits for the response after the last byte of the body.
     pub client_timeout: Duration,
 }
 
 impl RemainingBody {
-    /// What `body` has not given yet.
+    /// Wraps the unread part of `body`.
     pub fn new(body: RateLimitedBody, client_timeout: Duration, client: Weak<Client>) -> Self {
         RemainingBody {
             length: body.announced_bytes_left(),
@@ -53,22 +53,22 @@
         }
     }
 
-    /// Its length in bytes, if the client announced it.
+    /// Returns the length of this part in bytes, if the client announced it.
     pub fn length(&self) -> Option<u64> {
         self.length
     }
 
-    /// How much of it has been received.
+    /// Returns the state of the body.
     pub fn state(&self) -> BodyState {
         self.state.get()
     }
 
-    /// Whether an attempt has read some of it: the request cannot be sent again.
+    /// Returns whether an attempt has read from the body, after which the request cannot be sent again.
     pub fn was_passed_on(&self) -> bool {
         self.was_passed_on.get()
     }
 
-    /// Waits until it is complete or broken.
+    /// Waits until the body is complete or broken, and returns that state.
     pub async fn settled(&self) -> BodyState {
         while self.state() == BodyState::InProgress {
             self.state_changed.notified().await;
@@ -76,7 +76,8 @@
         self.state()
     }
 
-    /// Takes it away from the attempt that reads it; what was not received can then be drained.
+    /// Takes the body away from the attempt that reads it, so that the caller can drain the rest. Marks an
+    /// incomplete body as broken.
     pub fn withdraw(&self) -> Option<RateLimitedBody> {
         let body = self.body.borrow_mut().take();
         if self.state() == BodyState::InProgress {
@@ -90,10 +91,10 @@
         self.state_changed.notify_waiters();
     }
 
-    /// Polls for the next piece of data, for the one attempt that is out; none at the end.
+    /// Polls for the next chunk of data for the attempt that sends the body; the chunk is `None` at the end.
     ///
-    /// Fails with `BrokenPipe` once it is broken or withdrawn, with `FileTooLarge` past [`MAX_BODY_BYTES`] bytes, and with
-    /// the errors of [`RateLimitedBody::poll_next`].
+    /// Fails with `BrokenPipe` once the body is broken or withdrawn, with `FileTooLarge` past [`MAX_BODY_BYTES`]
+    /// bytes, and with the errors of [`RateLimitedBody::poll_next`].
     pub fn poll_next(&self, cx: &mut Context<'_>) -> Poll<io::Result<Option<Bytes>>> {
         let mut slot = self.body.borrow_mut();
         let Some(body) = slot.as_mut() else {
@@ -119,10 +120,11 @@
         }
     }
 
-    /// Records the last byte.
+    /// Records the arrival of the last byte.
     ///
-    /// Failure: a client sends a long body and leaves; where the system's buffers could not hold all of it, the end of
-    /// its stream is seen only with the last byte. The request is broken then, so that no call is made for nobody.
+    /// A client may send a long body and leave. If the system's buffers cannot hold the whole body, the end of the
+    /// stream is visible only with the last byte. The body is then marked as broken, so that no call is made for a
+    /// client that left.
     fn complete(&self) -> io::Result<()> {
         if self.client.upgrade().is_none_or(|client| client.has_left()) {
             self.settle(BodyState::Broken);
--- a/src/bin/proxy/counters.rs
+++ b/src/bin/proxy/counters.rs
@@ -1,8 +1,8 @@
-//! The figures for operators: the phase `account` of a request.
+//! The request counters for operators: the phase `account` of a request.
 //!
-//! Each request is counted once, where it ends: when its [`RequestRecord`] is dropped. An attempt counts when it was
-//! written completely; others never count. Owns the counts of this process. Their JSON keys are read by operators' scripts
-//! and do not change.
+//! Each request is counted once, when its [`RequestRecord`] is dropped at its end. An attempt is counted only if it
+//! was written completely. Owns the counters of this process. Operators' scripts read their JSON keys, which must
+//! not change.
 
 use load_balancer::client::route_table::RequestTotals;
 use load_balancer::interface::Census;
@@ -10,18 +10,18 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// What a request counts as.
+/// The category in which an ended request is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CountedAs {
-    /// Its client has a backend's response.
+    /// The client got a backend's response.
     Served,
-    /// Rejected; the client may send it again without harm.
+    /// The request was rejected; the client can safely send it again.
     Rejected,
-    /// Anything else.
+    /// The request ended in any other way.
     Failed,
 }
 
-/// How many requests of a class ended, by what they count as.
+/// The numbers of ended requests of one class, by category.
 #[derive(Clone, Copy, Default)]
 struct EndedCounts {
     served: u64,
@@ -40,33 +40,33 @@
     }
 }
 
-/// The figures of this process, from its start on.
+/// The counters of this process since its start.
 pub struct Counters {
     classes: Vec<String>,
-    /// For each class.
+    /// The numbers of ended requests of each class.
     ended: RefCell<Vec<EndedCounts>>,
     in_flight: Cell<u64>,
     attempts: Rc<Cell<u64>>,
 }
 
 impl Counters {
-    /// All at 0.
+    /// Creates counters for these classes, all at 0.
     pub fn new(classes: Vec<String>) -> Rc<Self> {
         let ended = RefCell::new(vec![EndedCounts::default(); classes.len()]);
         Rc::new(Counters { classes, ended, in_flight: Cell::default(), attempts: Rc::default() })
     }
 
-    /// How many attempts were written completely; the connections that write them count here.
+    /// Returns the shared counter of completely written attempts, which the backend connections increment.
     pub fn attempts(&self) -> Rc<Cell<u64>> {
         self.attempts.clone()
     }
 
-    /// A request of a class whose head was read.
+    /// Creates the record of a request of this class whose head was read.
     pub fn record(self: &Rc<Self>, class: usize) -> RequestRecord {
         RequestRecord { counters: self.clone(), class, is_complete: false, counted_as: None }
     }
 
-    /// Of all classes together.
+    /// Returns the totals of all classes.
     pub fn totals(&self) -> RequestTotals {
         let ended = self.ended.borrow();
         let served: u64 = ended.iter().map(|counts| counts.served).sum();
@@ -75,7 +75,7 @@
         RequestTotals { requests: served + rejected + failed, refused: rejected, failed }
     }
 
-    /// The figures as operators read them.
+    /// Returns the counters as the JSON object that operators read.
     pub fn page(&self, census: Census) -> Value {
         let ended = self.ended.borrow();
         let by_class = |count: fn(&EndedCounts) -> u64| -> Map<String, Value> {
@@ -92,8 +92,8 @@
     }
 }
 
-/// A request, counted when this is dropped. Without a response one that was complete counts as failed; one that was not,
-/// and had no response, is not counted.
+/// The record of one request, which is counted when the record is dropped. Without a response, a complete request
+/// counts as failed and an incomplete one is not counted.
 pub struct RequestRecord {
     counters: Rc<Counters>,
     class: usize,
@@ -102,14 +102,14 @@
 }
 
 impl RequestRecord {
-    /// Its last byte has arrived: a response is owed.
+    /// Marks the request as complete: from here on it is in flight until the record is dropped.
     pub fn complete(&mut self) {
         if !std::mem::replace(&mut self.is_complete, true) {
             self.counters.in_flight.update(|n| n + 1);
         }
     }
 
-    /// What it counts as from now on.
+    /// Sets the category in which the request will be counted.
     pub fn count_as(&mut self, counted_as: CountedAs) {
         self.counted_as = Some(counted_as);
     }
--- a/src/bin/proxy/downstream/accept.rs
+++ b/src/bin/proxy/downstream/accept.rs
@@ -1,6 +1,6 @@
-//! The phase `accept`: takes connections until the process stops, and waits until the last one is closed.
+//! The phase `accept`: accepts connections until the process stops, then waits until the last one is closed.
 //!
-//! Acts from the start of listening to the end of the process. Owns the tasks of all client connections.
+//! Runs from the start of listening to the end of the process. Owns the tasks of all client connections.
 
 use super::Downstream;
 use super::connection::{CLOSED_GRACE, FIRST_REQUEST_TIMEOUT, IdleCloseReason};
@@ -14,7 +14,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
 
-/// Pause when nothing can be accepted, for want of a descriptor or at the limit of connections.
+/// Delay before the next accept when no descriptor is left or the connection limit is reached.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// The tasks of the client connections, and the channel that asks idle ones to close.
@@ -35,8 +35,8 @@
 }
 
 impl Downstream {
-    /// Accepts connections until the process stops and no more come; then closes them as they fall idle, and returns when
-    /// the last one is closed.
+    /// Accepts connections until the process stops and the listen queue is empty, then closes each connection once
+    /// it is idle. Returns when the last one is closed.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         let mut connections = Connections {
             tasks: JoinSet::new(),
@@ -44,7 +44,7 @@
         };
         self.accept_until_stopped(&listener, &mut connections).await;
         self.accept_queued(listener, &mut connections).await;
-        // Clients that have their response and leave the connection open are not waited for.
+        // A client that has its response and leaves the connection open must not delay the end of the process.
         while !connections.tasks.is_empty() {
             tokio::select! {
                 _ = connections.tasks.join_next() => {}
@@ -62,8 +62,8 @@
             self.open.set(connections.tasks.len());
             let full = connections.tasks.len() >= self.own_connections() + self.spare;
             if full {
-                // Guards against requests that starve in the system's queue while idle clients hold all connections: those
-                // close, and the queue moves on.
+                // Without this, idle clients could hold all connections while requests wait in the kernel's listen
+                // queue. Closing the idle connections makes room for them.
                 connections.close_idle(IdleCloseReason::LimitReached);
             }
             tokio::select! {
@@ -75,22 +75,23 @@
                         let over_limit = connections.tasks.len() >= self.own_connections();
                         connections.spawn(self, stream, over_limit);
                     }
-                    // No error ends the loop, out of descriptors or other: clients are waiting, and descriptors are freed.
+                    // No error ends the loop, whether for lack of descriptors or another reason: clients are
+                    // waiting, and descriptors become free again.
                     Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
                 }
             }
         }
     }
 
-    /// Accepts what is still in the listener's queue. Guards against connections that are reset when the listener closes:
-    /// where another process serves the address by now, nobody else would accept these. Without a descriptor for one, idle
-    /// connections are closed; after [`FIRST_REQUEST_TIMEOUT`] the last idle one has closed.
+    /// Accepts the connections that are still in the listen queue. Closing the listener would reset them, and no other
+    /// process would accept them even if one serves the address by now. If no descriptor is left, idle connections are
+    /// closed to free some; the last idle one has closed after [`FIRST_REQUEST_TIMEOUT`].
     async fn accept_queued(self: &Rc<Self>, listener: TcpListener, connections: &mut Connections) {
         let mut unfinished = listener.into_std().ok();
-        let until = Instant::now() + FIRST_REQUEST_TIMEOUT;
-        while let Some(listener) = unfinished.take_if(|_| Instant::now() < until) {
+        let deadline = Instant::now() + FIRST_REQUEST_TIMEOUT;
+        while let Some(listener) = unfinished.take_if(|_| Instant::now() < deadline) {
             let queued;
-            (queued, unfinished) = take_queued(listener);
+            (queued, unfinished) = drain_accept_queue(listener);
             for stream in queued {
                 connections.spawn(self, stream, true);
             }
@@ -102,9 +103,10 @@
     }
 }
 
-/// Takes what a listener's queue holds and closes the listener; returns it where something is left in the queue for want of
-/// a descriptor. The system is asked, since the reactor may not have reported the last ones yet.
-pub(super) fn take_queued(
+/// Accepts all connections in a listener's queue and closes the listener, or returns the listener if connections
+/// remain queued because no descriptor is left. Calls `accept` on the socket directly, since the reactor may not
+/// have reported the last connections yet.
+pub(super) fn drain_accept_queue(
     listener: std::net::TcpListener,
 ) -> (Vec<TcpStream>, Option<std::net::TcpListener>) {
     let mut queued = Vec::new();
--- a/src/bin/proxy/downstream/connection.rs
+++ b/src/bin/proxy/downstream/connection.rs
@@ -1,7 +1,7 @@
-//! One client's connection: its requests one after the other, and its close.
+//! One client connection: serves its requests one after the other, and closes it.
 //!
-//! Acts from the accept to the close of the connection, also on timers and when idle connections are asked to close. Owns
-//! the stream and when the connection fell idle.
+//! Runs from the accept to the close of the connection, also on timers and when idle connections are asked to
+//! close. Owns the stream and the time since which the connection is idle.
 
 use super::Downstream;
 use super::handle::RequestSource;
@@ -24,52 +24,54 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep};
 
-/// A client may take so long to send a request's head, and may be idle for so long before it.
+/// Longest time that a client may take to send a request's head, including the idle time before it.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(60);
-/// A client that has sent no request's head so long after it connected is closed. It is owed an error or a close within 3 s
-/// whatever the settings: its deadline does not count yet, since that begins with a request's last byte.
+/// Time after the accept at which a connection without a complete request head is closed. The client must get an
+/// error or a close within 3 s whatever the settings: its own deadline does not apply yet, since that begins with
+/// the last byte of a request.
 pub(super) const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Idle for so long, a connection is closed: before the HTTP library does it at [`HEAD_TIMEOUT`], without a lingering
-/// close.
+/// Time after which an idle connection is closed. It is shorter than [`HEAD_TIMEOUT`], at which the HTTP library
+/// would close the connection without a lingering close.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(55);
-/// At the limit of connections, one that is idle for so long is closed. Not the newest ones: their requests are on their
-/// way.
+/// Time after which an idle connection is closed while the connection limit is reached. Newer connections are kept:
+/// their requests are probably on the way.
 const IDLE_TIMEOUT_AT_LIMIT: Duration = Duration::from_secs(1);
-/// A connection that has ended our side and only awaits the client's is dropped after so long: a round trip or two.
+/// Time after which a connection is dropped that has ended the proxy's sending side and awaits only the client's
+/// end: one or two round trips.
 pub(super) const CLOSED_GRACE: Duration = Duration::from_millis(100);
 
-/// A client's connection as the HTTP library serves it.
+/// A client connection as the HTTP library serves it.
 type ClientConnection<S> = http1::Connection<Watched<LingeringClose<ClientStream>>, S>;
 
-/// Why idle connections are asked to close.
+/// The reason why idle connections are asked to close.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum IdleCloseReason {
-    /// The limit of connections is reached: idle ones close, and those that only await the client's end.
+    /// The connection limit is reached: idle connections close, and so do those that await only the client's end.
     LimitReached,
-    /// The process stops: those that only await the client's end close.
+    /// The process stops: connections that await only the client's end close.
     Stopping,
 }
 
-/// What the connection knows of its client's requests.
+/// The state of a connection's requests that decides when the connection may close.
 struct Activity {
     idle_since: Cell<Instant>,
-    /// Whether a request's head has arrived.
+    /// Whether the head of a request has ever arrived on this connection.
     had_request: Cell<bool>,
-    /// When our side of the stream was ended.
+    /// The time at which the proxy ended its sending side, if it has.
     ended_at: Rc<Cell<Option<Instant>>>,
 }
 
-/// What follows from a timer or a message.
+/// What a connection does after a timer or a close request.
 enum Decision {
     Continue,
-    /// Close once what is being served is answered.
+    /// Close once the request in progress is answered.
     CloseGracefully,
-    /// Drop the connection now.
+    /// Drop the connection immediately.
     Drop,
 }
 
 impl Activity {
-    /// The idle timeout may have passed; when it has to be looked at again.
+    /// Decides whether the idle timeout has passed, and returns when to check again.
     fn idle_timeout(&self) -> (Decision, Instant) {
         let now = Instant::now();
         let expires_at = self.idle_since.get() + IDLE_TIMEOUT;
@@ -81,12 +83,13 @@
         (decision, expires_at.max(now + FIRST_REQUEST_TIMEOUT))
     }
 
-    /// The process drains. A first request that is still on its way must not be closed on; its response closes the
-    /// connection.
+    /// Decides what to do once the process has drained for the drain delay. A connection whose first request may
+    /// still be on the way is kept; the response to that request closes it.
     fn drained(&self) -> Decision {
         if self.had_request.get() { Decision::CloseGracefully } else { Decision::Continue }
     }
 
+    /// Decides what to do when idle connections are asked to close for `reason`.
     fn asked_to_close(&self, reason: IdleCloseReason) -> Decision {
         if self.ended_at.get().is_some_and(|at| at.elapsed() > CLOSED_GRACE) {
             return Decision::Drop;
@@ -101,7 +104,8 @@
 }
 
 impl Downstream {
-    /// Serves one client until its connection is closed.
+    /// Serves one client connection until it is closed. `over_limit` says that it was accepted beyond the
+    /// connection limit.
     pub(super) async fn serve_connection(
         self: Rc<Self>,
         stream: TcpStream,
@@ -135,13 +139,13 @@
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(HEAD_TIMEOUT)
-            .max_buf_size(body::BUFFER)
+            .max_buf_size(body::HTTP_BUFFER_BYTES)
             .serve_connection(stream, service);
         self.drive(pin!(connection), &activity, idle_close).await;
     }
 
-    /// Drives a connection until it is closed: by the client, by the HTTP library, or because it is idle or the process
-    /// drains.
+    /// Polls a connection until it is closed by the client or the HTTP library, or because it is idle or the
+    /// process drains.
     async fn drive<S>(
         &self,
         mut connection: Pin<&mut ClientConnection<S>>,
@@ -154,9 +158,9 @@
         let mut drain_delay_over = pin!(self.lifecycle.drain_delay_over());
         loop {
             let decision = tokio::select! {
-                // What has arrived is read before anything is closed on it.
+                // Bytes that have arrived are read before a timer can close the connection.
                 biased;
-                // However it ends, the client is gone, and the end of its request, if any, was reported.
+                // The result does not matter: the client is gone, and the end of its request, if any, was reported.
                 _ = connection.as_mut() => return,
                 () = &mut idle_check => {
                     let (decision, next_check) = activity.idle_timeout();
@@ -179,7 +183,8 @@
                 tokio::select! {
                     biased;
                     _ = connection.as_mut() => return,
-                    // Guards against a wait for the rest of half a head: one poll of the connection, and no more.
+                    // Polls the connection once more and does not wait: the rest of an incomplete head may never
+                    // arrive.
                     () = ready(()) => if activity.ended_at.get().is_none() { return },
                 }
             }
--- a/src/bin/proxy/downstream/handle.rs
+++ b/src/bin/proxy/downstream/handle.rs
@@ -1,7 +1,7 @@
 //! Handles one request from its head to its response, phase by phase.
 //!
-//! Acts for each request on a client's connection, also for `/health/ready`. In what order the phases run is written in
-//! [`Downstream::handle_request`] and nowhere else.
+//! Runs for each request on a client connection, including `/health/ready`. The order of the phases is defined in
+//! [`Downstream::handle_request`] only.
 
 use super::Downstream;
 use super::respond::{Reply, closing, plain, respond};
@@ -20,27 +20,27 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// The connection that a request came on.
+/// The connection on which a request arrived.
 #[derive(Clone, Copy)]
 pub(super) struct RequestSource<'a> {
-    /// Whether it was accepted beyond the limit of connections.
+    /// Whether the connection was accepted beyond the connection limit.
     pub(super) over_limit: bool,
     pub(super) progress: &'a Progress,
     pub(super) client: &'a Rc<Client>,
 }
 
-/// What the client announced of its body.
+/// What a request's head announces about its body.
 #[derive(Clone, Copy)]
 struct Announced {
     has_body: bool,
-    /// It sends its body only after a `100 Continue`.
+    /// Whether the client sends its body only after a `100 Continue`.
     expects_continue: bool,
 }
 
 impl Downstream {
-    /// The way of a request: `read_request` -> `admit` -> (`select_endpoint` -> `connect` -> `forward` -> `await_response`,
-    /// again for each retry) -> `respond` -> `account`. The balancer selects the endpoint, the engine starts the attempt,
-    /// and `connect` to `await_response` are in `upstream/`.
+    /// Runs the phases of a request: `read_request` -> `admit` -> (`select_endpoint` -> `connect` -> `forward` ->
+    /// `await_response`, repeated for each retry) -> `respond` -> `account`. The balancer selects the endpoint, the
+    /// engine starts the attempt, and `connect` to `await_response` are in `upstream/`.
     pub(super) async fn handle_request(
         &self,
         request: Request<Incoming>,
@@ -57,10 +57,11 @@
             self.read_request(request, source).await
         };
         let reply = match parsed {
-            // Guards against bytes of an unread body that would be taken for the next request.
+            // Bytes of an unread body would be parsed as the next request.
             Err(reply) if announced.has_body => closing(*reply),
             Err(reply) => *reply,
-            // Idle clients hold connections too: what is rejected is work beyond what can be served.
+            // Idle clients count towards the connection limit, so a request is rejected only if the unanswered
+            // requests alone reach it.
             Ok((_, record))
                 if source.over_limit && self.engine.unanswered_requests() >= self.own_connections() =>
             {
@@ -71,14 +72,14 @@
         Ok(if self.must_close(source.client) { closing(reply) } else { reply })
     }
 
-    /// The status of `/health/ready`.
+    /// Returns the status of `/health/ready`.
     fn readiness(&self) -> StatusCode {
         let ready = self.engine.is_ready() && self.lifecycle.phase().keeps_connections();
         if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }
     }
 
-    /// Whether a client's connection is closed after its response. Clients that send one request and stay connected would
-    /// soon hold all connections: as those run short, none is kept.
+    /// Returns whether a client's connection is closed after its response. Clients that send one request and stay
+    /// connected would soon hold all connections, so that none is kept once more than half of the limit is in use.
     fn must_close(&self, client: &Client) -> bool {
         2 * self.open.get() > self.own_connections()
             || !self.lifecycle.phase().keeps_connections()
@@ -116,8 +117,8 @@
         respond_with_unread_body(end, record, &body, announced)
     }
 
-    /// Guards against a response that is begun and then lost at the SIGKILL by the platform: one that flows has no end in
-    /// sight, so that for a request that came late after the stop it counts as too late.
+    /// Turns a streamed response into an exceeded deadline if the request was completed too late after the stop
+    /// began. The end of a streamed response is not known, and the platform's SIGKILL could cut it off.
     fn in_time(&self, end: RequestEnd, complete_at: Instant) -> RequestEnd {
         match end {
             RequestEnd::Served(UpstreamResponse { remaining: Some(_), .. })
@@ -130,7 +131,7 @@
     }
 }
 
-/// Waits for the end of a request that was or was not admitted.
+/// Waits for the end of an admitted request; one that was not admitted ends at once as rejected.
 async fn ended(admitted: Result<AdmittedRequest, NotAdmitted>) -> RequestEnd {
     match admitted {
         Ok(request) => request.ended().await,
@@ -138,6 +139,7 @@
     }
 }
 
+/// Waits for the end of a request, or until its client has left.
 async fn unless_client_leaves(ended: impl Future<Output = RequestEnd>, client: &Client) -> RequestEnd {
     tokio::select! {
         biased;
@@ -146,7 +148,8 @@
     }
 }
 
-/// The body that flowed is complete or broken off. When complete, an answer is owed, and the next bytes are another head's.
+/// Records that a streamed request body is complete or broken. After a complete body the request must be answered,
+/// and the next bytes belong to the head of another request.
 fn body_settled(state: BodyState, record: &mut RequestRecord, source: RequestSource<'_>) {
     if state != BodyState::Broken {
         source.client.set_request_complete(true);
@@ -155,10 +158,11 @@
     }
 }
 
-/// Responds to a request whose body was not buffered, and sees to what of it is unread.
+/// Responds to a request whose body was not buffered, and drains what was not read of it.
 ///
-/// Guards against a response that is lost: closed over unread bytes, the client's connection would be reset. So the body is
-/// read to its end and dropped; where the client awaits a `100 Continue` it may never send it, and the connection closes.
+/// A connection that closes with unread bytes is reset, and the client may lose the response. The body is therefore
+/// read and discarded. A client that awaits a `100 Continue` may never send the body, so that its connection closes
+/// instead.
 fn respond_with_unread_body(
     end: RequestEnd,
     record: RequestRecord,
@@ -168,8 +172,8 @@
     let unread = if matches!(end, RequestEnd::Served(_)) { None } else { body.withdraw() };
     match unread {
         Some(_) if announced.expects_continue && !body.was_passed_on() => closing(respond(end, record)),
-        Some(flow) => {
-            spawn_local(flow.drain());
+        Some(unread) => {
+            spawn_local(unread.drain());
             respond(end, record)
         }
         None => respond(end, record),
--- a/src/bin/proxy/downstream/lingering_close.rs
+++ b/src/bin/proxy/downstream/lingering_close.rs
@@ -1,11 +1,12 @@
-//! Lingering close: closes a client's connection in two steps, as RFC 9112, section 9.6 describes.
+//! Lingering close: closes a client connection in two steps, as described in RFC 9112, section 9.6.
 //!
-//! Acts when the HTTP library shuts a connection down. Owns the stream and the time and size limits of what is read after.
+//! Runs when the HTTP library shuts a connection down. Owns the stream and the limits of time and size of what is read
+//! after that.
 //!
-//! Guards against a response that is lost: a connection that is closed over unread bytes is reset, and the client's system
-//! then drops what it has received. So our sending side ends first, and what still arrives is read and dropped.
+//! A connection that is closed with unread bytes is reset, and the client's system then discards what it has received,
+//! including the response. Therefore the proxy ends its sending side first, and reads and discards what still arrives.
 
-use crate::body::{BUFFER, MAX_BUFFERED_BODY_BYTES};
+use crate::body::{HTTP_BUFFER_BYTES, MAX_BUFFERED_BODY_BYTES};
 use hyper::rt::{Read, ReadBuf, ReadBufCursor, Write};
 use std::cell::Cell;
 use std::future::Future;
@@ -16,17 +17,18 @@
 use std::time::Duration;
 use tokio::time::{Instant, Sleep, sleep, sleep_until};
 
-/// A client that has sent nothing for so long after our last byte has most likely received it: a round trip between
-/// regions, and less than the time between the last responses and the kill.
+/// Time without a byte from the client after which it has most likely received the last byte: longer than a round trip
+/// between regions, and shorter than the time between the last responses and the platform's SIGKILL.
 const QUIET_TIMEOUT: Duration = Duration::from_millis(300);
-/// Longest time that is read after our last byte: a client that goes on sending must not hold its connection for ever.
+/// Longest time for which bytes are read after the end of the sending side: a client that keeps sending must not
+/// hold its connection indefinitely.
 const MAX_DURATION: Duration = Duration::from_secs(5);
-/// Most bytes that are read after our last byte: more than is on its way at that time. To read all of a 60 MB body would
-/// cost the other clients more time than this response is worth.
+/// Most bytes that are read after the end of the sending side: more than is in transit at that time. Reading all of
+/// a 60 MB body would take more time from other clients than this response is worth.
 const MAX_BYTES: usize = 16 * MAX_BUFFERED_BODY_BYTES;
 
-/// A stream whose shutdown ends our sending side and then reads and drops what still arrives, until the client ends its
-/// side too.
+/// A stream whose shutdown ends the sending side and then reads and discards what still arrives, until the client
+/// ends its side too.
 pub(super) struct LingeringClose<S> {
     stream: S,
     ended_at: Rc<Cell<Option<Instant>>>,
@@ -39,7 +41,7 @@
         LingeringClose { stream, ended_at: Rc::default(), bytes_dropped: 0, quiet_timeout: None }
     }
 
-    /// When our sending side was ended.
+    /// Returns the shared cell with the time at which the sending side was ended.
     pub(super) fn ended_at(&self) -> Rc<Cell<Option<Instant>>> {
         self.ended_at.clone()
     }
@@ -88,7 +90,7 @@
             }
         };
         let quiet_timeout = this.quiet_timeout.get_or_insert_with(|| Box::pin(sleep(QUIET_TIMEOUT)));
-        let mut bytes = [0; BUFFER];
+        let mut bytes = [0; HTTP_BUFFER_BYTES];
         while this.bytes_dropped < MAX_BYTES && ended_at.elapsed() < MAX_DURATION {
             let mut part = ReadBuf::new(&mut bytes);
             if Pin::new(&mut this.stream).poll_read(cx, part.unfilled())?.is_pending() {
--- a/src/bin/proxy/downstream/mod.rs
+++ b/src/bin/proxy/downstream/mod.rs
@@ -1,7 +1,8 @@
 //! The clients' side: accepts connections, reads requests, responds, and closes connections.
 //!
-//! Of the phases of a request `accept`, `read_request`, `respond` and `account` are here, each in the file of its name;
-//! `handle.rs` has their order. Owns the clients' connections and their number.
+//! Implements the request phases `accept`, `read_request` and `respond`, each in the file of its name, and
+//! `account`, which is the drop of a response in `respond.rs`. Their order is in `handle.rs`. Owns the client
+//! connections and their count.
 
 mod accept;
 mod connection;
@@ -19,31 +20,31 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// What is needed to serve clients.
+/// The server for clients, with the shared state that serving a request needs.
 pub struct Downstream {
-    /// Decides what becomes of requests.
+    /// The engine that decides what happens to each request.
     pub engine: Rc<Engine>,
     /// The platform's settings.
     pub platform: PlatformSettings,
-    /// Counts requests.
+    /// The request counters of this process.
     pub counters: Rc<Counters>,
-    /// Whether clients are accepted.
+    /// The lifecycle state, which says whether connections are kept.
     pub lifecycle: Rc<Lifecycle>,
-    /// Most connections at once, of all processes together.
+    /// Limit of open client connections for all processes at this address together.
     pub connections: usize,
-    /// Connections beyond that limit. Their requests are rejected while as many requests are unanswered as this process
-    /// may have connections.
+    /// Number of connections that are accepted beyond the limit of this process. Requests on them are rejected
+    /// while the number of unanswered requests is at that limit.
     pub spare: usize,
-    /// Budget of the bodies that are buffered.
+    /// Memory budget for buffered bodies.
     pub buffer_budget: Rc<BufferBudget>,
-    /// How many processes serve this address.
+    /// Number of processes that serve this address.
     pub processes: watch::Sender<u32>,
-    /// How many connections are open.
+    /// Number of open client connections.
     pub open: Cell<usize>,
 }
 
 impl Downstream {
-    /// Most connections of this process.
+    /// Returns the limit of open client connections for this process.
     fn own_connections(&self) -> usize {
         (self.connections / *self.processes.borrow() as usize).max(1)
     }
--- a/src/bin/proxy/downstream/read_request.rs
+++ b/src/bin/proxy/downstream/read_request.rs
@@ -1,6 +1,6 @@
-//! The phase `read_request`: checks a request's head and reads its body as far as it is buffered.
+//! The phase `read_request`: checks a request's head and reads the part of its body that is buffered.
 //!
-//! Acts once for each request. What cannot be accepted is answered here with its status: no record counts it.
+//! Runs once for each request. An invalid request is answered here with an error status, and is not counted.
 
 use super::Downstream;
 use super::handle::RequestSource;
@@ -21,13 +21,13 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// Longest timeout that a client may ask for, unless a class of the settings has a longer one.
+/// Longest timeout that a client may request, unless a class in the settings has a longer one.
 const MAX_CLIENT_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// The response to a request that cannot be accepted.
+/// The error response to an invalid request.
 type ErrorReply = Box<Reply>;
 
-/// What a request's head says, checked.
+/// The validated contents of a request's head.
 struct CheckedHead {
     class: usize,
     tenant: usize,
@@ -37,16 +37,16 @@
     ordering_key: Option<String>,
 }
 
-/// A body as far as it was read.
+/// The part of a request body that was read, and the rest of the stream.
 struct BufferedBody {
     buffered: Bytes,
-    /// What follows that; `None` where the body is complete.
+    /// The rest of the body; `None` if the body is complete.
     remaining: Option<RateLimitedBody>,
     buffer_permit: Option<BufferReservation>,
 }
 
 impl Downstream {
-    /// Reads a request, and its body if that is small; or responds with what is wrong with it.
+    /// Reads a request, and its body if that is small. Fails with the error response to an invalid request.
     pub(super) async fn read_request(
         &self,
         request: Request<Incoming>,
@@ -90,7 +90,7 @@
         Ok((parsed, record))
     }
 
-    /// Checks path, headers and method, in this order.
+    /// Validates the path, the headers and the method, in this order.
     fn check_head(
         &self,
         method: &Method,
@@ -122,7 +122,7 @@
         Ok(CheckedHead { class, tenant, id, client_timeout, idempotency_key, ordering_key })
     }
 
-    /// Index of the tenant that the headers name. A name may have letters beyond ASCII.
+    /// Returns the index of the tenant that the headers name. The name may contain non-ASCII bytes.
     fn tenant_of(&self, headers: &HeaderMap) -> Option<usize> {
         let tenants = &self.platform.site.tenants;
         if tenants.is_empty() {
@@ -132,21 +132,21 @@
         tenants.iter().position(|tenant| Some(tenant.as_bytes()) == owner)
     }
 
-    /// How long the client waits, by its headers.
+    /// Returns the client's timeout from its headers, at most the longest one that is allowed.
     fn client_timeout(&self, headers: &HeaderMap) -> Option<Duration> {
         let timeout_ms = single_value(headers, "req-deadline-ms")?.to_str().ok()?.parse().ok()?;
         let longest = MAX_CLIENT_TIMEOUT.max(millis(self.platform.site.longest_client_timeout_ms));
         Some(Duration::from_millis(timeout_ms).min(longest))
     }
 
-    /// Reads a body as far as it is small and the buffer budget allows. What cannot be buffered is read only once there is
-    /// a backend to pass it on to.
+    /// Buffers a small body if the buffer budget allows it. What is not buffered is read only once an attempt can
+    /// stream it to a backend.
     async fn buffer_body(&self, body: Incoming, headers: &HeaderMap) -> Result<BufferedBody, ErrorReply> {
         let mut body = RateLimitedBody::new(body, body::CLIENT_RATE_FLOOR);
         let length = body.announced_bytes_left();
         if length.is_some_and(|n| n > body::MAX_BODY_BYTES) {
-            // Guards against a response that is lost in a reset over unread bytes. A client that expects a `100 Continue`
-            // may well not send the body.
+            // Draining the body avoids a reset over unread bytes, which would lose the response. A client that
+            // expects a `100 Continue` may not send the body at all.
             if !headers.contains_key(EXPECT) {
                 spawn_local(body.drain());
             }
@@ -184,22 +184,22 @@
     Box::new(reply)
 }
 
-/// Index of the class whose name the path begins with, as it stands or percent-encoded. Names may have slashes: the longest
-/// one that fits is chosen.
+/// Returns the index of the class whose name is a prefix of the path, as received or percent-decoded. Class names may
+/// contain slashes; the longest match wins.
 fn class_of(names: &[String], path: &str) -> Option<usize> {
     let begins = |path: &str, name: &str| {
         path.strip_prefix(name).is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
     };
     let find = |path: &str| {
-        let fitting = names.iter().enumerate().filter(|(_, name)| begins(path, name));
-        fitting.max_by_key(|(_, name)| name.len()).map(|(index, _)| index)
+        let matching = names.iter().enumerate().filter(|(_, name)| begins(path, name));
+        matching.max_by_key(|(_, name)| name.len()).map(|(index, _)| index)
     };
     let path = path.strip_prefix('/').unwrap_or(path);
     let decoded = || percent_decode_str(path).decode_utf8().ok().and_then(|path| find(&path));
     find(path).or_else(|| find(path.trim_start_matches('/'))).or_else(decoded)
 }
 
-/// The value of a header that must come once, and not empty.
+/// Returns the value of a header that must occur exactly once and must not be empty.
 fn single_value<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a HeaderValue> {
     let mut values = headers.get_all(name).iter();
     values.next().filter(|v| !v.is_empty() && values.next().is_none())
--- a/src/bin/proxy/downstream/respond.rs
+++ b/src/bin/proxy/downstream/respond.rs
@@ -1,4 +1,4 @@
-//! The phase `respond`: the one place that maps each end of a request to what is written to the client.
+//! The phase `respond`: the only place that maps the end of a request to the response that is written to the client.
 //!
 //! Owns the response's body, and with it the request's record: the phase `account` is the drop of both.
 
@@ -16,7 +16,7 @@
 
 pub(super) type Reply = Response<ResponseBody>;
 
-/// A response's body. The request's record is dropped with it, and counted then.
+/// A response body. It holds the request's record, so that the request is counted when the body is dropped.
 #[derive(Default)]
 pub struct ResponseBody {
     data: Bytes,
@@ -40,10 +40,10 @@
             },
         };
         if let (Err(_), Some(record)) = (&next, &mut self.record) {
-            // The client notices: its connection closes before the announced end.
+            // The client can detect the failure, since its connection closes before the announced end of the body.
             record.count_as(CountedAs::Failed);
         }
-        Poll::Ready(next.transpose().map(|piece| piece.map(Frame::data)))
+        Poll::Ready(next.transpose().map(|data| data.map(Frame::data)))
     }
 
     fn is_end_stream(&self) -> bool {
@@ -60,20 +60,20 @@
     }
 }
 
-/// A response without a body.
+/// Returns a response without a body.
 pub(super) fn plain(status: StatusCode) -> Reply {
     let mut reply = Response::new(ResponseBody::default());
     *reply.status_mut() = status;
     reply
 }
 
-/// The same response as the last one on its connection.
+/// Adds `Connection: close` to a response, which makes it the last one on its connection.
 pub(super) fn closing(mut reply: Reply) -> Reply {
     reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     reply
 }
 
-/// The status of each end, and what it counts as.
+/// Returns the status for the end of a request, and what the request counts as.
 fn status_of(end: &RequestEnd) -> (StatusCode, CountedAs) {
     match end {
         RequestEnd::Served(_) => (StatusCode::OK, CountedAs::Served),
@@ -84,7 +84,7 @@
     }
 }
 
-/// The response to a request that ended so.
+/// Builds the response to a request that ended with `end`, and sets what its record counts as.
 pub(super) fn respond(end: RequestEnd, mut record: RequestRecord) -> Reply {
     let (status, counted_as) = status_of(&end);
     record.count_as(counted_as);
--- a/src/bin/proxy/engine/act.rs
+++ b/src/bin/proxy/engine/act.rs
@@ -1,7 +1,7 @@
-//! Hands events to the decision module and carries out the actions that it returns.
+//! Passes events to the balancer and performs the actions that it returns.
 //!
-//! Runs whenever something happens on a socket, a timer fires or the list of endpoints changes. The queue of events
-//! that wait for the module is in [`State`].
+//! Runs on each socket event, timer and change of the endpoint list. The queue of events for the balancer is in
+//! [`State`].
 
 use super::Engine;
 use super::clock::millis;
@@ -13,8 +13,8 @@
 use tokio::time::{Instant, sleep};
 
 impl Engine {
-    /// Hands an event to the module and carries out its actions; then the events that those actions caused, until the queue
-    /// is empty. Events are queued and not handled in place, so that the module is never entered twice.
+    /// Passes an event to the balancer and performs the returned actions, then does the same for the events that those
+    /// actions caused, until the queue is empty. Queuing the events keeps the balancer from being called reentrantly.
     pub(super) fn handle_event(self: &Rc<Self>, event: Event) {
         let state = &mut *self.state.borrow_mut();
         state.events.push_back(event);
@@ -69,7 +69,7 @@
     let pending = state.requests.get_mut(&request);
     let in_flight = pending.and_then(|r| r.attempts.get_mut(usize::from(attempt))?.as_mut());
     if let Some(cancel) = in_flight.and_then(|attempt| attempt.cancel.take()) {
-        // The receiver is gone when the attempt ended at this moment; then there is nothing to cancel.
+        // The send fails if the attempt has just ended; then there is nothing to cancel.
         let _ = cancel.send(());
     }
 }
--- a/src/bin/proxy/engine/attempts.rs
+++ b/src/bin/proxy/engine/attempts.rs
@@ -1,8 +1,9 @@
-//! Attempts: the start of each at the endpoint that the module selected, and its end, after which the module retries or the
-//! client is answered. The selection itself (the phase `select_endpoint`) is `select` in `balancer/selection.rs`.
+//! Starts each attempt at the endpoint that the balancer selected, and handles its end: the client gets the
+//! response, or the balancer decides on a retry. The phase `select_endpoint` itself is `select` in
+//! `balancer/selection.rs`.
 //!
-//! Acts when the module selects an endpoint and when an attempt ends. Attempts in flight are kept in their
-//! [`PendingRequest`], each under its number.
+//! Runs when the balancer selects an endpoint and when an attempt ends. Attempts in flight are kept in their
+//! [`PendingRequest`] by number.
 
 use super::Engine;
 use super::request::{AnswerState, InFlightAttempt, PendingRequest, RequestEnd};
@@ -15,7 +16,7 @@
 use tokio::time::Instant;
 
 impl Engine {
-    /// Starts an attempt at the endpoint that the module selected; where it may not start, it ends as not sent.
+    /// Starts an attempt at the endpoint that the balancer selected. An attempt that must not start ends as not sent.
     pub(super) fn start_attempt(
         self: &Rc<Self>,
         state: &mut State,
@@ -46,8 +47,8 @@
         tokio::task::spawn_local(attempt.run(self.pool.clone(), report));
     }
 
-    /// Where the backend that the module selected is reached. `None` where the attempt must not start: the request has
-    /// ended, the backend is unknown here, or too many attempts were made.
+    /// Returns the target of the backend that the balancer selected. Returns `None` if the attempt must not start:
+    /// the request has ended, the backend is unknown, or the request has had the maximum number of attempts.
     fn resolve_target(&self, state: &State, request: RequestId, backend: BackendId) -> Option<Rc<Target>> {
         let pending = state.requests.get(&request)?;
         let may_start = pending.attempts.len() < self.platform.settings.caps.max_attempts as usize;
@@ -55,8 +56,8 @@
         (may_start && pending.is_unanswered()).then(|| target.clone())
     }
 
-    /// An attempt has ended. A response that can be passed on goes to the client at once; whether to retry any other end is
-    /// the module's decision.
+    /// Handles the end of an attempt. A response is passed on to the client immediately; for any other end the balancer
+    /// decides on a retry.
     fn attempt_ended(self: &Rc<Self>, request: RequestId, number: usize, end: AttemptEnd) {
         let event = {
             let state = &mut *self.state.borrow_mut();
@@ -70,7 +71,7 @@
             if let AttemptEnd::Response(response) = end {
                 pending.end(RequestEnd::Served(response));
             }
-            // A backend begins its work with the last byte of a request.
+            // The latency is measured from the last byte of the request, with which a backend begins its work.
             let begun_at = match pending.call.remaining_body.as_ref().map(|r| r.state()) {
                 Some(BodyState::Complete(at)) => at.max(attempt.sent_at),
                 _ => attempt.sent_at,
@@ -87,8 +88,8 @@
 
 /// Ends a request whose client has left, before an attempt is started for it.
 ///
-/// Guards against work for a client that left while this process stood still: its end then lies unread on the socket, and
-/// an attempt that begins later than 0.1 s after it is a break of the protocol.
+/// If this process was paused when the client left, the end of the client's stream is still unread on the socket.
+/// An attempt that begins more than 0.1 s after the client left violates the platform's protocol.
 fn end_if_client_left(state: &mut State, request: RequestId) {
     let Some(pending) = state.requests.get_mut(&request) else { return };
     if pending.is_unanswered() && pending.call.client_gone() {
@@ -97,6 +98,7 @@
     }
 }
 
+/// Builds the balancer's event for the end of an attempt.
 fn resolved(
     request: RequestId,
     number: usize,
--- a/src/bin/proxy/engine/list.rs
+++ b/src/bin/proxy/engine/list.rs
@@ -1,7 +1,7 @@
-//! Takes lists of backends from discovery's client and hands them to the decision module.
+//! Passes endpoint lists from the discovery client to the balancer.
 //!
-//! Acts when a list or a change of it arrives, and when a call to discovery fails. The backends' addresses are in
-//! [`State`], and what counts as in service is the module's decision.
+//! Runs when a list or a delta arrives, and when a call to discovery fails. The backends' addresses are in
+//! [`State`]; the balancer decides which backends are in service.
 
 use super::Engine;
 use super::state::State;
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use tracing::{info, warn};
 
-/// The engine as the receiver of discovery's lists.
+/// Adapter that applies the endpoint lists of the discovery client to an engine.
 pub struct ListedEngine(pub Rc<Engine>);
 
 impl EndpointListener for ListedEngine {
@@ -31,7 +31,7 @@
 }
 
 impl Engine {
-    /// A list of backends, or changes to it, and the version that it leads to.
+    /// Applies an endpoint list or a delta, which leads to list version `version`.
     pub fn apply_list(self: &Rc<Self>, kind: ListKind, version: u64, hosts: Vec<EndpointEntry>) {
         let entries = {
             let state = &mut *self.state.borrow_mut();
@@ -53,24 +53,24 @@
         }
     }
 
-    /// How many backends stay in service though the list lacks them.
+    /// Returns how many backends stay in service although they are missing from the list.
     fn unlisted(&self) -> usize {
         self.state.borrow().balancer.unlisted()
     }
 
-    /// Whether the module wants the full list again; the request is cleared by this.
+    /// Returns whether the balancer requested a resync with the full list, and clears the request.
     pub fn take_resync_request(&self) -> bool {
         self.resync_requested.take()
     }
 
-    /// A call to discovery failed.
+    /// Handles a failed call to discovery: stops the watch and notifies the balancer.
     pub fn discovery_failed(self: &Rc<Self>) {
         self.watch_wanted.send_replace(false);
         self.handle_event(Event::List { kind: ListKind::Failed, entries: Vec::new() });
     }
 
-    /// A backend of the list as the module knows it; `None` where its zone is unknown. A backend that takes work is
-    /// reachable from here on.
+    /// Converts a backend of the list to a list entry for the balancer, `None` if its zone is unknown. Sets the
+    /// target of a backend that is serving.
     fn list_entry(&self, state: &mut State, host: EndpointEntry) -> Option<Entry> {
         let backend = state.id_of(&host.name);
         state.removal_candidates.insert(backend);
@@ -81,16 +81,19 @@
         };
         let Some(zone) = self.zone_of(&host) else {
             if phase != Phase::Ready {
-                // Wherever it is, it takes nothing new.
+                // The zone does not matter for a backend that takes no new requests.
                 return Some(Entry { backend, phase, ..Entry::default() });
             }
-            warn!("discovery: {}: zone {:?} is unknown, passed over", host.name, host.zone);
+            warn!(
+                "discovery: backend {}: zone {:?} is not in the settings; entry ignored",
+                host.name, host.zone
+            );
             return None;
         };
         if let (Some(observer), Phase::Ready | Phase::Draining) = (&self.observer, phase) {
             observer.backend_listed(backend, &host);
         }
-        // For those that drain or are gone the module decides what becomes of their connections.
+        // The balancer decides what happens to the connections of backends that drain or are gone.
         if phase == Phase::Ready {
             self.update_target(state, backend, &host);
         }
@@ -104,7 +107,7 @@
         })
     }
 
-    /// Index of a backend's zone. Without zones every backend is in this proxy's own.
+    /// Returns the index of a backend's zone. Without configured zones, every backend is in this proxy's zone.
     fn zone_of(&self, host: &EndpointEntry) -> Option<usize> {
         let zones = &self.platform.site.zones;
         if zones.is_empty() {
@@ -113,11 +116,11 @@
         zones.iter().position(|zone| *zone == host.zone)
     }
 
-    /// Where a backend that takes work is reached.
+    /// Sets the target of a backend that is serving.
     ///
-    /// Guards against a request that is sent on a connection of the backend's previous process: where its machine fell
-    /// silent such a connection still looks open, and the request would end as a reset, which may have run. So another
-    /// address or start time makes another target, and closes the idle connections of the old one.
+    /// A changed address or start time creates a new target and closes the idle connections of the old one. If the
+    /// machine of the backend's previous process stopped responding, a connection to that process still looks open;
+    /// a request on it would end as a reset, after which it may have run.
     fn update_target(&self, state: &mut State, backend: BackendId, host: &EndpointEntry) {
         let Some(address) = host.address else { return };
         let started_at_ms = host.started_ms;
--- a/src/bin/proxy/engine/mod.rs
+++ b/src/bin/proxy/engine/mod.rs
@@ -1,8 +1,8 @@
-//! The engine is the only owner of the decision module: it turns what happens on the sockets into the module's events, in
-//! order, and carries out the module's actions.
+//! The engine owns the balancer, the decision module. It converts socket events, timers and endpoint lists to the
+//! balancer's events, in order, and performs the actions that the balancer returns.
 //!
-//! It owns the ids, the clock, the timers and each request from its admission to its end. Everything runs on one thread, so
-//! that events have one order. Of the phases of a request `admit` is here, and the start of the attempts that
+//! It owns the ids, the clock, the timers and each request from its admission to its end. Everything runs on one
+//! thread, so that events have one order. It implements the request phase `admit`, and starts the attempts that
 //! follow `select_endpoint`.
 
 mod act;
@@ -32,24 +32,25 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until};
 
-/// The decision module and what it needs to act on sockets.
+/// The balancer together with the state that its actions on sockets need.
 pub struct Engine {
     state: RefCell<State>,
     pool: Rc<Pool>,
     clock: Clock,
     platform: PlatformSettings,
-    /// Whether the module wants discovery to push changes.
+    /// Whether the balancer wants a watch on discovery, which pushes changes.
     watch_wanted: watch::Sender<bool>,
-    /// Whether the module wants the full list again.
+    /// Whether the balancer requested a resync with the full list.
     resync_requested: Cell<bool>,
-    /// When the last answer must have been given; set by a planned stop.
+    /// The time by which all requests must be answered; set by a planned stop.
     last_answer_at: Cell<Option<Instant>>,
-    /// Notified of calls, where route reports or recordings are configured.
+    /// The observer of lists and calls, if route reports or recordings are configured.
     observer: Option<Rc<Observer>>,
 }
 
 impl Engine {
-    /// Starts the module. What it wants of discovery goes to `watch_wanted`.
+    /// Creates the balancer with the platform's settings. Whether it wants a watch on discovery is published on
+    /// `watch_wanted`. Fails if the settings are invalid.
     pub fn new(
         platform: PlatformSettings,
         seed: u64,
@@ -80,37 +81,38 @@
         }))
     }
 
-    /// Whether requests can be served: some backend takes work.
+    /// Returns whether requests can be served, that is, whether any backend takes new requests.
     pub fn is_ready(&self) -> bool {
         self.state.borrow().targets.values().any(|target| target.drained_at.get().is_none())
     }
 
-    /// The backends in the list, as the module sees them.
+    /// Returns the balancer's counts of listed, excluded and unlisted backends.
     pub fn census(&self) -> Census {
         self.state.borrow().balancer.census()
     }
 
-    /// How many requests await their answer.
+    /// Returns the number of requests that have not been answered.
     pub fn unanswered_requests(&self) -> usize {
         self.state.borrow().requests.values().filter(|pending| pending.is_unanswered()).count()
     }
 
-    /// So many processes of this proxy instance run at this address.
+    /// Passes the number of processes of this proxy instance at its address to the balancer.
     pub fn set_local_processes(self: &Rc<Self>, processes: u32) {
         self.handle_event(Event::LocalProcesses { processes });
     }
 
-    /// So many proxies of the tier are alive, by the membership protocol.
+    /// Passes the tier's proxy counts from the membership protocol, and this proxy's rank, to the balancer.
     pub fn set_peers(self: &Rc<Self>, alive: u32, known: u32, rank: Option<u32>) {
         self.handle_event(Event::Peers { alive, known, rank });
     }
 
-    /// The part that this process takes of the budgets that the tier's proxies share.
+    /// Returns this process's fraction of the budgets that the tier's proxies share.
     pub fn fleet_share(&self) -> f64 {
         self.state.borrow().balancer.share()
     }
 
-    /// Answers all that is open at `last_answer_at`, and from now on shortens the deadlines of new requests to it.
+    /// Ends all open requests at `last_answer_at`, and limits the deadlines of requests that arrive from now on to
+    /// that time.
     pub fn answer_all_by(self: &Rc<Self>, last_answer_at: Instant) {
         self.last_answer_at.set(Some(last_answer_at));
         let engine = self.clone();
@@ -122,7 +124,7 @@
         });
     }
 
-    /// Ends all open requests towards their clients; their ids.
+    /// Ends all open requests towards their clients as exceeding the deadline, and returns their ids.
     fn end_all_requests(&self) -> Vec<RequestId> {
         let state = &mut *self.state.borrow_mut();
         for pending in state.requests.values_mut() {
--- a/src/bin/proxy/engine/observe.rs
+++ b/src/bin/proxy/engine/observe.rs
@@ -1,6 +1,6 @@
-//! What the engine reports to the observer, where there is one, and the weights of the route table that come back.
+//! Reports the engine's events to the observer, if there is one, and applies the weights of the route table.
 //!
-//! Acts at each arrival, send and end, and where a table or a list changes.
+//! Runs on each arrival, send and end of a request, and when a route table or an endpoint list changes.
 
 use super::Engine;
 use hyper::header::HeaderValue;
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 
 impl Engine {
-    /// Applies a new route table to the backends in the list, now and after each change of the list.
+    /// Applies a new route table to the backends in the list, immediately and after each change of the list.
     pub fn apply_route_table(self: &Rc<Self>, revision: Revision, table: Weights) {
         if let Some(observer) = &self.observer {
             let weights = observer.apply_table(self.now_ms(), revision, table);
@@ -20,12 +20,12 @@
         }
     }
 
-    /// Each backend's weight as the module applies it.
+    /// Returns each backend's weight as the balancer applies it.
     pub fn weights_in_force(&self) -> Vec<(BackendId, f64)> {
         self.state.borrow().balancer.weights().collect()
     }
 
-    /// All backends in the list, each with the reason why it gets less traffic than its weight says.
+    /// Returns all backends in the list, each with the reason, if any, why it gets less traffic than its weight says.
     pub fn exclusion_reasons(&self) -> Vec<(BackendId, Option<ExclusionReason>)> {
         let reason = |share| match share {
             TrafficShare::Full => None,
@@ -39,26 +39,27 @@
         state.balancer.standings(self.now_ms()).map(|(backend, share)| (backend, reason(share))).collect()
     }
 
-    /// Milliseconds of Unix time on a clock that only goes forward.
+    /// Returns the current time in Unix milliseconds on a monotonic clock.
     pub fn now_ms(&self) -> f64 {
         self.clock.at(Instant::now())
     }
 
-    /// Gives the module the weights of backends that a list names for the first time, before the list itself: none takes
-    /// traffic by a weight that the table does not give it.
+    /// Passes the weights of newly listed backends to the balancer before the list itself, so that no backend takes
+    /// traffic with a weight that differs from the table's.
     pub(super) fn apply_new_weights(self: &Rc<Self>) {
         if let Some(observer) = self.observer.as_ref().filter(|observer| observer.has_unapplied_weights()) {
             self.handle_event(Event::RouteWeights { weights: observer.weights() });
         }
     }
 
-    /// The module has applied a list.
+    /// Reports that the balancer has applied list version `version`.
     pub(super) fn observe_list(&self, version: u64) {
         let Some(observer) = &self.observer else { return };
         let state = self.state.borrow();
         observer.list_applied(self.now_ms(), version, |backend| state.balancer.lists(backend));
     }
 
+    /// Reports the arrival of an admitted request.
     pub(super) fn observe_arrival(
         &self,
         id: Option<HeaderValue>,
@@ -70,19 +71,21 @@
         }
     }
 
+    /// Reports the start of an attempt.
     pub(super) fn observe_send(&self, request: RequestId, backend: BackendId) {
         if let Some(observer) = &self.observer {
             observer.attempt_sent(self.now_ms(), request, backend);
         }
     }
 
-    /// An attempt was not sent. It has a number, and counts in the recording under it.
+    /// Reports an attempt that was not sent. It has a number, under which it appears in the recording.
     pub(super) fn observe_not_sent(&self, request: RequestId, number: usize, backend: BackendId) {
         if let Some(observer) = &self.observer {
             observer.not_sent(self.now_ms(), request, number as u8, backend);
         }
     }
 
+    /// Reports the end of an attempt.
     pub(super) fn observe_reply(
         &self,
         request: RequestId,
@@ -95,7 +98,7 @@
         }
     }
 
-    /// The phase `account` for the recording: the request is over for its client.
+    /// Reports the end of a request towards its client: the phase `account` for the recording.
     pub(super) fn observe_end(&self, request: RequestId, ending: Ending) {
         if let Some(observer) = &self.observer {
             observer.request_ended(self.now_ms(), request, ending);
--- a/src/bin/proxy/engine/request.rs
+++ b/src/bin/proxy/engine/request.rs
@@ -1,7 +1,7 @@
-//! A request while it is in the engine, from its admission to its end.
+//! The types for a request in the engine, from its admission to its end.
 //!
-//! [`ParsedRequest`] is what the client asks for, [`PendingRequest`] what the engine keeps of it, [`RequestEnd`] how it
-//! ended.
+//! [`ParsedRequest`] is the validated request, [`PendingRequest`] the engine's state for it, and [`RequestEnd`] its
+//! end.
 
 use super::Engine;
 use crate::upstream::{UpstreamRequest, UpstreamResponse};
@@ -13,54 +13,55 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// A request without an answer is failed so long before its client's deadline, whatever the module does.
+/// Time before the client's deadline at which a request without a response is failed, whatever the balancer does.
 const BACKSTOP: Duration = Duration::from_millis(10);
-/// Of a short client timeout the backstop takes at most this part: less than the margin of the module's own deadline.
-const BACKSTOP_PART: u32 = 10;
+/// Divisor that gives the backstop's largest part of a short client timeout: less than the margin of the balancer's
+/// deadline.
+const BACKSTOP_DIVISOR: u32 = 10;
 
-/// How long before the end of a client's timeout its request is failed, whatever the module does.
+/// Returns the time before the end of a client's timeout at which its request is failed, whatever the balancer does.
 pub(super) fn backstop(client_timeout: Duration) -> Duration {
-    BACKSTOP.min(client_timeout / BACKSTOP_PART)
+    BACKSTOP.min(client_timeout / BACKSTOP_DIVISOR)
 }
 
-/// How a request ended. `downstream/respond.rs` maps each end to what is written to the client.
+/// The end of a request. `downstream/respond.rs` maps each variant to the response to the client.
 pub enum RequestEnd {
-    /// With a backend's response.
+    /// The request ended with a backend's response.
     Served(UpstreamResponse),
-    /// Rejected; another try by the client is harmless.
+    /// The request was rejected; the client can safely send it again.
     Rejected {
-        /// How long the client should wait before that, where the module says so.
+        /// How long the client should wait before it sends the request again, if the balancer says so.
         retry_after: Option<Duration>,
     },
-    /// Every attempt that was allowed failed; it may have run.
+    /// Every allowed attempt failed; the request may have run.
     UpstreamFailed,
-    /// No response before the client's deadline, and the module had not ended it before; it may have run. The module's own
-    /// timeout is earlier and ends as `Rejected` or `UpstreamFailed`.
+    /// The request had no response in time, and the balancer had not ended it; it may have run. The balancer's own
+    /// timeout is earlier and ends the request as `Rejected` or `UpstreamFailed`.
     DeadlineExceeded,
-    /// Its client closed its connection, or stopped in the middle of the body.
+    /// The client closed its connection, or stopped in the middle of the body.
     ClientGone,
 }
 
-/// A request that was read and checked, its class and tenant resolved.
+/// A request that was read and validated, with its class and tenant resolved.
 pub struct ParsedRequest {
-    /// What is sent to backends.
+    /// The request in the form that is sent to backends.
     pub call: UpstreamRequest,
-    /// Index of its class in the settings.
+    /// Index of the request's class in the settings.
     pub class: u16,
-    /// Index of its tenant.
+    /// Index of the request's tenant in the settings.
     pub tenant: u16,
-    /// Its ordering key.
+    /// The request's ordering key, if any.
     pub key: Option<String>,
-    /// When the part of it arrived that is buffered.
+    /// The time at which the buffered part of the request had arrived.
     pub received_at: Instant,
-    /// How long its client waits, from its last byte on.
+    /// The client's timeout, which begins with the last byte of the request.
     pub client_timeout: Duration,
 }
 
-/// Whether the request still awaits its one answer. The channel to the client is used up by it.
+/// Whether a request awaits its answer. Answering consumes the channel, so that a request is answered at most once.
 pub(super) enum AnswerState {
     Pending(oneshot::Sender<RequestEnd>),
-    /// Answered, or its client has gone.
+    /// The request was answered, or its client has left.
     Closed,
 }
 
@@ -75,11 +76,11 @@
 pub(super) struct PendingRequest {
     pub(super) call: Rc<UpstreamRequest>,
     pub(super) answer: AnswerState,
-    /// Attempts by number; `None` once ended.
+    /// The attempts by number; `None` for those that have ended.
     pub(super) attempts: Vec<Option<InFlightAttempt>>,
-    /// For how long backends recognise its repeats, where they do.
+    /// How long backends recognise repeats of the request, if they do.
     pub(super) dedup_window: Option<Duration>,
-    /// When the first of the ended attempts was sent that may have run.
+    /// The time at which the first ended attempt that may have run was sent.
     pub(super) first_sent_at: Option<Instant>,
 }
 
@@ -88,22 +89,23 @@
         matches!(self.answer, AnswerState::Pending(_))
     }
 
-    /// Until when a further attempt may begin. Guards against a request that runs twice: past the window, backends no
-    /// longer recognise a repeat. It counts from the first attempt that may have run, and one in flight may.
+    /// Returns the time before which another attempt may begin, if it is limited. Backends do not recognise a
+    /// repeat after the deduplication window, so that the request would run twice. The window begins with the first
+    /// attempt that may have run, which includes those in flight.
     pub(super) fn begin_by(&self) -> Option<Instant> {
         let in_flight = self.attempts.iter().flatten().map(|attempt| attempt.sent_at);
         Some(in_flight.chain(self.first_sent_at).min()? + self.dedup_window?)
     }
 
-    /// Ends it towards the client, unless it has ended.
+    /// Ends the request towards its client, unless it has ended already.
     pub(super) fn end(&mut self, end: RequestEnd) {
         if let AnswerState::Pending(client) = std::mem::replace(&mut self.answer, AnswerState::Closed) {
-            // The receiver is gone when the client has just left; its `CallerGuard` reports that.
+            // The send fails if the client has just left, which its `ClientGuard` reports.
             let _ = client.send(end);
         }
     }
 
-    /// Its client has gone: what of its body was not written is never written.
+    /// Closes the request after its client has left; the unwritten rest of its body is never written.
     pub(super) fn abandon(&mut self) {
         self.answer = AnswerState::Closed;
         if let Some(body) = &self.call.remaining_body {
@@ -116,18 +118,19 @@
     }
 }
 
-/// Held by the task that serves the client. Dropped without an end, the client has gone: the module is notified, so that no
-/// request stays open. Its drop is also the phase `account` for the observer.
-pub(super) struct CallerGuard {
+/// Guard held by the task that serves the client. If it is dropped before the request has ended, the client has
+/// left, and the balancer is notified so that the request does not stay open. The drop is also the phase `account`
+/// for the observer.
+pub(super) struct ClientGuard {
     pub(super) engine: Rc<Engine>,
     pub(super) request: RequestId,
-    /// How it ends, unless the client leaves before.
+    /// The end that is reported to the observer; `Left` until the request ends.
     pub(super) ending: Cell<Ending>,
 }
 
-impl CallerGuard {
-    /// Notes the end for the observer, and passes it on.
-    pub(super) fn note(&self, end: RequestEnd) -> RequestEnd {
+impl ClientGuard {
+    /// Records the end for the observer, and returns it.
+    pub(super) fn record_end(&self, end: RequestEnd) -> RequestEnd {
         self.ending.set(match end {
             RequestEnd::Served(_) => Ending::Served,
             RequestEnd::Rejected { .. } => Ending::Refused,
@@ -137,7 +140,7 @@
         end
     }
 
-    /// Takes the request from its client; whether it was unanswered.
+    /// Abandons the request if it is unanswered, and returns whether it was.
     fn abandon_unanswered(&self) -> bool {
         let state = &mut *self.engine.state.borrow_mut();
         let pending = state.requests.get_mut(&self.request).filter(|pending| pending.is_unanswered());
@@ -147,7 +150,7 @@
     }
 }
 
-impl Drop for CallerGuard {
+impl Drop for ClientGuard {
     fn drop(&mut self) {
         if self.abandon_unanswered() {
             self.engine.handle_event(Event::ClientGone { request: self.request });
--- a/src/bin/proxy/engine/state.rs
+++ b/src/bin/proxy/engine/state.rs
@@ -1,6 +1,6 @@
-//! What the engine owns: the decision module, the backends by their ids, and the open requests.
+//! The engine's state: the balancer, the backends by id, and the open requests.
 //!
-//! Borrowed by the engine for one event at a time. Backends that the module no longer knows are removed here.
+//! The engine borrows the state for one event at a time. Backends that the balancer no longer knows are removed here.
 
 use super::request::{PendingRequest, RequestEnd};
 use crate::upstream::{Pool, Target};
@@ -11,19 +11,20 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
+/// The mutable state of the engine.
 pub(super) struct State {
     pub(super) balancer: Balancer,
     pub(super) id_by_host: HashMap<String, BackendId>,
-    /// The inverse of `id_by_host`.
+    /// The inverse map of `id_by_host`.
     pub(super) host_by_id: HashMap<BackendId, String>,
-    /// Backends that the module may soon no longer know; the next change of the list looks at these.
+    /// Backends that the balancer may have dropped; the next change of the list checks these.
     pub(super) removal_candidates: HashSet<BackendId>,
     pub(super) targets: HashMap<BackendId, Rc<Target>>,
     pub(super) requests: HashMap<RequestId, PendingRequest>,
     pub(super) next_request_id: RequestId,
-    /// Events that wait for the module.
+    /// The queue of events for the balancer.
     pub(super) events: VecDeque<Event>,
-    /// The module's actions, empty between events; kept for its allocation.
+    /// Buffer for the balancer's actions, empty between events; kept to reuse its allocation.
     pub(super) actions: Vec<Action>,
 }
 
@@ -34,8 +35,8 @@
 }
 
 impl State {
-    /// The module's id of a backend. It is made from the name, since every proxy instance orders the backends by it: the
-    /// subsets of the instances then overlap evenly.
+    /// Returns the balancer's id of a backend. The id is derived from the name because every proxy instance orders the
+    /// backends by id, so that the subsets of the instances overlap evenly.
     pub(super) fn id_of(&mut self, host: &str) -> BackendId {
         if let Some(&id) = self.id_by_host.get(host) {
             return id;
@@ -49,17 +50,18 @@
         id
     }
 
-    /// Removes the backends that the module no longer knows. Guards against memory that grows without end: machines come
-    /// under new names for as long as the process runs. A backend that comes back gets its id anew, from its name.
+    /// Removes the backends that the balancer no longer knows. Without this, memory would grow without bound, since
+    /// machines appear under new names for as long as the process runs. A backend that returns gets a new id
+    /// derived from its name.
     ///
-    /// After a change it is enough to look at the candidates; after a full list, at all.
+    /// After a delta only the candidates are checked, after a full list all backends.
     pub(super) fn remove_unknown(&mut self, kind: ListKind) {
         if kind != ListKind::Delta {
             self.removal_candidates.extend(self.host_by_id.keys());
         }
         for id in std::mem::take(&mut self.removal_candidates) {
             if self.balancer.knows(id) {
-                // One that the module may drop without a further list entry stays a candidate.
+                // A backend that the balancer may drop without a further list entry stays a candidate.
                 if !self.balancer.lists(id) || self.is_draining(id) {
                     self.removal_candidates.insert(id);
                 }
@@ -76,7 +78,7 @@
         self.targets.get(&id).is_none_or(|target| target.drained_at.get().is_some())
     }
 
-    /// Nothing new goes to a backend from now on.
+    /// Marks a backend as taking no new requests from now on, and closes its idle connections.
     pub(super) fn withdraw(&mut self, backend: BackendId, pool: &Pool) {
         self.removal_candidates.insert(backend);
         if let Some(target) = self.targets.get(&backend).filter(|t| t.drained_at.get().is_none()) {
--- a/src/bin/proxy/handover.rs
+++ b/src/bin/proxy/handover.rs
@@ -1,8 +1,8 @@
-//! Counts the processes that listen at one address while one replaces another.
+//! Counts the processes that listen at one address while one process replaces another.
 //!
-//! During a replacement two processes share a port; what the platform gives to a proxy (descriptors, budgets) is then
-//! divided between them. Each process holds the lock on one file per address, which the system releases when the process
-//! ends, however it ends. Owns that lock; looks at the others' every [`POLL_INTERVAL`].
+//! During a replacement two processes share a port, and divide what the platform grants to one proxy (descriptors,
+//! budgets). Each process holds the lock on one file of its address; the system releases the lock when the process
+//! ends in any way. Owns that lock, and checks the locks of the others every [`POLL_INTERVAL`].
 
 use std::fs::{File, TryLockError};
 use std::net::SocketAddr;
@@ -11,28 +11,28 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Most processes that are counted at one address; one more goes uncounted.
+/// Largest number of processes that are counted at one address; further processes are not counted.
 const MAX_PROCESSES: usize = 8;
-/// How often they look for each other.
+/// Interval at which a process checks the other processes' locks.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Why a process cannot be counted.
+/// The reason why a process cannot be counted.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// There are too many.
-    #[error("all places are taken; end those at this address that are not needed")]
+    /// The lock files of the address are all locked.
+    #[error("{max} processes are already counted at this address; stop those that are not needed", max = MAX_PROCESSES)]
     Full,
     /// The lock file cannot be used.
-    #[error("{}: {source}; let TMPDIR be a folder that this process may write to", path.display())]
+    #[error("cannot lock {}: {source}; set TMPDIR to a directory that this process can write to", path.display())]
     Unusable {
-        /// The file.
+        /// Path of the lock file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The error of opening or locking the file.
         source: std::io::Error,
     },
 }
 
-/// The listeners at one address, counted by their lock files; this process holds one of them.
+/// The lock files of one address, which count its listeners; this process holds the lock on one of them.
 pub struct SharedListeners {
     lock_files: Vec<PathBuf>,
     own_index: usize,
@@ -40,7 +40,8 @@
 }
 
 impl SharedListeners {
-    /// Takes the first free lock file of an address.
+    /// Locks the first free lock file of an address. Fails if all are locked, or if a file cannot be used and no
+    /// other is free.
     pub fn join(folder: &Path, address: SocketAddr) -> Result<Self, Error> {
         let lock_files: Vec<PathBuf> = (0..MAX_PROCESSES).map(|n| lock_file(folder, address, n)).collect();
         let mut last_error = Error::Full;
@@ -57,14 +58,14 @@
         Err(last_error)
     }
 
-    /// How many processes there are, this one included.
+    /// Returns the number of processes at the address, including this one.
     pub fn count(&self) -> u32 {
         let files = self.lock_files.iter().enumerate();
         let others = files.filter(|(index, path)| *index != self.own_index && is_locked(path));
         1 + others.count() as u32
     }
 
-    /// Publishes the number of processes whenever it changes, for as long as this process runs.
+    /// Publishes the number of processes on `processes` whenever it changes. Never returns.
     pub async fn publish_count(self, processes: watch::Sender<u32>) {
         loop {
             let now = self.count();
@@ -74,14 +75,14 @@
     }
 }
 
-/// A lock file of an address. The name is kept from the program's earlier name: a process of an earlier version that is
-/// replaced, or replaces this one, counts processes by the same files.
+/// Returns the path of a lock file of an address. The file name contains the program's earlier name so that
+/// processes of earlier and current versions count each other by the same files during a replacement.
 fn lock_file(folder: &Path, address: SocketAddr, index: usize) -> PathBuf {
     folder.join(format!("heathroad-{}-{}.{index}.lock", address.ip(), address.port()))
 }
 
-/// Whether a process holds the lock. Guards against a process that counts one too many: two that look at once would take
-/// each other for the holder, if the lock by which they look were not a shared one.
+/// Returns whether a process holds the lock. The check uses a shared lock, since two processes that check at the
+/// same time with exclusive locks would each count the other as the holder.
 fn is_locked(path: &Path) -> bool {
     let Ok(file) = File::open(path) else { return false };
     matches!(file.try_lock_shared(), Err(TryLockError::WouldBlock))
--- a/src/bin/proxy/io/client.rs
+++ b/src/bin/proxy/io/client.rs
@@ -1,9 +1,9 @@
-//! A client's stream, which notices that the client has left.
+//! A client's stream, which detects that the client has left.
 //!
-//! The HTTP library does not read a stream while it has bytes that it needs later, and so misses an end behind them.
-//! [`Client`] reads ahead, up to a limit, and keeps what it has read for the library.
+//! The HTTP library does not read from a stream while it holds bytes for a later request, and so misses an end of
+//! stream behind them. [`Client`] reads ahead, up to a limit, and keeps the bytes for the library.
 
-use crate::body::{BUFFER, MAX_BODY_BYTES};
+use crate::body::{HTTP_BUFFER_BYTES, MAX_BODY_BYTES};
 use bytes::{Buf, BytesMut};
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper_util::rt::TokioIo;
@@ -19,40 +19,41 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::time::sleep;
 
-/// Interval at which a stream is checked for its end where the read-ahead is full.
+/// Interval at which a stream is checked for its end while the read-ahead buffer is full.
 ///
-/// The platform allows attempts for a client that left for 100 ms longer, whatever its deadline.
+/// The platform allows attempts for up to 100 ms after the client has left, whatever its deadline.
 const END_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Bytes that are read ahead at once.
+/// Size in bytes of one read into the read-ahead buffer.
 const READ_CHUNK: usize = 4096;
 
-/// The most bytes that one check reads and discards, so that no client occupies the thread.
+/// Most bytes that one check reads and discards, so that no client can occupy the thread.
 const MAX_DISCARDED_PER_CHECK: u64 = 1 << 20;
 
-/// The reading half of a client's stream, by which its end is noticed.
+/// The reading half of a client's stream, on which the end of the stream is detected.
 pub struct Client {
     stream: RefCell<TokioIo<OwnedReadHalf>>,
     ahead: RefCell<ReadAhead>,
-    /// The request has been read completely, so that what is unread belongs to another one.
+    /// Whether the request has been read completely, so that unread bytes do not belong to it.
     request_complete: Cell<bool>,
 }
 
-/// What was read before the HTTP library asked for it.
+/// Bytes that were read before the HTTP library requested them.
 #[derive(Default)]
 struct ReadAhead {
     bytes: BytesMut,
-    /// Bytes that followed these and were discarded.
+    /// Number of bytes that followed `bytes` and were discarded.
     discarded: u64,
-    /// How the stream ended, if it has.
+    /// The end of the stream or its error, once reached.
     end: Option<io::Result<()>>,
 }
 
 impl ReadAhead {
-    /// Reads what is there up to the limit of the read-ahead, and if it `discards`, further bytes up to that of one
-    /// check. Returns whether all was read, which shows that the stream has not ended.
+    /// Reads the available bytes up to the limit of the read-ahead buffer. With `discards`, reads and discards
+    /// further bytes up to the limit of one check. Returns whether all available bytes were read without reaching
+    /// the end of the stream.
     ///
-    /// Failure: a client sends without end behind its request. Past [`MAX_BODY_BYTES`] discarded bytes its stream counts as
+    /// A client could keep sending after its request; after [`MAX_BODY_BYTES`] discarded bytes the stream counts as
     /// ended.
     fn fill(&mut self, stream: &OwnedReadHalf, discards: bool) -> bool {
         let mut chunk = [0; READ_CHUNK];
@@ -73,41 +74,41 @@
     }
 
     fn is_full(&self) -> bool {
-        self.bytes.len() >= BUFFER
+        self.bytes.len() >= HTTP_BUFFER_BYTES
     }
 }
 
 impl Client {
-    /// Whether the client has closed its connection, its sending direction, or reset it, as far as the system
-    /// knows, or has sent more than [`MAX_BODY_BYTES`] behind its request.
+    /// Returns whether the client has closed its connection or its sending direction, has reset the connection, or
+    /// has sent more than [`MAX_BODY_BYTES`] after its request. Checks the socket, so that the answer is current.
     pub fn has_left(&self) -> bool {
         let stream = self.stream.borrow();
         let ahead = &mut *self.ahead.borrow_mut();
         if ahead.fill(stream.inner(), self.request_complete.get()) {
             return false;
         }
-        // The system reports an end also while bytes before it are unread.
+        // The system reports the end of the stream even while bytes before it are unread.
         let mut ready = pin!(stream.inner().ready(Interest::READABLE));
         let ready = ready.as_mut().poll(&mut Context::from_waker(Waker::noop()));
         ahead.end.is_some() || matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed())
     }
 
-    /// Sets whether its request has been read completely: bytes that are unread then may be discarded.
+    /// Sets whether the client's request has been read completely, so that further bytes may be discarded.
     pub fn set_request_complete(&self, request_complete: bool) {
         self.request_complete.set(request_complete);
     }
 
-    /// Whether bytes behind the request were discarded, so that the connection has to close after the answer.
+    /// Returns whether bytes after the request were discarded, so that the connection must close after the response.
     pub fn has_discarded(&self) -> bool {
         self.ahead.borrow().discarded > 0
     }
 
-    /// Waits until the client has left. Only one task may wait, that of the connection.
+    /// Waits until the client has left. Only the connection's own task may wait.
     pub async fn wait_until_left(&self) {
         while !self.has_left() {
             let is_full = self.ahead.borrow().is_full();
             if !is_full {
-                // An error shows at the next check.
+                // An error is reported by the next call of `has_left`.
                 let _ = poll_fn(|cx| self.stream.borrow().inner().as_ref().poll_read_ready(cx)).await;
             } else {
                 sleep(END_CHECK_INTERVAL).await;
@@ -123,7 +124,7 @@
 }
 
 impl ClientStream {
-    /// Splits a stream.
+    /// Splits a TCP stream into its two directions.
     pub fn new(stream: TcpStream) -> Self {
         let (read, write) = stream.into_split();
         let client = Client {
@@ -134,7 +135,7 @@
         ClientStream { client: Rc::new(client), write: TokioIo::new(write) }
     }
 
-    /// Its client, shared with the request.
+    /// Returns the reading half, shared with the request.
     pub fn client(&self) -> Rc<Client> {
         self.client.clone()
     }
@@ -185,7 +186,7 @@
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let ended = Pin::new(&mut self.write).poll_shutdown(cx);
         if ended.is_ready() {
-            // What is read from now on is discarded by `LingeringClose`, so that gaps in it do no harm.
+            // `LingeringClose` discards all bytes read from now on, so that missing bytes do no harm.
             self.client.ahead.borrow_mut().discarded = 0;
         }
         ended
--- a/src/bin/proxy/io/mod.rs
+++ b/src/bin/proxy/io/mod.rs
@@ -1,8 +1,9 @@
-//! Streams between the proxy's peers and the HTTP library.
+//! Streams between the HTTP library and the proxy's clients and backends.
 //!
-//! A [`Watched`] stream observes what the library reads and writes: whether a request was written completely, whether
-//! the peer accepts bytes, and the framing headers of a request's head. Its [`Progress`] is shared with the request that
-//! uses the connection. [`ClientStream`] also notices that a client has left, [`Outgoing`] is the body that is written.
+//! A [`Watched`] stream observes what the library reads and writes: whether a request was written completely,
+//! whether the peer accepts bytes, and the framing headers of a request's head. Its [`Progress`] is shared with the
+//! request that uses the connection. [`ClientStream`] also detects that a client has left; [`Outgoing`] is the body
+//! of a request that is written to a backend.
 
 mod client;
 mod outgoing;
@@ -22,57 +23,58 @@
 use std::time::Duration;
 use tokio::time::{Sleep, sleep};
 
-/// How long a write may make no progress before it fails.
+/// Time without progress after which a write fails.
 ///
-/// Failure: a machine falls silent without resetting its connections, and a write to it stays pending for minutes.
-/// Deadlines shorter than this end the attempt or the answer by themselves.
+/// A write to a machine that stops responding without resetting its connections would stay pending for minutes. Shorter
+/// deadlines end the attempt or the response before this timeout.
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Bytes of a head that are read at once.
+/// Size in bytes of one read while a request's head is observed.
 const HEAD_CHUNK: usize = 4096;
 
-/// How far the request on a connection has been read or written.
+/// How much of the request on a connection has been read or written.
 #[derive(Default)]
 pub struct Progress {
-    /// The HTTP library has taken the last of the body.
+    /// Whether the HTTP library has taken the last chunk of the body.
     body_taken: Cell<bool>,
-    /// A byte has been written.
+    /// Whether a byte of the request has been written.
     has_begun: Cell<bool>,
-    /// The last byte has been written.
+    /// Whether the last byte of the request has been written.
     is_flushed: Cell<bool>,
     is_abandoned: Cell<bool>,
-    /// Requests that were written completely, on all connections that share this count.
+    /// Number of requests that were written completely on all connections that share this count.
     completed_requests: Rc<Cell<u64>>,
-    /// The head that is being read, or the one that was read last.
+    /// The head that is being read, or the last one that was read.
     head: RefCell<Option<RequestHead>>,
 }
 
 impl Progress {
-    /// A new request is about to be written.
+    /// Resets the write progress for a new request.
     pub fn begin(&self) {
         self.body_taken.set(false);
         self.has_begun.set(false);
         self.is_flushed.set(false);
     }
-    /// Expects the next bytes that are read to be those of a request's head.
+    /// Treats the next bytes that are read as the head of a request.
     pub fn await_head(&self) {
         self.head.replace(Some(RequestHead::default()));
     }
-    /// Whether the head that was read last has two framings, a length and an encoding.
+    /// Returns whether the last head that was read has both a `Content-Length` and a `Transfer-Encoding`.
     pub fn has_conflicting_framing(&self) -> bool {
         self.head
             .borrow()
             .as_ref()
             .is_some_and(|head| head.is_complete && head.has_length && head.has_encoding)
     }
-    /// Whether the request's last byte was written to the socket.
+    /// Returns whether the request's last byte was written to the socket.
     ///
-    /// The HTTP library flushes a stream only once all that it has buffered is written, and by then it has taken the
-    /// body.
+    /// The HTTP library flushes a stream only once all its buffered bytes are written, and it has taken the whole
+    /// body by then.
     pub fn is_written(&self) -> bool {
         self.is_flushed.get()
     }
-    /// Ends all writing, also of what the HTTP library has buffered: a request that is incomplete stays so.
+    /// Fails all further writes, including those of bytes that the HTTP library has buffered, so that an incomplete
+    /// request stays incomplete.
     pub fn abandon(&self) {
         self.is_abandoned.set(true);
     }
@@ -84,31 +86,34 @@
     progress: Rc<Progress>,
     /// The timeout of a write that makes no progress.
     stall_timeout: Option<Pin<Box<Sleep>>>,
-    /// Whether the peer has sent nothing; read before a request's first byte is written.
+    /// Function that returns whether the stream is open with no unread bytes; called before a request's first byte
+    /// is written.
     is_quiet: Option<fn(&S) -> bool>,
 }
 
 impl<S> Watched<S> {
-    /// Observes a stream.
+    /// Wraps a stream to observe it.
     pub fn new(stream: S) -> Self {
         Watched { stream, progress: Rc::default(), stall_timeout: None, is_quiet: None }
     }
 
-    /// Observes a stream and counts the requests that are written completely in `completed_requests`. A request's first
-    /// byte is only written if `is_quiet` holds.
+    /// Wraps a stream and counts the requests that are written completely in `completed_requests`. A request's
+    /// first byte is written only if `is_quiet` returns true.
     ///
-    /// Failure: a backend closes a kept connection, or answers on it unasked, just before a request is written to it. The
-    /// request would end with a reset, after which it may have run. Not begun, it can be sent elsewhere.
+    /// A backend may close an idle connection, or write an unsolicited response to it, just before a request is
+    /// written. The request would end with a reset, after which it may have run. If it was not begun, it can be
+    /// sent to another backend.
     pub fn counting(stream: S, completed_requests: Rc<Cell<u64>>, is_quiet: fn(&S) -> bool) -> Self {
         let progress = Rc::new(Progress { completed_requests, ..Progress::default() });
         Watched { stream, progress, stall_timeout: None, is_quiet: Some(is_quiet) }
     }
 
-    /// What is observed, shared with the request on the connection.
+    /// Returns the observed progress, shared with the request on the connection.
     pub fn progress(&self) -> Rc<Progress> {
         self.progress.clone()
     }
 
+    /// Fails if writing was abandoned, or if the stream is not quiet before a request's first byte.
     fn may_write(&self) -> io::Result<()> {
         let begins = !self.progress.has_begun.get();
         let broken = self.is_quiet.is_some_and(|is_quiet| begins && !is_quiet(&self.stream));
@@ -119,7 +124,7 @@
         }
     }
 
-    /// Notes the result of a write; a pending one fails once it is past its timeout.
+    /// Records the result of a write; a pending write fails after [`WRITE_STALL_TIMEOUT`].
     fn record_write(
         &mut self,
         cx: &mut Context<'_>,
--- a/src/bin/proxy/io/outgoing.rs
+++ b/src/bin/proxy/io/outgoing.rs
@@ -1,4 +1,4 @@
-//! The body of a request as it is written to a backend: the buffered part, then the streamed one.
+//! The body of a request as it is written to a backend: first the buffered part, then the streamed one.
 
 use super::Progress;
 use crate::body::{BodyState, RemainingBody};
@@ -9,16 +9,16 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// A request's body; notes in the connection's [`Progress`] when the HTTP library has taken the last of it.
+/// A request's body, which records in the connection's [`Progress`] when the HTTP library has taken the last chunk.
 pub struct Outgoing {
-    /// The buffered part that has not been taken.
+    /// The buffered part that has not been taken yet.
     buffered: Bytes,
     remaining: Option<Rc<RemainingBody>>,
     progress: Rc<Progress>,
 }
 
 impl Outgoing {
-    /// The body of the request that is about to be written.
+    /// Creates the body of the next request on the connection, and resets the connection's write progress.
     pub fn new(buffered: Bytes, remaining: Option<Rc<RemainingBody>>, progress: Rc<Progress>) -> Self {
         progress.begin();
         // The HTTP library does not poll an empty body.
@@ -26,7 +26,7 @@
         Outgoing { buffered, remaining, progress }
     }
 
-    /// Whether all of it has been taken.
+    /// Returns whether the HTTP library has taken the whole body.
     fn is_taken(&self) -> bool {
         let is_complete = |remaining: &Rc<RemainingBody>| matches!(remaining.state(), BodyState::Complete(_));
         self.buffered.is_empty() && self.remaining.as_ref().is_none_or(is_complete)
--- a/src/bin/proxy/lifecycle.rs
+++ b/src/bin/proxy/lifecycle.rs
@@ -1,59 +1,61 @@
-//! Whether this process keeps clients or drains: one state, changed by the ops address and by SIGTERM.
+//! The lifecycle of this process: starting, serving, draining or stopping, as set by the ops address and SIGTERM.
 //!
-//! Watched by the listener and by each client's connection. Owns the phase of the process and the time of its stop; the
-//! times that the platform sets for a stop are the constants below.
+//! The listener and each client connection watch it. Owns the phase of the process and the time of its stop. The
+//! constants below follow from the platform's times for a stop.
 
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep};
 
-/// New connections are accepted for so long after readiness says no, and an idle connection is kept for so long, for a last
-/// request whose response closes it. The platform sends new connections for 0.4 s at the most, and kills no sooner than 0.7
-/// s after SIGTERM, whatever the deadlines.
+/// Time after the readiness check begins to fail for which new connections are still accepted and idle connections
+/// are kept for one more request, whose response closes them. The platform routes new connections here for at most
+/// 0.4 s, and sends SIGKILL no earlier than 0.7 s after SIGTERM, whatever the deadlines.
 pub const DRAIN_DELAY: Duration = Duration::from_millis(500);
 
-/// The platform kills 0.7 s after the longest client timeout from SIGTERM on, of which no more than this counts.
+/// Largest client timeout that counts at a stop. The platform sends SIGKILL 0.7 s after the longest client timeout,
+/// counted from SIGTERM and limited to this value.
 const MAX_CLIENT_TIMEOUT_AT_STOP: Duration = Duration::from_secs(3);
-/// So long after that client timeout all that was admitted must be answered: before the kill, with 0.4 s to spare.
+/// Time after that client timeout by which all admitted requests must be answered: 0.4 s before the SIGKILL.
 const ANSWER_GRACE: Duration = Duration::from_millis(300);
-/// Responses that flow may take so much longer before the process ends.
+/// Additional time for streamed responses to complete before the process ends.
 pub const STREAMING_GRACE: Duration = Duration::from_secs(60);
 
-/// How long after SIGTERM all must be answered, where clients wait for `longest_client_timeout` at most. Zero stands for a
-/// timeout that the settings do not tell, and counts as a long one.
+/// Returns the time after SIGTERM by which all requests must be answered if clients wait for
+/// `longest_client_timeout` at most. Zero means that the settings do not give the timeout, and counts as
+/// [`MAX_CLIENT_TIMEOUT_AT_STOP`].
 pub fn time_to_last_answer(longest_client_timeout: Duration) -> Duration {
     let known = Some(longest_client_timeout).filter(|timeout| !timeout.is_zero());
     let counted = known.map_or(MAX_CLIENT_TIMEOUT_AT_STOP, |timeout| timeout.min(MAX_CLIENT_TIMEOUT_AT_STOP));
     counted + ANSWER_GRACE
 }
 
-/// What the process does about clients.
+/// The phase of the process, which says how it treats clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Does not listen yet.
+    /// The process does not listen yet.
     Starting,
-    /// Accepts clients.
+    /// The process accepts clients and keeps their connections.
     Serving,
-    /// Serves the clients that still come, and closes their connections.
+    /// The process still serves clients that connect, and closes their connections.
     Draining,
-    /// The same, for good.
+    /// The process drains as in [`Phase::Draining`], then ends.
     Stopping,
 }
 
 impl Phase {
-    /// Whether clients' connections are kept after a response, and readiness may say yes. New connections are accepted
-    /// while draining too, and for [`DRAIN_DELAY`] more when stopping.
+    /// Returns whether client connections are kept after a response and the readiness check may succeed. New
+    /// connections are also accepted while draining, and for [`DRAIN_DELAY`] after a stop.
     pub fn keeps_connections(self) -> bool {
         self == Phase::Serving
     }
 
-    /// Whether clients' connections are closed.
+    /// Returns whether client connections are closed.
     fn closes_connections(self) -> bool {
         matches!(self, Phase::Draining | Phase::Stopping)
     }
 
-    /// Its name, for operators.
+    /// Returns the phase's name for operators.
     pub fn name(self) -> &'static str {
         match self {
             Phase::Starting => "starting",
@@ -64,63 +66,64 @@
     }
 }
 
-/// The state of this process.
+/// The lifecycle state of this process.
 pub struct Lifecycle {
     phase: watch::Sender<Phase>,
     stopped_at: Cell<Option<Instant>>,
 }
 
 impl Lifecycle {
-    /// A process that has just started.
+    /// Creates the state of a process that has just started.
     pub fn new() -> Self {
         Lifecycle { phase: watch::Sender::new(Phase::Starting), stopped_at: Cell::new(None) }
     }
 
-    /// The process listens now.
+    /// Changes to serving once the process listens.
     pub fn begin(&self) {
         self.phase.send_replace(Phase::Serving);
     }
 
-    /// What the process does now.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    /// Drains the proxy; whether it drains now.
+    /// Starts a drain, and returns whether the proxy is draining now.
     pub fn quiesce(&self) -> bool {
         self.change_to(Phase::Draining)
     }
 
-    /// Ends a drain; whether it serves now.
+    /// Ends a drain, and returns whether the proxy is serving now.
     pub fn resume(&self) -> bool {
         self.change_to(Phase::Serving)
     }
 
-    /// Begins the stop, for good: new connections are accepted for [`DRAIN_DELAY`] more.
+    /// Begins the stop, which cannot be undone. New connections are accepted for [`DRAIN_DELAY`] more.
     pub fn stop(&self) {
         self.stopped_at.set(Some(Instant::now()));
         self.phase.send_replace(Phase::Stopping);
     }
 
-    /// Changes between serving and draining; before the start and after a stop nothing changes.
+    /// Changes between serving and draining, and returns whether `to` is the phase now. Has no effect while starting or
+    /// stopping.
     fn change_to(&self, to: Phase) -> bool {
         let is_fixed = |now: Phase| matches!(now, Phase::Starting | Phase::Stopping);
         self.phase.send_if_modified(|now| !is_fixed(*now) && std::mem::replace(now, to) != to);
         self.phase() == to
     }
 
-    /// Whether a request that was complete at this time came so long after the stop began that the kill may come before a
-    /// response that flows has ended.
+    /// Returns whether a request that was complete at `complete_at` came so long after the stop began that the
+    /// platform's SIGKILL may cut off a streamed response.
     pub fn is_late_request(&self, complete_at: Instant) -> bool {
         self.stopped_at.get().is_some_and(|stopped_at| complete_at > stopped_at + DRAIN_DELAY)
     }
 
-    /// Waits until the process has drained for [`DRAIN_DELAY`]: from then on an idle connection is to be closed. A resume
-    /// before that starts the wait anew.
+    /// Waits until the process has drained for [`DRAIN_DELAY`], after which idle connections are closed. A resume
+    /// before that restarts the wait.
     pub async fn drain_delay_over(&self) {
         let mut phase = self.phase.subscribe();
         loop {
-            // An error would mean that the sender is gone; it is a field of this one.
+            // The wait cannot fail: the sender is a field of `self`.
             let _ = phase.wait_for(|phase| phase.closes_connections()).await;
             tokio::select! {
                 () = sleep(DRAIN_DELAY) => return,
--- a/src/bin/proxy/observer.rs
+++ b/src/bin/proxy/observer.rs
@@ -1,7 +1,7 @@
-//! Observes the engine's backends and calls, for the route reports and for the recorder.
+//! Observes the engine's backends and calls for route reports and recordings.
 //!
-//! Made only where `routes` or `record` is configured; the engine notifies it of each list, arrival, send and end. Owns the
-//! route table in force, the calls counted since the last report, and the recording.
+//! Created only if `routes` or `record` is configured; the engine notifies it of each list, arrival, send and end.
+//! Owns the route table in force, the calls counted since the last report, and the recording.
 
 use crate::recorder::Recording;
 use load_balancer::client::list::EndpointEntry;
@@ -15,12 +15,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A backend as the list names it, and its calls.
+/// A backend's list entry, with the counts of its calls.
 struct ObservedBackend {
     listed: Listed,
-    tally: CallCounts,
+    call_counts: CallCounts,
     in_flight: u32,
-    /// The weight that the module has.
+    /// The weight that was last passed to the balancer.
     applied_weight: Option<f64>,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Made only where something asks for it.
+/// The observer of an engine, created only if route reports or recordings are configured.
 pub struct Observer {
     backends: RefCell<HashMap<BackendId, ObservedBackend>>,
     table: RefCell<Weights>,
@@ -40,7 +40,7 @@
 }
 
 impl Observer {
-    /// Knows no backend yet.
+    /// Creates an observer without backends.
     pub fn new() -> Rc<Self> {
         Rc::new(Observer {
             backends: RefCell::default(),
@@ -51,7 +51,7 @@
         })
     }
 
-    /// From now on everything is recorded as well.
+    /// Starts recording all observed events, beginning with the current list.
     pub fn start_recording(&self, now_ms: f64, recording: Rc<Recording>) {
         let backends = self.backends.borrow();
         recording.list_applied(
@@ -59,11 +59,11 @@
             self.list_version.get(),
             backends.iter().map(|(id, backend)| (*id, backend.listed.clone())),
         );
-        // Set once: there is one recording.
+        // A second recording is ignored, since there is at most one.
         let _ = self.recording.set(recording);
     }
 
-    /// The list names a backend.
+    /// Updates a backend from its list entry.
     pub fn backend_listed(&self, id: BackendId, host: &EndpointEntry) {
         let listed = Listed {
             host: host.name.clone(),
@@ -80,7 +80,7 @@
             }
             Entry::Vacant(none) => none.insert(ObservedBackend {
                 listed,
-                tally: CallCounts::default(),
+                call_counts: CallCounts::default(),
                 in_flight: 0,
                 applied_weight: None,
             }),
@@ -90,13 +90,14 @@
         }
     }
 
-    /// The module has applied a list. A backend that it no longer knows is forgotten once its calls are over and reported.
+    /// Records that the balancer has applied list version `version`. A backend for which `known` is false is
+    /// removed once its calls have ended and been reported.
     pub fn list_applied(&self, now_ms: f64, version: u64, known: impl Fn(BackendId) -> bool) {
         self.list_version.set(version);
-        let gone = |id: BackendId, backend: &ObservedBackend| {
-            !known(id) && backend.in_flight == 0 && backend.tally.calls == 0
+        let is_removable = |id: BackendId, backend: &ObservedBackend| {
+            !known(id) && backend.in_flight == 0 && backend.call_counts.calls == 0
         };
-        self.backends.borrow_mut().retain(|id, backend| !gone(*id, backend));
+        self.backends.borrow_mut().retain(|id, backend| !is_removable(*id, backend));
         if let Some(recording) = self.recording.get() {
             let backends = self.backends.borrow();
             let known = backends.iter().filter(|(id, _)| known(**id));
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Applies a new table; each backend's weight by it.
+    /// Applies a new route table, and returns each backend's weight in it.
     pub fn apply_table(&self, now_ms: f64, revision: Revision, table: Weights) -> Vec<(BackendId, f64)> {
         if let Some(recording) = self.recording.get() {
             recording.table_applied(now_ms, revision);
@@ -113,56 +114,57 @@
         self.weights()
     }
 
-    /// Each backend's weight by the table.
+    /// Returns each backend's weight in the route table.
     pub fn weights(&self) -> Vec<(BackendId, f64)> {
         let mut backends = self.backends.borrow_mut();
         let table = self.table.borrow();
         self.has_unapplied.set(false);
-        let weigh = |(id, backend): (&BackendId, &mut ObservedBackend)| {
+        let apply_weight = |(id, backend): (&BackendId, &mut ObservedBackend)| {
             let weight = backend.weight(&table);
             backend.applied_weight = Some(weight);
             (*id, weight)
         };
-        backends.iter_mut().map(weigh).collect()
+        backends.iter_mut().map(apply_weight).collect()
     }
 
-    /// Whether a list or a table brought a weight that the module does not have yet.
+    /// Returns whether a list or a route table has given a weight that was not passed to the balancer yet.
     pub fn has_unapplied_weights(&self) -> bool {
         self.has_unapplied.get() && self.table.borrow().iter().next().is_some()
     }
 
-    /// Digest of the weights in force: the table's own where they all agree with it.
+    /// Returns the digest of the weights in force, which is the table's own digest if they all agree with the table.
     pub fn digest(&self, in_force: &[(BackendId, f64)]) -> String {
         let backends = self.backends.borrow();
         let table = self.table.borrow();
-        let of = |id: &BackendId| backends.get(id);
-        let same =
-            |(id, weight): &(BackendId, f64)| of(id).is_none_or(|backend| backend.weight(&table) == *weight);
-        if in_force.iter().all(same) {
+        let find = |id: &BackendId| backends.get(id);
+        let agrees = |(id, weight): &(BackendId, f64)| {
+            find(id).is_none_or(|backend| backend.weight(&table) == *weight)
+        };
+        if in_force.iter().all(agrees) {
             return table.digest();
         }
-        let named = in_force.iter().filter_map(|(id, weight)| Some((of(id)?.listed.host.clone(), *weight)));
+        let named = in_force.iter().filter_map(|(id, weight)| Some((find(id)?.listed.host.clone(), *weight)));
         Weights { backends: named.collect(), ..Weights::default() }.digest()
     }
 
-    /// The backends' names.
+    /// Returns the backends' names by id.
     pub fn hosts(&self) -> HashMap<BackendId, String> {
         self.backends.borrow().iter().map(|(id, backend)| (*id, backend.listed.host.clone())).collect()
     }
 
-    /// Version of the list in use.
+    /// Returns the version of the list in use.
     pub fn list_version(&self) -> u64 {
         self.list_version.get()
     }
 
-    /// A request was admitted.
+    /// Records the arrival of an admitted request.
     pub fn request_arrived(&self, now_ms: f64, id: &[u8], arrival: &Arrival, client_timeout: Duration) {
         if let Some(recording) = self.recording.get() {
             recording.request_arrived(now_ms, id, arrival, client_timeout);
         }
     }
 
-    /// An attempt starts.
+    /// Counts and records the start of an attempt.
     pub fn attempt_sent(&self, now_ms: f64, request: RequestId, backend: BackendId) {
         let mut backends = self.backends.borrow_mut();
         let observed = backends.get_mut(&backend);
@@ -171,12 +173,12 @@
             recording.attempt_sent(now_ms, request, backend, in_flight);
         }
         if let Some(observed) = observed {
-            observed.tally.calls += 1;
+            observed.call_counts.calls += 1;
             observed.in_flight += 1;
         }
     }
 
-    /// An attempt that has a number was not sent.
+    /// Records an attempt that has a number but was not sent.
     pub fn not_sent(&self, now_ms: f64, request: RequestId, number: AttemptNo, backend: BackendId) {
         if let Some(recording) = self.recording.get() {
             recording.attempt_sent(now_ms, request, backend, 0);
@@ -184,7 +186,7 @@
         }
     }
 
-    /// An attempt has ended.
+    /// Counts and records the end of an attempt.
     pub fn attempt_ended(
         &self,
         now_ms: f64,
@@ -199,23 +201,23 @@
         if let Some(observed) = self.backends.borrow_mut().get_mut(&backend) {
             observed.in_flight = observed.in_flight.saturating_sub(1);
             let errors = [Outcome::Error, Outcome::Timeout, Outcome::ConnectFailed, Outcome::Reset];
-            observed.tally.errors += u64::from(errors.contains(&outcome));
+            observed.call_counts.errors += u64::from(errors.contains(&outcome));
         }
     }
 
-    /// A request has ended for its client.
+    /// Records the end of a request towards its client.
     pub fn request_ended(&self, now_ms: f64, request: RequestId, ending: Ending) {
         if let Some(recording) = self.recording.get() {
             recording.request_ended(now_ms, request, ending);
         }
     }
 
-    /// The calls counted since the last time, by backend.
+    /// Returns the calls counted since the last call of this function, by backend name, and resets the counts.
     pub fn drain_tallies(&self) -> BTreeMap<String, CallCounts> {
         let mut backends = self.backends.borrow_mut();
         backends
             .values_mut()
-            .map(|backend| (backend.listed.host.clone(), std::mem::take(&mut backend.tally)))
+            .map(|backend| (backend.listed.host.clone(), std::mem::take(&mut backend.call_counts)))
             .collect()
     }
 }
--- a/src/bin/proxy/upstream/attempt.rs
+++ b/src/bin/proxy/upstream/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt at one backend: the phases `connect`, `forward` and `await_response`.
 //!
-//! Acts from the module's choice of an endpoint until the attempt's end is reported, which happens exactly once. Owns its
-//! connection meanwhile; a connection that can be used again goes back to the pool.
+//! Runs from the balancer's selection of an endpoint until the attempt's end is reported, which happens exactly
+//! once. Owns the attempt's connection meanwhile; a reusable connection returns to the pool.
 
 use super::pool::{Link, Permit, Pool};
 use super::response::read_response;
@@ -16,39 +16,41 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout_at};
 
-/// The response of a superseded attempt is awaited so long, to keep its connection: longer than most work takes. No client
-/// waits for it, and the permits are few, so that longer work only costs a connection.
+/// Time for which the response of a superseded attempt is awaited so that its connection can be kept: longer than most
+/// requests take. No client waits for the response and the permits are few, so that a longer request only costs its
+/// connection.
 const SUPERSEDED_RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Connections on which superseded responses are awaited are at most this part of all.
-const SUPERSEDED_CONNECTIONS_PART: usize = 4;
+/// Divisor that gives the largest part of all connections on which responses of superseded attempts are awaited.
+const SUPERSEDED_CONNECTIONS_DIVISOR: usize = 4;
 
-/// One attempt: what is sent, where to, and what ends it early.
+/// One attempt at a request, with its target and the conditions that end it early.
 pub struct Attempt {
-    /// The request.
+    /// The request to send.
     pub call: Rc<UpstreamRequest>,
-    /// Where it goes.
+    /// The backend to which the request is sent.
     pub target: Rc<Target>,
-    /// When it times out.
+    /// The time at which the attempt times out.
     pub deadline: Instant,
-    /// When it must have begun: a repeat that comes later would run again.
+    /// The time before which the attempt must have begun. The backend would run a later repeat again.
     pub begin_by: Option<Instant>,
-    /// Cancels it.
+    /// The channel on which the attempt is cancelled.
     pub cancelled: oneshot::Receiver<()>,
 }
 
 impl Attempt {
-    /// Carries the attempt out and reports its end, once.
+    /// Runs the attempt and reports its end exactly once.
     pub async fn run(self, pool: Rc<Pool>, report: impl FnOnce(AttemptEnd)) {
         let Attempt { call, target, deadline, begin_by, cancelled } = self;
         let mut cancel_or_timeout = pin!(cancelled_or_timed_out(&call, deadline, cancelled));
         let link = tokio::select! {
             biased;
-            // Cancelled or timed out in the very step in which the connection was established, nothing is written to it.
+            // If the attempt is cancelled or timed out in the same poll in which the connection is established,
+            // nothing is written.
             outcome = &mut cancel_or_timeout => return report(end_without_response(&call, outcome)),
             link = connect(&pool, &call, &target) => link,
         };
         let link = match link {
-            // Guards against a repeat outside the dedup window: the connect may have taken long.
+            // A slow connect must not lead to a repeat outside the deduplication window.
             Ok(_) if begin_by.is_some_and(|by| Instant::now() >= by) => Err(Outcome::NotSent),
             link => link,
         };
@@ -74,7 +76,7 @@
     }
 }
 
-/// Waits until the attempt's deadline has passed or the module cancels it.
+/// Waits until the attempt's deadline has passed or the balancer cancels the attempt.
 async fn cancelled_or_timed_out(
     call: &UpstreamRequest,
     deadline: Instant,
@@ -92,43 +94,42 @@
     }
 }
 
-/// The end of an attempt that was cancelled or timed out. A request whose client has not sent its last byte cannot have
-/// run, and how fast a client sends says nothing of the backend. Any other counts as one that may have run, also if nothing
-/// of it was written.
+/// Returns the end of an attempt that was cancelled or timed out. A request whose client has not sent its last byte
+/// cannot have run, and a slow client says nothing about the backend. Any other request counts as one that may have
+/// run, even if nothing of it was written.
 fn end_without_response(call: &UpstreamRequest, cause: Outcome) -> AttemptEnd {
     AttemptEnd::Failed(if call.is_complete() { cause } else { Outcome::NotSent })
 }
 
-/// Awaits the response of an attempt that was given up, for its connection's sake: backends do not stop work that was given
-/// up, so that a close would save them nothing and cost both sides a new connection.
+/// Awaits the response of a superseded attempt to keep its connection. Backends do not stop abandoned work, so that
+/// closing the connection would save them nothing and cost both sides a new connection.
 async fn drain_superseded(pool: &Pool, exchange: impl Future<Output = AttemptEnd>) {
-    let most = pool.limits.own_connections() / SUPERSEDED_CONNECTIONS_PART;
+    let most = pool.limits.own_connections() / SUPERSEDED_CONNECTIONS_DIVISOR;
     if let Some(_permit) = Permit::acquire(&pool.superseded, most) {
-        // The connection returns to the pool inside; the response itself is dropped.
+        // `exchange` returns the connection to the pool; the response itself is dropped.
         let _ = timeout_at(Instant::now() + SUPERSEDED_RESPONSE_TIMEOUT, exchange).await;
     }
 }
 
-/// The phase `connect`: a connection on which the request may be sent, an idle one where there is one.
+/// The phase `connect`: returns a connection on which the request may be sent, an idle one if there is any.
 async fn connect(pool: &Rc<Pool>, call: &UpstreamRequest, target: &Rc<Target>) -> Result<Link, Outcome> {
     let link = match pool.reuse(target.address) {
         Some(link) => link,
         None => pool.connect(target.address).await?,
     };
-    // Guards against a send to a backend that drains: the connect may have begun before the drain was known and ended long
-    // after. Half the grace allows for an event loop that is late and a slow write.
+    // The connect may have begun before the drain was known and ended long after it. Only half of the grace is
+    // used, which leaves time for a late event loop and a slow write.
     if target.drained_at.get().is_some_and(|at| at.elapsed() > pool.limits.drain_grace / 2) {
         return Err(Outcome::NotSent);
     }
-    // Guards against work for a client that left during the connect.
+    // The client may have left during the connect.
     if call.client_gone() {
         return Err(Outcome::NotSent);
     }
     Ok(link)
 }
 
-/// Sends the request on a connection, awaits its response, and returns the connection to the pool where it can be used
-/// again.
+/// Sends the request on a connection, awaits its response, and returns a reusable connection to the pool.
 async fn exchange(
     mut link: Link,
     pool: &Rc<Pool>,
@@ -144,7 +145,7 @@
     match end {
         Ok(end) => {
             if end.outcome() != Outcome::Reset {
-                keep_when_ready(link, pool, target);
+                return_to_pool(link, pool, target);
             }
             end
         }
@@ -152,7 +153,7 @@
     }
 }
 
-/// The phase `forward`: writes the request, and reads up to the head of the response.
+/// The phase `forward`: writes the request and reads the head of the response.
 async fn forward(
     link: &mut Link,
     call: &UpstreamRequest,
@@ -162,17 +163,17 @@
     match link.sender.send_request(request).await {
         Ok(response) => Ok(response),
         Err(_) if !call.is_complete() && call.is_broken() => Err(Outcome::NotSent),
-        // Only the connection knows whether the backend can have all of the request.
+        // Only the connection's progress shows whether the backend may have received the complete request.
         Err(_) if link.progress.is_written() => Err(Outcome::Reset),
         Err(_) => Err(Outcome::ConnectFailed),
     }
 }
 
-/// The phase `await_response`: reads the response. `Err` where it counts for nothing and the connection must not be used
-/// again.
+/// The phase `await_response`: reads the response. Returns `Err` if the response is invalid and the connection must
+/// not be reused.
 ///
-/// Guards against a response to half a request: a backend begins its work with the last byte, so that what arrives before
-/// answers nothing, except that it may well reject the request by then. What is left of the request is never written.
+/// A response that arrives before the request is written completely is invalid, since a backend begins its work
+/// with the last byte; only a rejection may come earlier. The rest of the request is then never written.
 async fn await_response(
     response: Response<Incoming>,
     link: &Link,
@@ -189,8 +190,8 @@
     Err(if may_have_run { Outcome::Reset } else { Outcome::ConnectFailed })
 }
 
-/// Returns a connection to the pool once it can take the next request.
-fn keep_when_ready(mut link: Link, pool: &Rc<Pool>, target: &Rc<Target>) {
+/// Returns a connection to the pool once it is ready for the next request.
+fn return_to_pool(mut link: Link, pool: &Rc<Pool>, target: &Rc<Target>) {
     let pool = pool.clone();
     let target = target.clone();
     tokio::task::spawn_local(async move {
--- a/src/bin/proxy/upstream/mod.rs
+++ b/src/bin/proxy/upstream/mod.rs
@@ -1,7 +1,7 @@
-//! The backends' side: a pool of connections, and attempts on them.
+//! The backend side of the proxy: a pool of connections, and the attempts that use them.
 //!
-//! Of the phases of a request `connect`, `forward` and `await_response` are here, in `attempt.rs`. How an attempt ended is
-//! reported to the engine as an [`AttemptEnd`]; nothing here decides on a retry.
+//! Implements the request phases `connect`, `forward` and `await_response` in `attempt.rs`. Each attempt reports
+//! its end to the engine as an [`AttemptEnd`]; the decision on a retry is made elsewhere.
 
 mod attempt;
 mod pool;
@@ -19,37 +19,37 @@
 use std::net::SocketAddr;
 use tokio::time::Instant;
 
-/// A backend's response to pass on.
+/// A backend's response that is passed on to the client.
 #[derive(Default)]
 pub struct UpstreamResponse {
-    /// Its body, or the first part of it.
+    /// The response body, or the first part of it.
     pub data: Bytes,
-    /// What follows that.
+    /// The rest of the body, if it is not complete in `data`.
     pub remaining: Option<RateLimitedBody>,
-    /// The part of the buffer budget that `data` takes up.
+    /// The reservation in the buffer budget for `data`.
     pub buffer_permit: Option<BufferReservation>,
 }
 
-/// Where a backend is reached, and since when it takes nothing new.
+/// One process of a backend: its address, its start time, and the time of its drain.
 pub struct Target {
-    /// Its address.
+    /// The backend's address.
     pub address: SocketAddr,
-    /// When its process started, by discovery.
+    /// Start time of the backend's process in Unix milliseconds, as discovery reports it.
     pub started_at_ms: f64,
-    /// When this proxy learned that it drains or is gone.
+    /// The time at which this proxy learned that the backend drains or is gone.
     pub drained_at: Cell<Option<Instant>>,
 }
 
-/// How an attempt ended.
+/// The end of an attempt.
 pub enum AttemptEnd {
-    /// With a response to pass on.
+    /// A response that is passed on to the client.
     Response(UpstreamResponse),
-    /// With none.
+    /// A failure, with the outcome for the balancer.
     Failed(Outcome),
 }
 
 impl AttemptEnd {
-    /// The same for the decision module.
+    /// Returns the end as an outcome for the balancer.
     pub fn outcome(&self) -> Outcome {
         match self {
             AttemptEnd::Response(_) => Outcome::Ok,
--- a/src/bin/proxy/upstream/pool.rs
+++ b/src/bin/proxy/upstream/pool.rs
@@ -1,6 +1,6 @@
 //! The pool of connections to all backends: established, kept idle, and closed before the backends close them.
 //!
-//! Acts at each attempt, and once a second in `close_expired`. Owns the idle connections and the counts of the open ones.
+//! Used by each attempt, and once a second in `close_expired`. Owns the idle connections and the count of open ones.
 
 use super::Target;
 use crate::body::{self, BufferBudget};
@@ -20,22 +20,22 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout};
 
-/// Idle connections are closed at this part of the time after which backends close them (`caps.connIdle`).
-const MAX_IDLE_PART: f64 = 0.5;
+/// Fraction of the backends' idle timeout (`caps.connIdle`) after which the proxy closes an idle connection.
+const MAX_IDLE_FRACTION: f64 = 0.5;
 
-/// The limits that the pool keeps.
+/// The limits of the connection pool.
 pub struct Limits {
-    /// Most connections at once, of all processes together.
+    /// Limit of open backend connections for all processes together.
     pub connections: usize,
-    /// How many processes there are.
+    /// Number of processes that share the limit.
     pub processes: watch::Receiver<u32>,
-    /// A connect that takes longer has failed.
+    /// Timeout of a connect.
     pub connect_timeout: Duration,
-    /// Backends close connections idle for so long.
+    /// Idle time after which backends close a connection.
     pub idle_timeout: Duration,
-    /// Nothing is sent later than this after the notice of a drain.
+    /// Time after the notice of a drain within which a request may still be sent to the backend.
     pub drain_grace: Duration,
-    /// Whether a superseded attempt may stay open while the next one is.
+    /// Whether a superseded attempt may stay open during the next attempt.
     pub may_duplicate: bool,
 }
 
@@ -44,9 +44,9 @@
     pub(super) limits: Limits,
     idle: RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>,
     open: Rc<Cell<usize>>,
-    /// Connections on which the response of a superseded attempt is awaited.
+    /// Number of connections on which the response of a superseded attempt is awaited.
     pub(super) superseded: Rc<Cell<usize>>,
-    /// Attempts that were written completely.
+    /// Number of attempts that were written completely.
     attempts: Rc<Cell<u64>>,
     pub(super) buffer_budget: Rc<BufferBudget>,
 }
@@ -56,17 +56,17 @@
     idle_since: Instant,
 }
 
-/// A connection that carries one request at a time.
+/// An HTTP connection to a backend, which carries one request at a time.
 pub(super) struct Link {
     pub(super) sender: SendRequest<Outgoing>,
     pub(super) progress: Rc<Progress>,
 }
 
-/// One of a limited number of permits; released when dropped.
+/// A permit out of a limited number, released when dropped.
 pub(super) struct Permit(Rc<Cell<usize>>);
 
 impl Permit {
-    /// One more of `count`, where that is below `most`.
+    /// Takes one permit if `count`, the number in use, is below `most`.
     pub(super) fn acquire(count: &Rc<Cell<usize>>, most: usize) -> Option<Permit> {
         (count.get() < most).then(|| {
             count.set(count.get() + 1);
@@ -82,15 +82,15 @@
 }
 
 impl Limits {
-    /// Most connections of this process.
+    /// Returns the limit of open connections for this process.
     pub(super) fn own_connections(&self) -> usize {
         (self.connections / *self.processes.borrow() as usize).max(1)
     }
 }
 
 impl Pool {
-    /// An empty pool; attempts that it has written completely are counted in `attempts`, responses buffered in
-    /// `buffer_budget`.
+    /// Creates an empty pool. Attempts that were written completely are counted in `attempts`; buffered responses are
+    /// charged to `buffer_budget`.
     pub fn new(limits: Limits, attempts: Rc<Cell<u64>>, buffer_budget: Rc<BufferBudget>) -> Self {
         Pool {
             limits,
@@ -107,11 +107,11 @@
         self.idle.borrow_mut().remove(&address);
     }
 
-    /// Closes connections that have been idle for long. Guards against a request that crosses the backend's own close of an
-    /// idle connection: it would end as a reset, which may have run. Ours close clearly earlier.
+    /// Closes connections that have been idle for too long, well before their backend closes them. A request that
+    /// crosses the backend's close would end as a reset, after which it may have run.
     pub fn close_expired(&self) {
-        let max_age = self.limits.idle_timeout.mul_f64(MAX_IDLE_PART);
-        // Over the limit once another process has started here: idle connections are closed first.
+        let max_age = self.limits.idle_timeout.mul_f64(MAX_IDLE_FRACTION);
+        // The limit shrinks when another process starts at this address; idle connections are closed first.
         for _ in self.limits.own_connections()..self.open.get() {
             self.close_oldest_idle();
         }
@@ -121,9 +121,9 @@
         });
     }
 
-    /// The most recently used idle connection that is still open: the others may then expire and be closed.
+    /// Takes the most recently used idle connection that is still open, so that connections that are not needed expire.
     pub(super) fn reuse(&self, address: SocketAddr) -> Option<Link> {
-        let max_age = self.limits.idle_timeout.mul_f64(MAX_IDLE_PART);
+        let max_age = self.limits.idle_timeout.mul_f64(MAX_IDLE_FRACTION);
         let mut idle = self.idle.borrow_mut();
         let links = idle.get_mut(&address)?;
         while let Some(IdleConnection { link, idle_since }) = links.pop() {
@@ -134,7 +134,7 @@
         None
     }
 
-    /// Keeps a connection idle, unless its backend takes nothing new.
+    /// Adds a connection to the idle ones, unless its backend drains or is gone.
     pub(super) fn keep(&self, target: &Target, link: Link) {
         if target.drained_at.get().is_none() && !link.sender.is_closed() {
             let idle = IdleConnection { link, idle_since: Instant::now() };
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Closes the connection that has been idle longest, to whichever backend.
+    /// Closes the connection that has been idle the longest, regardless of its backend.
     fn close_oldest_idle(&self) {
         let mut idle = self.idle.borrow_mut();
         let oldest =
@@ -152,11 +152,11 @@
         }
     }
 
-    /// Establishes a connection.
+    /// Establishes a connection to `address`.
     pub(super) async fn connect(&self, address: SocketAddr) -> Result<Link, Outcome> {
         let most = self.limits.own_connections();
         let Some(permit) = Permit::acquire(&self.open, most) else {
-            // At the limit of connections: that says nothing of the backend, and the request was not sent.
+            // The connection limit is reached, which says nothing about the backend; the request was not sent.
             self.close_oldest_idle();
             return Err(Outcome::NotSent);
         };
@@ -172,29 +172,29 @@
         let watched = Watched::counting(TokioIo::new(stream), self.attempts.clone(), is_quiet);
         let progress = watched.progress();
         let (sender, connection) = http1::Builder::new()
-            .max_buf_size(body::BUFFER)
+            .max_buf_size(body::HTTP_BUFFER_BYTES)
             .handshake(watched)
             .await
             .map_err(|_| Outcome::ConnectFailed)?;
         tokio::task::spawn_local(async move {
             let _permit = permit;
-            // Its end shows at the sender, where it is handled.
+            // The sender sees the end of the connection and handles it.
             let _ = connection.await;
         });
         Ok(Link { sender, progress })
     }
 }
 
-/// Whether a connection is open with nothing to read on it. Guards against a request on a connection that the backend has
-/// closed or written to: it would end as a reset, or take those bytes for its response. The system is asked, since the
-/// reactor reports what arrived only when it is next polled.
+/// Returns whether a connection is open with no unread bytes. On a connection that the backend has closed or
+/// written to, a request would end as a reset, or take the unread bytes for its response. Reads the socket
+/// directly, since the reactor reports new bytes only when it is polled next.
 fn is_quiet(stream: &TokioIo<TcpStream>) -> bool {
-    // What is read is lost with the connection.
+    // A byte that is read here is lost, but a connection with unread bytes is not used again.
     let read = SockRef::from(stream.inner()).recv(&mut [MaybeUninit::uninit()]);
     read.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// Whether the process or the machine has no descriptor left.
+/// Returns whether the process or the machine has no descriptor left.
 fn out_of_descriptors(e: &io::Error) -> bool {
     const ENFILE: i32 = 23;
     const EMFILE: i32 = 24;
--- a/src/bin/proxy/upstream/request.rs
+++ b/src/bin/proxy/upstream/request.rs
@@ -1,6 +1,6 @@
 //! A client's request as it is sent to backends.
 //!
-//! Made once when the request is read, and shared by all its attempts. Owns the buffered body; what is not buffered flows
+//! Created once when the request is read, and shared by all its attempts. Owns the buffered body; the rest is streamed
 //! through [`RemainingBody`] to one attempt only.
 
 use crate::body::{BodyState, BufferReservation, RemainingBody};
@@ -12,52 +12,52 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// The module's deadline lies so much before the client's: the client counts from its own send, and the response still has
-/// to reach it.
+/// Time by which the balancer's deadline precedes the client's. The client measures from its own send, and the response
+/// still has to reach it.
 pub const DEADLINE_MARGIN: Duration = Duration::from_millis(25);
-/// Of a short client timeout the margin takes at most this part, so that the rest is left to answer in.
-const DEADLINE_MARGIN_PART: u32 = 4;
+/// Divisor that gives the margin's largest part of a short client timeout, so that the rest is left for the attempts.
+const DEADLINE_MARGIN_DIVISOR: u32 = 4;
 
-/// `Host` for backends where the client gave none. Kept from the program's earlier name: it is on the wire, and backends
-/// may log it or select a virtual host by it.
+/// `Host` header for backends if the client sent none. Contains the program's earlier name because backends may log
+/// it or select a virtual host by it.
 const DEFAULT_HOST: &str = "heathroad";
 
-/// How long before the end of a client's timeout the module's deadline lies.
+/// Returns the time by which the balancer's deadline precedes the end of a client's timeout.
 pub fn deadline_margin(client_timeout: Duration) -> Duration {
-    DEADLINE_MARGIN.min(client_timeout / DEADLINE_MARGIN_PART)
+    DEADLINE_MARGIN.min(client_timeout / DEADLINE_MARGIN_DIVISOR)
 }
 
-/// A request as every attempt sends it.
+/// A client's request in the form that every attempt sends.
 pub struct UpstreamRequest {
-    /// Its method.
+    /// The request method.
     pub method: Method,
-    /// Path and query.
+    /// The path and query.
     pub uri: Uri,
-    /// `Host`, as the client gave it.
+    /// The client's `Host` header.
     pub host: Option<HeaderValue>,
-    /// `Req-Id`.
+    /// The `Req-Id` header.
     pub id: HeaderValue,
-    /// `Idempotency-Key`.
+    /// The `Idempotency-Key` header.
     pub key: Option<HeaderValue>,
-    /// Its body, or the first part of it.
+    /// The body, or the first part of a body that is too long to be buffered.
     pub buffered_body: Bytes,
-    /// What follows that, where the body is too long to be buffered.
+    /// The rest of a body that is not buffered completely.
     pub remaining_body: Option<Rc<RemainingBody>>,
-    /// Who sent it.
+    /// The client that sent the request.
     pub client: Weak<Client>,
-    /// The part of the buffer budget that `buffered_body` takes up.
+    /// The reservation in the buffer budget for `buffered_body`.
     pub _buffer_permit: Option<BufferReservation>,
-    /// When its client stops waiting, unless its last byte has yet to arrive.
+    /// The end of the client's timeout, valid if the body was complete when the request was read.
     pub client_deadline: Instant,
 }
 
 impl UpstreamRequest {
-    /// Whether its last byte has arrived.
+    /// Returns whether the last byte of the request has arrived.
     pub fn is_complete(&self) -> bool {
         self.remaining_body.as_ref().is_none_or(|r| matches!(r.state(), BodyState::Complete(_)))
     }
 
-    /// When its client stops waiting, as far as is known.
+    /// Returns the end of the client's timeout; until the body is complete, the value from when the request was read.
     pub(super) fn client_deadline(&self) -> Instant {
         match self.remaining_body.as_ref().map(|r| (r.state(), r.client_timeout)) {
             Some((BodyState::Complete(at), client_timeout)) => at + client_timeout,
@@ -65,17 +65,19 @@
         }
     }
 
-    /// Whether its client has gone, as far as can be seen at this instant. Asked of the system and not of the event loop:
-    /// after a pause of this process the client's end and the cause to send may both be waiting.
+    /// Returns whether the client has left. Checks the socket instead of relying on the event loop: after a pause
+    /// of this process, the client's close and the event that leads to a send may both be pending.
     pub fn client_gone(&self) -> bool {
         self.client.upgrade().is_none_or(|client| client.has_left())
     }
 
+    /// Returns whether the rest of the body can no longer be received.
     pub(super) fn is_broken(&self) -> bool {
         self.remaining_body.as_ref().is_some_and(|r| r.state() == BodyState::Broken)
     }
 
-    /// Waits until a response would be too late. A body that is still being received has a time limit of its own.
+    /// Waits until a response would be too late. Never returns for a body that breaks off; the rate floor limits
+    /// the time of a body that is still being received.
     pub(super) async fn deadline_passed(&self, deadline: Instant) {
         let Some(body) = &self.remaining_body else { return sleep_until(deadline).await };
         match body.settled().await {
@@ -86,7 +88,8 @@
         }
     }
 
-    /// The request for one attempt; its body reports to `progress` how far it was written.
+    /// Builds the HTTP request for one attempt, whose body reports to `progress` how far it was written. Returns
+    /// `None` if the request is invalid.
     pub(super) fn to_http(&self, progress: &Rc<Progress>, deadline: Instant) -> Option<Request<Outgoing>> {
         let remaining = deadline.saturating_duration_since(Instant::now());
         let timeout_ms =
--- a/src/bin/proxy/upstream/response.rs
+++ b/src/bin/proxy/upstream/response.rs
@@ -1,7 +1,7 @@
-//! Reads a backend's response and says what it means.
+//! Reads and classifies a backend's response.
 //!
-//! Acts once for each response head that arrives in time. Small bodies are buffered, of longer ones the first part; that
-//! part counts against the buffer budget until the response is dropped.
+//! Runs once for each response head that arrives in time. Buffers small bodies, and the first part of longer ones; the
+//! buffered bytes count against the buffer budget until the response is dropped.
 
 use super::{AttemptEnd, UpstreamResponse};
 use crate::body::{self, BufferBudget, RateLimitedBody};
@@ -15,33 +15,33 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-/// A response without a length is passed on as it arrives when it is not complete so long after its first bytes. Where less
-/// time is left than this, its attempt times out before.
+/// Time after its first bytes at which an incomplete response without a length is passed on as a stream. With less
+/// time left than this, the attempt times out first.
 const BUFFERING_TIMEOUT: Duration = Duration::from_millis(300);
-/// A response that flows is broken off so long after its client stopped waiting. A late response earns nothing and counts
-/// as lost after half a second, whatever the settings; one that is broken off counts as failed.
-const OVERDUE: Duration = Duration::from_millis(250);
+/// Time after the client's deadline at which a streamed response is aborted. A late response has no value and
+/// counts as lost after half a second, whatever the settings; an aborted one counts as failed.
+const OVERDUE_GRACE: Duration = Duration::from_millis(250);
 
-/// Reads a response as far as it is buffered, and says what it means.
+/// Reads the buffered part of a response and returns the end of its attempt.
 pub(super) async fn read_response(
     response: Response<Incoming>,
     buffer_budget: &Rc<BufferBudget>,
     client_deadline: Instant,
 ) -> AttemptEnd {
     let (head, body) = response.into_parts();
-    // Guards against a response with two framings: the HTTP library would take the chunks and ignore the length, the
-    // backend may have used the length, and the client would get a body that was cut at the wrong byte.
+    // A response with both a length and an encoding is rejected: the HTTP library would read the chunks and ignore the
+    // length, while the backend may have used the length, and the client would get a body that ends at the wrong byte.
     if head.headers.contains_key(CONTENT_LENGTH) && head.headers.contains_key(TRANSFER_ENCODING) {
         return AttemptEnd::Failed(Outcome::Reset);
     }
     let declined = head.headers.get("srv-declined").is_some_and(|v| v == "1");
-    // A response that breaks off is none: the request may have run.
+    // A truncated response counts as a reset: the request may have run.
     let Ok(mut response) = buffer(RateLimitedBody::new(body, body::BACKEND_RATE_FLOOR), buffer_budget).await
     else {
         return AttemptEnd::Failed(Outcome::Reset);
     };
     if let Some(remaining) = &mut response.remaining {
-        remaining.end_by(client_deadline + OVERDUE);
+        remaining.set_deadline(client_deadline + OVERDUE_GRACE);
     }
     match head.status {
         StatusCode::OK => AttemptEnd::Response(response),
@@ -53,7 +53,7 @@
     }
 }
 
-/// Buffers a small body, and of a longer one the first bytes: their arrival is what is measured as the latency.
+/// Buffers a small body, or the first bytes of a longer one. The latency is measured up to the arrival of these bytes.
 async fn buffer(mut body: RateLimitedBody, buffer_budget: &Rc<BufferBudget>) -> io::Result<UpstreamResponse> {
     let length = body.announced_bytes_left();
     let Some(first) = body.next().await? else {
--- a/tests/unit/proxy/downstream.rs
+++ b/tests/unit/proxy/downstream.rs
@@ -1,6 +1,6 @@
 //! Unit tests of `src/bin/proxy/downstream/mod.rs`, which names this file.
 
-use super::accept::take_queued;
+use super::accept::drain_accept_queue;
 use super::connection::IdleCloseReason;
 use super::*;
 use crate::paused::rig::settings;
@@ -75,7 +75,7 @@
     let address = listener.local_addr().expect("bound");
     let connect = |_| std::net::TcpStream::connect(address).expect("the queue takes it");
     let clients: Vec<_> = (0..5).map(connect).collect();
-    let (taken, left) = take_queued(listener.into_std().expect("sound"));
+    let (taken, left) = drain_accept_queue(listener.into_std().expect("sound"));
     assert!(left.is_none(), "nothing is left in it");
     let mut peers: Vec<_> = taken.iter().map(|s| s.peer_addr().expect("open")).collect();
     let mut expected: Vec<_> = clients.iter().map(|c| c.local_addr().expect("open")).collect();
