--- a/src/bin/proxy/engine/state.rs
+++ b/src/bin/proxy/engine/state.rs
@@ -51,8 +51,8 @@
     }
 
     /// Removes the backends that the balancer no longer knows. Without this, memory would grow without bound, since
-    /// machines appear under new names for as long as the process runs. A backend that returns gets a new id
-    /// derived from its name.
+    /// machines appear under new names for as long as the process runs. A backend that returns gets its
+    /// id derived from its name again.
     ///
     /// After a delta only the candidates are checked, after a full list all backends.
     pub(super) fn remove_unknown(&mut self, kind: ListKind) {
--- a/tests/proxy/attempts.rs
+++ b/tests/proxy/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: what is sent again, what is not, and what becomes of one whose caller leaves or waits no more.
+//! Tests of attempts: which requests are retried, and what happens to an attempt whose client leaves or times out.
 
 use crate::rig::*;
 use http_body_util::Full;
@@ -7,27 +7,28 @@
 use tokio::sync::Notify;
 
 #[tokio::test]
-async fn a_call_is_served_and_goes_on_as_it_came() {
+async fn a_request_is_forwarded_once_with_its_headers_and_body() {
     let s = start_fixture(settings()).await;
     let body = "a claim".repeat(9000);
-    let call = request("keep").body(Full::from(body.clone())).expect("well formed");
+    let call = request("keep").body(Full::from(body.clone())).expect("a valid request");
     let id = call.headers()["req-id"].clone();
-    let (status, answer) = s.proxy.connect_client().await.send(call).await;
+    let (status, response) = s.proxy.connect_client().await.send(call).await;
     assert_eq!(status, 200);
-    let seen = s.control.requests.borrow();
-    let [(name, head, came)] = &seen[..] else { panic!("it runs once") };
-    assert_eq!((answer.as_str(), came), (*name, &body.into()));
+    let requests = s.control.requests.borrow();
+    let [(name, head, received_body)] = &requests[..] else { panic!("expected exactly one attempt") };
+    assert_eq!((response.as_str(), received_body), (*name, &body.into()));
     assert_eq!((head.method.as_str(), head.uri.to_string().as_str()), ("POST", "/keep?k=7f3a"));
     assert_eq!(
         (&head.headers["req-id"], &head.headers["idempotency-key"]),
         (&id, &"5c0f6e1a".parse().unwrap())
     );
-    let left: u64 = head.headers["req-deadline-ms"].to_str().expect("text").parse().expect("a number");
-    assert!((1..60_000).contains(&left), "{left} ms are left");
+    let timeout_ms: u64 =
+        head.headers["req-deadline-ms"].to_str().expect("an ASCII value").parse().expect("a number");
+    assert!((1..60_000).contains(&timeout_ms), "the backend was sent a timeout of {timeout_ms} ms");
 }
 
 #[tokio::test]
-async fn what_never_ran_is_sent_again_whatever_its_class() {
+async fn a_request_that_never_ran_is_retried_in_any_class() {
     let s = start_fixture(settings()).await;
     for (n, status) in [503, 504].into_iter().enumerate() {
         s.control.enqueue([BackendAction::Decline(status)]);
@@ -36,10 +37,11 @@
     }
 }
 
-/// An unsafe request that may have run is neither sent again nor refused; a safe one is sent again.
+/// A non-idempotent request that may have run fails without a retry and is not reported as rejected. An idempotent
+/// request, or one with an idempotency key, is retried.
 #[tokio::test]
-async fn what_may_have_run_is_sent_again_only_if_that_is_safe() {
-    for order in [
+async fn a_request_that_may_have_run_is_retried_only_if_that_is_safe() {
+    for action in [
         || BackendAction::Status(500),
         || BackendAction::Status(503),
         || BackendAction::Status(418),
@@ -47,12 +49,12 @@
         || BackendAction::BreakBody,
     ] {
         let s = start_fixture(settings()).await;
-        s.control.enqueue([order()]);
+        s.control.enqueue([action()]);
         assert_eq!(s.proxy.call("once").await.0, 502);
         assert_eq!(s.control.requests.borrow().len(), 1);
         for class in ["look", "keep"] {
             let before = s.control.requests.borrow().len();
-            s.control.enqueue([order()]);
+            s.control.enqueue([action()]);
             let (status, body) = s.proxy.call(class).await;
             assert_eq!((status, body.len()), (200, 1));
             assert_eq!(s.control.requests.borrow().len(), before + 2);
@@ -60,9 +62,9 @@
     }
 }
 
-/// What one backend finds malformed the next one would too: one attempt, even where more would be safe.
+/// Every backend would reject the request as malformed, so that it gets one attempt even if a retry would be safe.
 #[tokio::test]
-async fn what_a_backend_finds_malformed_is_not_sent_again() {
+async fn a_request_that_a_backend_rejects_as_malformed_is_not_retried() {
     let s = start_fixture(settings()).await;
     for (n, class) in ["look", "keep", "once"].into_iter().enumerate() {
         s.control.enqueue([BackendAction::Status(400)]);
@@ -71,58 +73,61 @@
     }
 }
 
-/// `b` declines first, so that the next attempt must go to the other, which can't be reached; after that `b`
-/// serves. Only an ending that proves that nothing ran lets an unsafe request come that far.
-async fn goes_round(addr: std::net::SocketAddr) {
-    let orders = Arc::new(BackendControl::default());
-    let b = TestBackend::start("b", &orders).await;
+/// Checks that a non-idempotent request is retried after a failed connect to `addr`. Backend `b` declines it first,
+/// so that the next attempt must go to the unreachable backend at `addr`; after that `b` serves it.
+/// Such a request is retried only if the failed attempt proves that it never ran.
+async fn check_retry_after_failed_connect(addr: std::net::SocketAddr) {
+    let control = Arc::new(BackendControl::default());
+    let b = TestBackend::start("b", &control).await;
     let discovery =
         TestDiscovery::start(vec![endpoint_entry("a", addr, "SERVING"), b.endpoint_entry("SERVING")]).await;
     let proxy = ProxyProcess::start_synced(&discovery, with_cap("connectTimeout", 250.0.into())).await;
-    orders.enqueue([BackendAction::Decline(503)]);
+    control.enqueue([BackendAction::Decline(503)]);
     assert_eq!(proxy.call("once").await, (200, "b".into()));
-    assert_eq!(orders.request_count("b"), 2);
+    assert_eq!(control.request_count("b"), 2);
 }
 
 #[tokio::test]
-async fn a_refused_connection_proves_that_nothing_ran() {
+async fn a_non_idempotent_request_is_retried_after_a_refused_connection() {
     let (_reserved, addr) = refusing_address();
-    goes_round(addr).await;
+    check_retry_after_failed_connect(addr).await;
 }
 
 #[tokio::test]
-async fn a_connection_that_never_comes_up_proves_that_nothing_ran() {
-    let (listener, _held) = unresponsive_listener().await;
-    goes_round(listener.local_addr().expect("bound")).await;
+async fn a_non_idempotent_request_is_retried_after_a_connect_timeout() {
+    let (listener, _queued) = unresponsive_listener().await;
+    check_retry_after_failed_connect(listener.local_addr().expect("the listener's address")).await;
 }
 
 #[tokio::test]
-async fn a_caller_that_leaves_takes_its_attempt_along() {
+async fn an_attempt_is_cancelled_when_its_client_leaves() {
     let s = start_fixture(with_cap("mayDuplicate", false.into())).await;
     s.control.enqueue([BackendAction::ServeAfter(Arc::new(Notify::new()))]);
-    let mut caller = s.proxy.connect_client().await;
-    let call = tokio::spawn(async move { caller.call("look").await });
+    let mut client = s.proxy.connect_client().await;
+    let call = tokio::spawn(async move { client.call("look").await });
     s.control.wait_for_requests(1).await;
     call.abort();
-    // Where two attempts must not be out at once, one that is called off loses its connection.
-    within_deadline(s.control.abandoned.subscribe().wait_for(|n| *n == 1)).await.expect("open");
+    // Without `mayDuplicate`, a cancelled attempt closes its connection.
+    within_deadline(s.control.abandoned.subscribe().wait_for(|n| *n == 1))
+        .await
+        .expect("the counter's sender is alive");
     assert_eq!(s.proxy.call("look").await.0, 200);
 }
 
 #[tokio::test]
-async fn a_request_is_failed_before_its_caller_gives_up_and_its_connection_is_kept() {
+async fn a_request_fails_before_its_client_timeout_and_the_backend_connection_is_kept() {
     let s = start_fixture(settings()).await;
     let release = Arc::new(Notify::new());
     s.control.enqueue([BackendAction::ServeAfter(release.clone())]);
-    let call = request("once").body(Full::default()).expect("well formed");
+    let call = request("once").body(Full::default()).expect("a valid request");
     let (mut parts, body) = call.into_parts();
-    parts.headers.insert("req-deadline-ms", "700".parse().expect("a value"));
+    parts.headers.insert("req-deadline-ms", "700".parse().expect("a header value"));
     let start = Instant::now();
     let (status, _) = s.proxy.connect_client().await.send(hyper::Request::from_parts(parts, body)).await;
-    assert!((500..600).contains(&status) && status != 503, "{status} promises nothing");
-    assert!(start.elapsed() >= Duration::from_millis(500), "it was given the time that it had");
-    // Nobody waits for the answer any more, but closing would spare the backend nothing. A close would have
-    // been seen by the time that so many others were served.
+    assert!((500..600).contains(&status) && status != 503, "status {status}, but the request may have run");
+    assert!(start.elapsed() >= Duration::from_millis(500), "the request failed before its deadline");
+    // No client awaits the response, but closing the connection would not save the backend any work. A close would
+    // have been detected by the time these calls are served.
     for _ in 0..20 {
         assert_eq!(s.proxy.call("look").await.0, 200);
     }
@@ -134,6 +139,6 @@
     assert_eq!(
         (*s.a.open_connections.borrow(), *s.b.open_connections.borrow()),
         (s.a.connections_total(), s.b.connections_total()),
-        "nothing was closed"
+        "a backend connection was closed"
     );
 }
--- a/tests/proxy/news.rs
+++ b/tests/proxy/endpoint_lists.rs
@@ -1,4 +1,4 @@
-//! What discovery says, how it comes, and what it changes.
+//! Tests of endpoint lists from discovery: how they arrive, and how the proxy applies them.
 
 use crate::rig::*;
 use http_body_util::Full;
@@ -7,9 +7,9 @@
 use tokio::io::AsyncReadExt;
 use tokio::sync::Notify;
 
-/// Day 6 of the score: SIGHUP ended the program. A watch that waits at the old address is left at once.
+/// SIGHUP ended the program in an earlier version. A reload must leave a pending watch at the old address immediately.
 #[tokio::test]
-async fn a_reload_moves_to_the_discovery_that_the_file_names() {
+async fn a_reload_moves_to_the_discovery_address_in_the_configuration() {
     let mut s = start_fixture(settings()).await;
     s.proxy.reload("{", "not reloaded").await;
     assert_eq!(s.proxy.call("once").await.0, 200);
@@ -21,12 +21,12 @@
 }
 
 #[tokio::test]
-async fn nothing_new_goes_to_a_backend_that_drains_and_what_it_has_is_finished() {
+async fn a_draining_backend_gets_no_new_requests_and_completes_those_in_flight() {
     let s = start_fixture(settings()).await;
     let release = Arc::new(Notify::new());
     s.control.enqueue([BackendAction::ServeAfter(release.clone())]);
-    let mut caller = s.proxy.connect_client().await;
-    let held = tokio::spawn(async move { caller.call("once").await });
+    let mut client = s.proxy.connect_client().await;
+    let pending = tokio::spawn(async move { client.call("once").await });
     s.control.wait_for_requests(1).await;
     let busy = s.control.requests.borrow()[0].0;
     let (drains, other) = if busy == "a" { (&s.a, &s.b) } else { (&s.b, &s.a) };
@@ -35,30 +35,35 @@
         assert_eq!(s.proxy.call("look").await, (200, other.name.into()));
     }
     release.notify_one();
-    assert_eq!(held.await.expect("no panic"), (200, busy.into()));
-    // Its connection is not kept either: nothing will go over it.
+    assert_eq!(pending.await.expect("the task must not panic"), (200, busy.into()));
+    // The connection of the completed request is not kept, since no request will use it.
     drains.wait_all_closed().await;
     s.discovery.publish(vec![drains.endpoint_entry("SERVING"), other.endpoint_entry("DRAINING")]).await;
     assert_eq!(s.proxy.call("look").await, (200, drains.name.into()));
 }
 
-/// The large fleet: news counts as told after 6 s, whether a watch that fell silent brought it or not.
+/// In the large fleet the platform counts a change as known to the proxy after 6 s, even if a stalled watch has not
+/// delivered it.
 #[tokio::test]
-async fn a_watch_that_falls_silent_is_noticed_before_its_news_counts_as_told() {
+async fn a_stalled_watch_is_replaced_before_the_change_counts_as_known() {
     let s = start_fixture(settings()).await;
     s.discovery.stall_watches();
     let changed = Instant::now();
     s.discovery.publish(vec![s.a.endpoint_entry("DRAINING"), s.b.endpoint_entry("SERVING")]).await;
-    assert!(changed.elapsed() < Duration::from_secs(6), "told after {:?}", changed.elapsed());
+    assert!(
+        changed.elapsed() < Duration::from_secs(6),
+        "the change was applied after {:?}",
+        changed.elapsed()
+    );
     assert_eq!(s.proxy.call("look").await, (200, "b".into()));
 }
 
-/// During a release discovery breaks off: the list that is held stays in use, and the news comes all the same.
+/// Discovery truncates its responses during a release. The current list stays in use until the changed one arrives.
 #[tokio::test]
-async fn a_list_that_breaks_off_changes_nothing_and_is_asked_for_again() {
+async fn a_truncated_list_changes_nothing_and_is_requested_again() {
     let s = start_fixture(settings()).await;
     s.discovery.truncate_next_responses(3);
-    let told = async {
+    let publish = async {
         s.discovery.publish(vec![s.a.endpoint_entry("DRAINING"), s.b.endpoint_entry("SERVING")]).await;
     };
     let calls = async {
@@ -66,49 +71,53 @@
             assert_eq!(s.proxy.call("look").await.0, 200);
         }
     };
-    tokio::join!(told, calls);
+    tokio::join!(publish, calls);
     assert_eq!(s.proxy.call("look").await, (200, "b".into()));
 }
 
 #[tokio::test]
-async fn a_connect_that_outlasts_the_grace_of_a_drain_carries_nothing() {
-    let (listener, held) = unresponsive_listener().await;
-    let addr = listener.local_addr().expect("bound");
+async fn no_request_is_sent_on_a_connect_that_outlasts_the_drain_grace() {
+    let (listener, queued) = unresponsive_listener().await;
+    let addr = listener.local_addr().expect("the listener's address");
     let discovery = TestDiscovery::start(vec![endpoint_entry("a", addr, "SERVING")]).await;
     let proxy = ProxyProcess::start_synced(&discovery, with_cap("connectTimeout", 20_000.0.into())).await;
-    let mut caller = proxy.connect_client().await;
-    let call = tokio::spawn(async move { caller.call("once").await });
-    let orders = Arc::new(BackendControl::default());
-    let b = TestBackend::start("b", &orders).await;
+    let mut client = proxy.connect_client().await;
+    let call = tokio::spawn(async move { client.call("once").await });
+    let control = Arc::new(BackendControl::default());
+    let b = TestBackend::start("b", &control).await;
     within_deadline(wait_for_connecting(addr)).await;
     discovery.publish(vec![endpoint_entry("a", addr, "DRAINING"), b.endpoint_entry("SERVING")]).await;
-    let told = Instant::now();
+    let drain_published_at = Instant::now();
     tokio::time::sleep(Duration::from_millis(600)).await;
-    // Only now does the queue get room, and the connection comes up when the system next tries.
-    for _ in &held {
-        drop(within_deadline(listener.accept()).await.expect("queued"));
+    // Accepting the queued connections makes room, so that the proxy's connect succeeds at the system's next attempt.
+    for _ in &queued {
+        drop(within_deadline(listener.accept()).await.expect("accept a queued connection"));
     }
-    let (mut late, _) = within_deadline(listener.accept()).await.expect("the proxy's");
-    assert!(told.elapsed() > Duration::from_millis(500));
+    let (mut late, _) = within_deadline(listener.accept()).await.expect("accept the proxy's connection");
+    assert!(drain_published_at.elapsed() > Duration::from_millis(500));
     assert_eq!(
-        within_deadline(late.read(&mut [0; 64])).await.expect("closed"),
+        within_deadline(late.read(&mut [0; 64])).await.expect("a close without a reset"),
         0,
-        "something was sent after the grace"
+        "a request was sent after the grace"
     );
-    assert_eq!(within_deadline(call).await.expect("no panic"), (200, "b".into()));
+    assert_eq!(within_deadline(call).await.expect("the task must not panic"), (200, "b".into()));
 }
 
 #[tokio::test]
-async fn it_is_ready_once_there_is_a_backend_and_odd_entries_are_passed_over() {
-    let orders = Arc::new(BackendControl::default());
-    let a = TestBackend::start("a", &orders).await;
-    let odd = serde_json::json!({"host": 5});
-    let discovery = TestDiscovery::start(vec![odd.clone()]).await;
+async fn the_proxy_is_ready_once_a_backend_is_listed_and_ignores_invalid_entries() {
+    let control = Arc::new(BackendControl::default());
+    let a = TestBackend::start("a", &control).await;
+    let invalid = serde_json::json!({"host": 5});
+    let discovery = TestDiscovery::start(vec![invalid.clone()]).await;
     let proxy = ProxyProcess::start_synced(&discovery, settings()).await;
-    let ready =
-        || hyper::Request::get("/health/ready").header("host", "p").body(Full::default()).expect("good");
+    let ready = || {
+        hyper::Request::get("/health/ready")
+            .header("host", "p")
+            .body(Full::default())
+            .expect("a valid request")
+    };
     assert_eq!(proxy.connect_client().await.send(ready()).await.0, 503);
-    discovery.publish(vec![odd, a.endpoint_entry("SERVING"), serde_json::json!("?")]).await;
+    discovery.publish(vec![invalid, a.endpoint_entry("SERVING"), serde_json::json!("?")]).await;
     assert_eq!(proxy.connect_client().await.send(ready()).await.0, 200);
     assert_eq!(proxy.call("look").await, (200, "a".into()));
 }
--- a/tests/proxy/main.rs
+++ b/tests/proxy/main.rs
@@ -1,9 +1,9 @@
-//! The started program on loopback sockets: what callers get, and what backends see of it.
+//! Tests of a proxy process on loopback sockets: what clients receive, and what backends are sent.
 
 mod attempts;
+mod connection_limits;
+mod endpoint_lists;
 mod input;
-mod news;
-mod places;
 mod pool;
 #[path = "../rig/mod.rs"]
 mod rig;
--- a/tests/unit/proxy/counters.rs
+++ b/tests/unit/proxy/counters.rs
@@ -3,17 +3,18 @@
 use super::*;
 
 #[test]
-fn each_request_ends_in_one_count_and_leaves_nothing_in_flight() {
+fn each_ended_request_is_counted_once_and_is_no_longer_in_flight() {
     let counters = Counters::new(vec!["look".into(), "once".into()]);
     let page = || counters.page(Census { listed: 3, excluded: 1, unlisted: 0 });
-    let (mut served, mut refused, mut left) = (counters.record(0), counters.record(1), counters.record(1));
+    let (mut served, mut rejected, mut abandoned) =
+        (counters.record(0), counters.record(1), counters.record(1));
     served.complete();
-    left.complete();
-    left.complete();
-    assert_eq!(page()["in_flight"], 2, "one that has not come whole is not in flight");
+    abandoned.complete();
+    abandoned.complete();
+    assert_eq!(page()["in_flight"], 2, "a request whose body is incomplete is not in flight");
     served.count_as(CountedAs::Served);
-    refused.count_as(CountedAs::Rejected);
-    drop((served, refused, left, counters.record(0)));
+    rejected.count_as(CountedAs::Rejected);
+    drop((served, rejected, abandoned, counters.record(0)));
     counters.attempts().set(7);
     let zero = json!({"look": 0, "once": 0});
     let expected = json!({
--- a/tests/unit/proxy/downstream.rs
+++ b/tests/unit/proxy/downstream.rs
@@ -12,11 +12,13 @@
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 
-/// Longest that a peer may stand open without a request, as callers are promised.
-const SILENT_PEER: Duration = Duration::from_secs(3);
+/// Longest time for which a connection without a complete request head may stay open, as the platform requires.
+const MAX_TIME_WITHOUT_REQUEST: Duration = Duration::from_secs(3);
 
+/// Returns a server without backends for at most 8 connections and 1 spare one.
 fn downstream() -> Rc<Downstream> {
-    let platform = load_balancer::platform_settings::parse(settings().to_string().as_bytes()).expect("sound");
+    let platform =
+        load_balancer::platform_settings::parse(settings().to_string().as_bytes()).expect("valid settings");
     let (counters, buffer_budget) =
         (Counters::new(platform.site.classes.clone()), BufferBudget::new(1 << 20));
     let processes = watch::Sender::new(1);
@@ -29,7 +31,8 @@
         may_duplicate: true,
     };
     let pool = Rc::new(Pool::new(limits, counters.attempts(), buffer_budget.clone()));
-    let engine = Engine::new(platform.clone(), 1, pool, watch::Sender::new(false), None).expect("sound");
+    let engine =
+        Engine::new(platform.clone(), 1, pool, watch::Sender::new(false), None).expect("valid settings");
     let (lifecycle, open) = (Rc::new(Lifecycle::new()), Cell::new(0));
     lifecycle.begin();
     Rc::new(Downstream {
@@ -45,42 +48,43 @@
     })
 }
 
-/// On the program's own clock, which is paused here and moves on only when nothing is left to do: a busy machine cannot
-/// make it late.
+/// The clock is paused and advances only when no task can run, so that a busy machine cannot delay the close.
 #[tokio::test(start_paused = true)]
-async fn a_peer_that_sends_no_request_is_let_go_within_three_seconds() {
+async fn a_connection_without_a_request_head_is_closed_within_three_seconds() {
     for begun in ["", "POST /once HTTP/1.1\r\nHost: origin"] {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("bound");
-        let mut peer = std::net::TcpStream::connect(address).expect("the queue takes it");
-        peer.write_all(begun.as_bytes()).expect("open");
-        peer.set_nonblocking(true).expect("open");
-        let mut peer = TcpStream::from_std(peer).expect("open");
-        let (stream, _) = listener.accept().await.expect("a connection");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a loopback port");
+        let address = listener.local_addr().expect("the listener's address");
+        let mut peer = std::net::TcpStream::connect(address).expect("connect to the listen queue");
+        peer.write_all(begun.as_bytes()).expect("the connection is open");
+        peer.set_nonblocking(true).expect("the connection is open");
+        let mut peer = TcpStream::from_std(peer).expect("the connection is open");
+        let (stream, _) = listener.accept().await.expect("accept a connection");
         let (connected, idle_close) = (Instant::now(), watch::Sender::new(IdleCloseReason::LimitReached));
         let serving = downstream().serve_connection(stream, idle_close.subscribe(), false);
-        let let_go = async {
-            peer.read_to_end(&mut Vec::new()).await.expect("closed, not reset");
+        let closed = async {
+            peer.read_to_end(&mut Vec::new()).await.expect("a close without a reset");
             connected.elapsed()
         };
-        let (after, ()) = LocalSet::new().run_until(async { tokio::join!(let_go, serving) }).await;
-        assert!(after < SILENT_PEER, "{begun:?} held for {after:?}");
+        let (after, ()) = LocalSet::new().run_until(async { tokio::join!(closed, serving) }).await;
+        assert!(after < MAX_TIME_WITHOUT_REQUEST, "connection with {begun:?} was open for {after:?}");
     }
 }
 
-/// Closed with its queue full, a listener would reset those who wait in it.
+/// Closing a listener resets the connections in its queue, so that they must be accepted before.
 #[tokio::test]
-async fn who_waits_in_a_listeners_queue_is_taken_before_it_closes() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("bound");
-    let connect = |_| std::net::TcpStream::connect(address).expect("the queue takes it");
+async fn queued_connections_are_accepted_before_the_listener_closes() {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a loopback port");
+    let address = listener.local_addr().expect("the listener's address");
+    let connect = |_| std::net::TcpStream::connect(address).expect("connect to the listen queue");
     let clients: Vec<_> = (0..5).map(connect).collect();
-    let (taken, left) = drain_accept_queue(listener.into_std().expect("sound"));
-    assert!(left.is_none(), "nothing is left in it");
-    let mut peers: Vec<_> = taken.iter().map(|s| s.peer_addr().expect("open")).collect();
-    let mut expected: Vec<_> = clients.iter().map(|c| c.local_addr().expect("open")).collect();
+    let (accepted, unfinished) =
+        drain_accept_queue(listener.into_std().expect("the listener leaves the reactor"));
+    assert!(unfinished.is_none(), "connections remain in the queue");
+    let mut peers: Vec<_> = accepted.iter().map(|s| s.peer_addr().expect("the connection is open")).collect();
+    let mut expected: Vec<_> =
+        clients.iter().map(|c| c.local_addr().expect("the connection is open")).collect();
     peers.sort();
     expected.sort();
     assert_eq!(peers, expected);
-    assert!(std::net::TcpStream::connect(address).is_err(), "and nobody waits for nothing");
+    assert!(std::net::TcpStream::connect(address).is_err(), "the listener must be closed");
 }
--- a/tests/unit/proxy/engine/state.rs
+++ b/tests/unit/proxy/engine/state.rs
@@ -1,9 +1,10 @@
-//! Which backends the engine lets go of, and when.
+//! Unit tests of `src/bin/proxy/engine/state.rs`, which names this file.
 
 use super::*;
 use load_balancer::interface::{Class, Entry, Phase, Settings};
 use std::cell::Cell;
 
+/// Returns a state without backends or requests.
 fn state() -> State {
     let settings = Settings {
         instance_count: 1,
@@ -12,7 +13,7 @@
         ..Settings::default()
     };
     State {
-        balancer: Balancer::new(settings, 1).expect("sound settings"),
+        balancer: Balancer::new(settings, 1).expect("valid settings"),
         id_by_host: HashMap::new(),
         host_by_id: HashMap::new(),
         removal_candidates: HashSet::new(),
@@ -25,8 +26,8 @@
 }
 
 impl State {
-    /// What the engine does with a list.
-    fn list(&mut self, kind: ListKind, hosts: &[(&str, Phase)]) {
+    /// Applies a list as the engine does.
+    fn apply_list(&mut self, kind: ListKind, hosts: &[(&str, Phase)]) {
         let mut entries = Vec::new();
         for (host, phase) in hosts {
             let backend = self.id_of(host);
@@ -52,54 +53,62 @@
         self.remove_unknown(kind);
     }
 
-    fn held(&self) -> Vec<&str> {
+    /// Returns the names of the known backends in order.
+    fn known_hosts(&self) -> Vec<&str> {
         assert_eq!(self.id_by_host.len(), self.host_by_id.len());
-        assert!(self.id_by_host.iter().all(|(name, id)| self.host_by_id[id] == *name), "both ways alike");
-        let mut held: Vec<&str> = self.id_by_host.keys().map(String::as_str).collect();
-        held.sort_unstable();
-        held
+        assert!(
+            self.id_by_host.iter().all(|(name, id)| self.host_by_id[id] == *name),
+            "the two maps must be inverse to each other"
+        );
+        let mut hosts: Vec<&str> = self.id_by_host.keys().map(String::as_str).collect();
+        hosts.sort_unstable();
+        hosts
     }
 }
 
 #[test]
-fn those_that_are_gone_are_let_go_of_and_no_others() {
+fn a_delta_removes_only_backends_that_are_gone() {
     let mut state = state();
-    state.list(ListKind::Full, &[("a", Phase::Ready), ("b", Phase::Ready), ("c", Phase::Draining)]);
-    assert_eq!(state.held(), ["a", "b", "c"]);
-    state.list(ListKind::Delta, &[("a", Phase::Gone), ("d", Phase::Ready)]);
-    assert_eq!(state.held(), ["b", "c", "d"]);
-    state.list(ListKind::Delta, &[("b", Phase::Draining), ("never", Phase::Gone)]);
-    assert_eq!(state.held(), ["b", "c", "d"]);
-    state.list(ListKind::Delta, &[("b", Phase::Gone), ("c", Phase::Gone)]);
-    assert_eq!(state.held(), ["d"]);
+    state.apply_list(ListKind::Full, &[("a", Phase::Ready), ("b", Phase::Ready), ("c", Phase::Draining)]);
+    assert_eq!(state.known_hosts(), ["a", "b", "c"]);
+    state.apply_list(ListKind::Delta, &[("a", Phase::Gone), ("d", Phase::Ready)]);
+    assert_eq!(state.known_hosts(), ["b", "c", "d"]);
+    state.apply_list(ListKind::Delta, &[("b", Phase::Draining), ("never", Phase::Gone)]);
+    assert_eq!(state.known_hosts(), ["b", "c", "d"]);
+    state.apply_list(ListKind::Delta, &[("b", Phase::Gone), ("c", Phase::Gone)]);
+    assert_eq!(state.known_hosts(), ["d"]);
     assert_eq!(state.targets.len(), 1);
 }
 
 #[test]
-fn what_a_whole_list_lacks_is_let_go_of() {
+fn a_full_list_removes_the_backends_that_it_lacks() {
     let mut state = state();
-    state.list(ListKind::Full, &[("a", Phase::Ready), ("b", Phase::Ready), ("c", Phase::Draining)]);
-    state.list(ListKind::Full, &[("b", Phase::Ready)]);
-    assert_eq!(state.held(), ["b"]);
+    state.apply_list(ListKind::Full, &[("a", Phase::Ready), ("b", Phase::Ready), ("c", Phase::Draining)]);
+    state.apply_list(ListKind::Full, &[("b", Phase::Ready)]);
+    assert_eq!(state.known_hosts(), ["b"]);
     assert_eq!(state.targets.len(), 1);
 }
 
-/// After a change only those are looked at that may be going: not the whole list.
+/// A delta must cost time in proportion to its changes, so that only backends that may be removed are candidates.
 #[test]
-fn those_that_take_work_are_not_looked_at_again() {
+fn serving_backends_are_not_removal_candidates() {
     let mut state = state();
     let hosts: Vec<String> = (0..500).map(|n| format!("host-{n}")).collect();
     let all: Vec<(&str, Phase)> = hosts.iter().map(|host| (host.as_str(), Phase::Ready)).collect();
-    state.list(ListKind::Full, &all);
-    assert!(state.removal_candidates.is_empty(), "{} of 500", state.removal_candidates.len());
-    state.list(ListKind::Delta, &[("host-1", Phase::Draining), ("host-2", Phase::Ready)]);
+    state.apply_list(ListKind::Full, &all);
+    assert!(
+        state.removal_candidates.is_empty(),
+        "{} of 500 backends are candidates",
+        state.removal_candidates.len()
+    );
+    state.apply_list(ListKind::Delta, &[("host-1", Phase::Draining), ("host-2", Phase::Ready)]);
     assert_eq!(state.removal_candidates.len(), 1);
-    state.list(ListKind::Delta, &[("host-1", Phase::Ready)]);
+    state.apply_list(ListKind::Delta, &[("host-1", Phase::Ready)]);
     assert!(state.removal_candidates.is_empty());
 }
 
 #[test]
-fn two_names_never_have_one_number() {
+fn two_hosts_never_share_an_id() {
     let mut state = state();
     let taken = backend_id("a");
     state.host_by_id.insert(taken, "another".into());
--- a/tests/unit/proxy/paused/answers.rs
+++ b/tests/unit/proxy/paused/answers.rs
@@ -1,7 +1,7 @@
-//! Answers that do not end, or stop half-way: what their client hears, and when.
+//! Tests of responses that never end or stop before their end: what the client receives, and when.
 
-use super::clock::{flowing, standing};
-use super::program::Program;
+use super::clock::{advance_until, with_stopped_clock};
+use super::program::InProcessProxy;
 use super::rig::{
     ConnectionEnd, Script, ScriptedResponse, TestDiscovery, connect, endpoint_entry, request, settings,
     within_deadline,
@@ -20,93 +20,99 @@
 const OK: &str = "HTTP/1.1 200 OK\r\n";
 const CHUNKED: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// The program before two backends that follow one script.
-async fn stage() -> (Arc<Script>, Program) {
+/// Starts a proxy with two backends that follow one script.
+async fn start_scripted_proxy() -> (Arc<Script>, InProcessProxy) {
     let script = Arc::new(Script::default());
     let hosts = vec![
         endpoint_entry("a", script.start_backend().await, "SERVING"),
         endpoint_entry("b", script.start_backend().await, "SERVING"),
     ];
     let discovery = TestDiscovery::start(hosts).await;
-    let program = Program::start(&discovery.proxy_config(settings())).await;
+    let proxy = InProcessProxy::start(&discovery.proxy_config(settings())).await;
     discovery.wait_until_synced().await;
-    (script, program)
+    (script, proxy)
 }
 
-fn once(patience_ms: u64) -> Request<Full<Bytes>> {
-    let mut request = request("once").body(Full::default()).expect("well formed");
-    request.headers_mut().insert("req-deadline-ms", patience_ms.into());
+/// Returns a request of the class `once` with a client timeout.
+fn once(timeout_ms: u64) -> Request<Full<Bytes>> {
+    let mut request = request("once").body(Full::default()).expect("a valid request");
+    request.headers_mut().insert("req-deadline-ms", timeout_ms.into());
     request
 }
 
-/// It may trickle or be a flood: its client can tell that it is not whole, half a second after its time at the latest,
-/// and its connections come to an end on both sides.
+/// A response may arrive slowly or as fast as it is read. In both cases the client must detect that it is
+/// incomplete at most half a second after its timeout, and both connections must close.
 #[rstest]
 #[case::trickle("1\r\nx\r\n".into(), Some(50))]
 #[case::flood(format!("400\r\n{}\r\n", "x".repeat(0x400)), None)]
 #[tokio::test(start_paused = true)]
-async fn an_answer_that_never_ends_is_broken_off_in_time(
-    #[case] piece: String,
+async fn a_response_that_never_ends_is_aborted_soon_after_the_deadline(
+    #[case] chunk: String,
     #[case] pause_ms: Option<u64>,
 ) {
-    standing(async {
-        let (script, program) = stage().await;
-        let going = Arc::new(Notify::new());
-        let mut act = ScriptedResponse::raw(CHUNKED, ConnectionEnd::KeepOpen);
-        act.repeat = Some((going.clone(), piece.into()));
-        script.enqueue([act]);
-        let beat = spawn_local(async move {
+    with_stopped_clock(async {
+        let (script, proxy) = start_scripted_proxy().await;
+        let send_next = Arc::new(Notify::new());
+        let mut response = ScriptedResponse::raw(CHUNKED, ConnectionEnd::KeepOpen);
+        response.repeat = Some((send_next.clone(), chunk.into()));
+        script.enqueue([response]);
+        let sending = spawn_local(async move {
             loop {
-                going.notify_one();
+                send_next.notify_one();
                 match pause_ms {
                     Some(pause) => sleep(Duration::from_millis(pause)).await,
-                    // Something more at every turn, and no more than is read in it: nothing lies before the end.
+                    // One chunk at each turn, which is read in that turn, so that no unread bytes precede the abort.
                     None => yield_now().await,
                 }
             }
         });
-        let mut sender = connect(program.addr).await;
-        let asked = Instant::now();
-        let answer = flowing(within_deadline(sender.send_request(once(1000)))).await.expect("it begins");
-        assert_eq!(answer.status(), 200);
-        let rest = flowing(within_deadline(read_through(answer.into_body()))).await;
-        let took = asked.elapsed();
-        assert!(rest.is_err(), "it passed for a whole one");
-        assert!(took >= Duration::from_millis(1000), "it could have ended in time: {took:?}");
-        assert!(took < Duration::from_millis(1500), "lost half a second after its time: {took:?}");
-        flowing(script.wait_for_close(0)).await;
-        beat.abort();
-        assert_eq!(flowing(program.call("once")).await, (200, "served".into()));
+        let mut sender = connect(proxy.addr).await;
+        let sent_at = Instant::now();
+        let response =
+            advance_until(within_deadline(sender.send_request(once(1000)))).await.expect("a response head");
+        assert_eq!(response.status(), 200);
+        let rest = advance_until(within_deadline(read_to_end(response.into_body()))).await;
+        let took = sent_at.elapsed();
+        assert!(rest.is_err(), "the response looked complete");
+        assert!(took >= Duration::from_millis(1000), "aborted before the client's deadline: {took:?}");
+        assert!(took < Duration::from_millis(1500), "aborted half a second or more too late: {took:?}");
+        advance_until(script.wait_for_close(0)).await;
+        sending.abort();
+        assert_eq!(advance_until(proxy.call("once")).await, (200, "served".into()));
     })
     .await;
 }
 
-/// Reads an answer to its end and keeps nothing of it.
-async fn read_through(mut body: Incoming) -> hyper::Result<()> {
+/// Reads a response body to its end and discards it.
+async fn read_to_end(mut body: Incoming) -> hyper::Result<()> {
     while let Some(frame) = body.frame().await {
         frame?;
     }
     Ok(())
 }
 
-/// Their length told or not, with less time left than long ones are held back.
+/// The client timeout is shorter than the time for which a response without a length is buffered. The length is
+/// announced or not.
 #[tokio::test(start_paused = true)]
-async fn an_answer_that_stops_half_way_is_failed_in_time_where_time_is_short() {
-    standing(async {
-        let (script, program) = stage().await;
+async fn a_response_that_stops_before_its_end_fails_within_a_short_timeout() {
+    with_stopped_clock(async {
+        let (script, proxy) = start_scripted_proxy().await;
         for text in [
             format!("{OK}Content-Length: 9\r\n\r\nhalf"),
             format!("{CHUNKED}4\r\nhalf\r\n"),
             format!("{OK}\r\nhalf"),
         ] {
-            let held = Arc::new(Notify::new());
-            script.enqueue([ScriptedResponse::raw(&text, ConnectionEnd::KeepOpen).then_write(&held, "")]);
-            let mut caller = program.caller().await;
-            let asked = Instant::now();
-            let (status, _) = flowing(caller.send(once(250))).await;
-            assert!((500..600).contains(&status) && status != 503, "{text:?}: {status} promises nothing");
-            assert!(asked.elapsed() < Duration::from_millis(750), "{text:?}: {:?}", asked.elapsed());
-            held.notify_one();
+            let release = Arc::new(Notify::new());
+            script.enqueue([ScriptedResponse::raw(&text, ConnectionEnd::KeepOpen).then_write(&release, "")]);
+            let mut client = proxy.connect_client().await;
+            let sent_at = Instant::now();
+            let (status, _) = advance_until(client.send(once(250))).await;
+            assert!(
+                (500..600).contains(&status) && status != 503,
+                "{text:?}: status {status}, but the request may have run"
+            );
+            assert!(sent_at.elapsed() < Duration::from_millis(750), "{text:?}: {:?}", sent_at.elapsed());
+            release.notify_one();
         }
     })
     .await;
--- a/tests/unit/proxy/paused/mod.rs
+++ b/tests/unit/proxy/paused/mod.rs
@@ -1,5 +1,6 @@
-//! The whole program beside its callers, backends and discovery on real sockets, in one thread and on a clock that the
-//! test moves: bounds of time are judged by the program's own clock, which a busy machine cannot make late.
+//! Tests of the whole proxy with its clients, backends and discovery on real sockets, in one thread and with a
+//! clock that the test advances. Time limits are checked on the proxy's own clock, so that a busy machine cannot
+//! make the proxy late.
 
 #[path = "../../../agent_rig/mod.rs"]
 mod agent_rig;
--- a/tests/unit/proxy/paused/returns.rs
+++ b/tests/unit/proxy/paused/returns.rs
@@ -1,58 +1,71 @@
-//! What discovery's agent has at its return is known within the grace of a drain, whatever became of earlier calls.
+//! Tests that the list of a discovery agent that is available again is applied within the grace of a drain,
+//! whatever happened to earlier calls.
 
 use super::agent_rig::Agent;
-use super::clock::{flowing, standing};
-use super::program::Program;
+use super::clock::{advance_until, with_stopped_clock};
+use super::program::InProcessProxy;
 use super::rig::{BackendControl, TestBackend, refusing_address, settings, within_deadline};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// The rig's `stopSendingWithin`, and the protocol's slack on every limit.
+/// The test settings' `stopSendingWithin`, plus the protocol's tolerance on every limit.
 const GRACE: Duration = Duration::from_millis(550);
 
-/// The agent falls silent for a while and has news at its return. What it was asked meanwhile is never answered.
+/// The agent does not respond for a while and has a changed list afterwards. Calls that were made meanwhile are never
+/// answered.
 #[tokio::test(start_paused = true)]
-async fn what_an_agent_has_at_its_return_is_known_within_the_grace_whatever_stays_unanswered() {
-    standing(async {
-        let orders = Arc::new(BackendControl::default());
-        let (a, b) = (TestBackend::start("a", &orders).await, TestBackend::start("b", &orders).await);
+async fn a_changed_list_is_applied_within_the_grace_after_an_outage_with_unanswered_calls() {
+    with_stopped_clock(async {
+        let control = Arc::new(BackendControl::default());
+        let (a, b) = (TestBackend::start("a", &control).await, TestBackend::start("b", &control).await);
         let agent = Agent::start(vec![a.endpoint_entry("SERVING"), b.endpoint_entry("SERVING")]).await;
-        let program = Program::start(&agent.config(settings())).await;
-        flowing(agent.held()).await;
+        let proxy = InProcessProxy::start(&agent.config(settings())).await;
+        advance_until(agent.held()).await;
         for (drains, serves) in [(&a, &b), (&b, &a)].into_iter().cycle().take(8) {
             agent.turn();
             let before = agent.calls().len();
-            // The third call of the outage has just begun: its time is before it.
-            flowing(agent.called(before + 3)).await;
+            // The third call of the outage has just begun, so that its whole timeout is still ahead.
+            advance_until(agent.called(before + 3)).await;
             agent.turn();
-            let back = Instant::now();
+            let available_at = Instant::now();
             agent.change(vec![drains.endpoint_entry("DRAINING"), serves.endpoint_entry("SERVING")]);
-            flowing(agent.held()).await;
-            assert!(back.elapsed() < GRACE, "known only {:?} after the return", back.elapsed());
-            assert_eq!(flowing(program.call("look")).await, (200, serves.name.into()));
+            advance_until(agent.held()).await;
+            assert!(
+                available_at.elapsed() < GRACE,
+                "list applied {:?} after the agent was available",
+                available_at.elapsed()
+            );
+            assert_eq!(advance_until(proxy.call("look")).await, (200, serves.name.into()));
         }
     })
     .await;
 }
 
-/// The agent refuses for so long that pauses have grown to their longest, and then listens.
+/// The agent refuses connections until the backoff has reached its maximum, and then listens.
 #[tokio::test(start_paused = true)]
-async fn an_agent_that_refused_for_long_is_asked_within_the_grace_of_its_return() {
+async fn an_agent_that_listens_after_a_long_outage_is_called_within_the_grace() {
     for outage_ms in (3000..4000).step_by(100) {
-        standing(async {
-            let orders = Arc::new(BackendControl::default());
-            let a = TestBackend::start("a", &orders).await;
-            let (place, there) = refusing_address();
+        with_stopped_clock(async {
+            let control = Arc::new(BackendControl::default());
+            let a = TestBackend::start("a", &control).await;
+            let (reserved, agent_addr) = refusing_address();
             let mut config = Agent::start(Vec::new()).await.config(settings());
-            config["discovery"] = there.to_string().into();
-            let program = Program::start(&config).await;
-            flowing(sleep(Duration::from_millis(outage_ms))).await;
-            let back = Instant::now();
-            let agent = Agent::on(place.listen(64).expect("it listens"), vec![a.endpoint_entry("SERVING")]);
-            flowing(within_deadline(agent.held())).await;
-            assert!(back.elapsed() < GRACE, "held only {:?} after the return", back.elapsed());
-            assert_eq!(flowing(program.call("look")).await, (200, "a".into()));
+            config["discovery"] = agent_addr.to_string().into();
+            let proxy = InProcessProxy::start(&config).await;
+            advance_until(sleep(Duration::from_millis(outage_ms))).await;
+            let available_at = Instant::now();
+            let agent = Agent::on(
+                reserved.listen(64).expect("listen on the reserved port"),
+                vec![a.endpoint_entry("SERVING")],
+            );
+            advance_until(within_deadline(agent.held())).await;
+            assert!(
+                available_at.elapsed() < GRACE,
+                "watch began {:?} after the agent was available",
+                available_at.elapsed()
+            );
+            assert_eq!(advance_until(proxy.call("look")).await, (200, "a".into()));
         })
         .await;
     }
--- a/tests/unit/proxy/paused/rig.rs
+++ b/tests/unit/proxy/paused/rig.rs
@@ -1,4 +1,4 @@
-//! What the tests with a started process use too.
+//! Test rig modules that are shared with the tests of a separate proxy process.
 #![allow(dead_code, unused_imports)]
 
 #[path = "../../../rig/backend.rs"]
