--- a/src/bin/proxy/downstream/connection.rs
+++ b/src/bin/proxy/downstream/connection.rs
@@ -6,7 +6,7 @@
 use super::Downstream;
 use super::handle::RequestSource;
 use super::lingering_close::LingeringClose;
-use super::respond::{Reply, closing, plain};
+use super::respond::{Reply, close_after, empty_response};
 use crate::body;
 use crate::io::{ClientStream, Watched};
 use hyper::body::Incoming;
@@ -130,7 +130,7 @@
         let service = service_fn(async |request| {
             activity.had_request.set(true);
             if progress.has_conflicting_framing() {
-                return Ok(closing(plain(StatusCode::BAD_REQUEST)));
+                return Ok(close_after(empty_response(StatusCode::BAD_REQUEST)));
             }
             let reply = self.handle_request(request, source).await;
             activity.idle_since.set(Instant::now());
--- a/src/bin/proxy/downstream/handle.rs
+++ b/src/bin/proxy/downstream/handle.rs
@@ -4,7 +4,7 @@
 //! [`Downstream::handle_request`] only.
 
 use super::Downstream;
-use super::respond::{Reply, closing, plain, respond};
+use super::respond::{Reply, close_after, empty_response, respond};
 use crate::body::{BodyState, RemainingBody};
 use crate::counters::RequestRecord;
 use crate::engine::{AdmittedRequest, NotAdmitted, ParsedRequest, RequestEnd};
@@ -52,13 +52,13 @@
         };
         let readiness = self.readiness();
         let parsed = if request.uri().path() == "/health/ready" {
-            Err(Box::new(plain(readiness)))
+            Err(Box::new(empty_response(readiness)))
         } else {
             self.read_request(request, source).await
         };
         let reply = match parsed {
             // Bytes of an unread body would be parsed as the next request.
-            Err(reply) if announced.has_body => closing(*reply),
+            Err(reply) if announced.has_body => close_after(*reply),
             Err(reply) => *reply,
             // Idle clients count towards the connection limit, so a request is rejected only if the unanswered
             // requests alone reach it.
@@ -69,7 +69,7 @@
             }
             Ok((parsed, record)) => self.serve_request(parsed, record, announced, source).await,
         };
-        Ok(if self.must_close(source.client) { closing(reply) } else { reply })
+        Ok(if self.must_close(source.client) { close_after(reply) } else { reply })
     }
 
     /// Returns the status of `/health/ready`.
@@ -99,19 +99,19 @@
         source.client.set_request_complete(body.is_none());
         let mut ended = pin!(ended(self.engine.admit(request)));
         let Some(body) = body else {
-            let end = unless_client_leaves(ended, source.client).await;
-            return respond(self.in_time(end, received_at), record);
+            let end = end_or_client_left(ended, source.client).await;
+            return respond(self.fail_late_stream(end, received_at), record);
         };
         let complete_or_ended = async {
             tokio::select! {
                 end = &mut ended => return end,
-                state = body.settled() => body_settled(state, &mut record, source),
+                state = body.settled() => record_body_end(state, &mut record, source),
             }
             ended.await
         };
-        let end = unless_client_leaves(complete_or_ended, source.client).await;
+        let end = end_or_client_left(complete_or_ended, source.client).await;
         let end = match body.state() {
-            BodyState::Complete(at) => self.in_time(end, at),
+            BodyState::Complete(at) => self.fail_late_stream(end, at),
             _ => end,
         };
         respond_with_unread_body(end, record, &body, announced)
@@ -119,7 +119,7 @@
 
     /// Turns a streamed response into an exceeded deadline if the request was completed too late after the stop
     /// began. The end of a streamed response is not known, and the platform's SIGKILL could cut it off.
-    fn in_time(&self, end: RequestEnd, complete_at: Instant) -> RequestEnd {
+    fn fail_late_stream(&self, end: RequestEnd, complete_at: Instant) -> RequestEnd {
         match end {
             RequestEnd::Served(UpstreamResponse { remaining: Some(_), .. })
                 if self.lifecycle.is_late_request(complete_at) =>
@@ -140,7 +140,7 @@
 }
 
 /// Waits for the end of a request, or until its client has left.
-async fn unless_client_leaves(ended: impl Future<Output = RequestEnd>, client: &Client) -> RequestEnd {
+async fn end_or_client_left(ended: impl Future<Output = RequestEnd>, client: &Client) -> RequestEnd {
     tokio::select! {
         biased;
         end = ended => end,
@@ -150,7 +150,7 @@
 
 /// Records that a streamed request body is complete or broken. After a complete body the request must be answered,
 /// and the next bytes belong to the head of another request.
-fn body_settled(state: BodyState, record: &mut RequestRecord, source: RequestSource<'_>) {
+fn record_body_end(state: BodyState, record: &mut RequestRecord, source: RequestSource<'_>) {
     if state != BodyState::Broken {
         source.client.set_request_complete(true);
         source.progress.await_head();
@@ -171,7 +171,7 @@
 ) -> Reply {
     let unread = if matches!(end, RequestEnd::Served(_)) { None } else { body.withdraw() };
     match unread {
-        Some(_) if announced.expects_continue && !body.was_passed_on() => closing(respond(end, record)),
+        Some(_) if announced.expects_continue && !body.was_passed_on() => close_after(respond(end, record)),
         Some(unread) => {
             spawn_local(unread.drain());
             respond(end, record)
--- a/src/bin/proxy/downstream/read_request.rs
+++ b/src/bin/proxy/downstream/read_request.rs
@@ -4,7 +4,7 @@
 
 use super::Downstream;
 use super::handle::RequestSource;
-use super::respond::{Reply, plain};
+use super::respond::{Reply, empty_response};
 use crate::body::{self, BufferReservation, RateLimitedBody, RemainingBody};
 use crate::counters::RequestRecord;
 use crate::engine::{ParsedRequest, millis};
@@ -99,7 +99,7 @@
         has_no_body: bool,
     ) -> Result<CheckedHead, ErrorReply> {
         let class = class_of(&self.platform.site.classes, uri.path());
-        let class = class.ok_or_else(|| status(StatusCode::NOT_FOUND))?;
+        let class = class.ok_or_else(|| error_reply(StatusCode::NOT_FOUND))?;
         let id = single_value(headers, "req-id").ok_or_else(bad_request)?.clone();
         let tenant = self.tenant_of(headers).ok_or_else(bad_request)?;
         let client_timeout = self.client_timeout(headers).ok_or_else(bad_request)?;
@@ -150,14 +150,14 @@
             if !headers.contains_key(EXPECT) {
                 spawn_local(body.drain());
             }
-            return Err(status(StatusCode::PAYLOAD_TOO_LARGE));
+            return Err(error_reply(StatusCode::PAYLOAD_TOO_LARGE));
         }
         let Some(mut buffer_permit) = self.buffer_budget.reserve(length) else {
             return Ok(BufferedBody { buffered: Bytes::new(), remaining: Some(body), buffer_permit: None });
         };
         let mut buffered = BytesMut::new();
         let is_complete = body.read_into(&mut buffered).await.map_err(|e| match e.kind() {
-            io::ErrorKind::TimedOut => status(StatusCode::REQUEST_TIMEOUT),
+            io::ErrorKind::TimedOut => error_reply(StatusCode::REQUEST_TIMEOUT),
             _ => bad_request(),
         })?;
         buffer_permit.shrink(buffered.len());
@@ -169,16 +169,16 @@
     }
 }
 
-fn status(status: StatusCode) -> ErrorReply {
-    Box::new(plain(status))
+fn error_reply(status: StatusCode) -> ErrorReply {
+    Box::new(empty_response(status))
 }
 
 fn bad_request() -> ErrorReply {
-    status(StatusCode::BAD_REQUEST)
+    error_reply(StatusCode::BAD_REQUEST)
 }
 
 fn method_not_allowed(allowed: &Method) -> ErrorReply {
-    let mut reply = plain(StatusCode::METHOD_NOT_ALLOWED);
+    let mut reply = empty_response(StatusCode::METHOD_NOT_ALLOWED);
     let allow = HeaderValue::from_static(if *allowed == Method::GET { "GET" } else { "POST" });
     reply.headers_mut().insert(ALLOW, allow);
     Box::new(reply)
--- a/src/bin/proxy/downstream/respond.rs
+++ b/src/bin/proxy/downstream/respond.rs
@@ -61,14 +61,14 @@
 }
 
 /// Returns a response without a body.
-pub(super) fn plain(status: StatusCode) -> Reply {
+pub(super) fn empty_response(status: StatusCode) -> Reply {
     let mut reply = Response::new(ResponseBody::default());
     *reply.status_mut() = status;
     reply
 }
 
 /// Adds `Connection: close` to a response, which makes it the last one on its connection.
-pub(super) fn closing(mut reply: Reply) -> Reply {
+pub(super) fn close_after(mut reply: Reply) -> Reply {
     reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     reply
 }
@@ -98,7 +98,7 @@
         Response::new(ResponseBody { data, remaining, record: Some(record), _buffer_permit: buffer_permit });
     *reply.status_mut() = status;
     if status == StatusCode::REQUEST_TIMEOUT {
-        reply = closing(reply);
+        reply = close_after(reply);
     }
     let seconds = retry_after.map(|delay| format!("{:.3}", delay.as_secs_f64()));
     if let Some(value) = seconds.and_then(|s| HeaderValue::try_from(s).ok()) {
--- a/src/bin/proxy/engine/admit.rs
+++ b/src/bin/proxy/engine/admit.rs
@@ -29,7 +29,7 @@
 /// The error for a request that is not passed to the balancer because too many requests are open, or because the
 /// process stops and no time is left for an attempt.
 #[derive(Debug, thiserror::Error)]
-#[error("not admitted")]
+#[error("too many requests are open, or the process stops and no time is left for an attempt")]
 pub struct NotAdmitted;
 
 impl Engine {
--- a/src/bin/proxy/engine/observe.rs
+++ b/src/bin/proxy/engine/observe.rs
@@ -81,7 +81,7 @@
     /// Reports an attempt that was not sent. It has a number, under which it appears in the recording.
     pub(super) fn observe_not_sent(&self, request: RequestId, number: usize, backend: BackendId) {
         if let Some(observer) = &self.observer {
-            observer.not_sent(self.now_ms(), request, number as u8, backend);
+            observer.attempt_not_sent(self.now_ms(), request, number as u8, backend);
         }
     }
 
--- a/src/bin/proxy/observer.rs
+++ b/src/bin/proxy/observer.rs
@@ -179,7 +179,7 @@
     }
 
     /// Records an attempt that has a number but was not sent.
-    pub fn not_sent(&self, now_ms: f64, request: RequestId, number: AttemptNo, backend: BackendId) {
+    pub fn attempt_not_sent(&self, now_ms: f64, request: RequestId, number: AttemptNo, backend: BackendId) {
         if let Some(recording) = self.recording.get() {
             recording.attempt_sent(now_ms, request, backend, 0);
             recording.attempt_ended(now_ms, request, number, Outcome::NotSent);
