--- a/src/bin/proxy/downstream/handle.rs
+++ b/src/bin/proxy/downstream/handle.rs
@@ -1,10 +1,10 @@
 //! Handles one request from its head to its response, phase by phase.
 //!
-//! Acts for each request on a client's connection, also for `/health/ready`. In what order the phases run is written in
-//! [`Downstream::handle_request`] and nowhere else.
+//! Runs for each request on a client connection, including `/health/ready`. The order of the phases is defined in
+//! [`Downstream::handle_request`] only.
 
 use super::Downstream;
-use super::respond::{Reply, closing, plain, respond};
+use super::respond::{Reply, close_after, empty_response, respond};
 use crate::body::{BodyState, RemainingBody};
 use crate::counters::RequestRecord;
 use crate::engine::{AdmittedRequest, NotAdmitted, ParsedRequest, RequestEnd};
@@ -20,27 +20,27 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// The connection that a request came on.
+/// The connection on which a request arrived.
 #[derive(Clone, Copy)]
 pub(super) struct RequestSource<'a> {
-    /// Whether it was accepted beyond the limit of connections.
+    /// Whether the connection was accepted beyond the connection limit.
     pub(super) over_limit: bool,
     pub(super) progress: &'a Progress,
     pub(super) client: &'a Rc<Client>,
 }
 
-/// What the client announced of its body.
+/// What a request's head announces about its body.
 #[derive(Clone, Copy)]
 struct Announced {
     has_body: bool,
-    /// It sends its body only after a `100 Continue`.
+    /// Whether the client sends its body only after a `100 Continue`.
     expects_continue: bool,
 }
 
 impl Downstream {
-    /// The way of a request: `read_request` -> `admit` -> (`select_endpoint` -> `connect` -> `forward` -> `await_response`,
-    /// again for each retry) -> `respond` -> `account`. The balancer selects the endpoint, the engine starts the attempt,
-    /// and `connect` to `await_response` are in `upstream/`.
+    /// Runs the phases of a request: `read_request` -> `admit` -> (`select_endpoint` -> `connect` -> `forward` ->
+    /// `await_response`, repeated for each retry) -> `respond` -> `account`. The balancer selects the endpoint, the
+    /// engine starts the attempt, and `connect` to `await_response` are in `upstream/`.
     pub(super) async fn handle_request(
         &self,
         request: Request<Incoming>,
@@ -52,15 +52,16 @@
         };
         let readiness = self.readiness();
         let parsed = if request.uri().path() == "/health/ready" {
-            Err(Box::new(plain(readiness)))
+            Err(Box::new(empty_response(readiness)))
         } else {
             self.read_request(request, source).await
         };
         let reply = match parsed {
-            // Guards against bytes of an unread body that would be taken for the next request.
-            Err(reply) if announced.has_body => closing(*reply),
+            // Bytes of an unread body would be parsed as the next request.
+            Err(reply) if announced.has_body => close_after(*reply),
             Err(reply) => *reply,
-            // Idle clients hold connections too: what is rejected is work beyond what can be served.
+            // Idle clients count towards the connection limit, so a request is rejected only if the unanswered
+            // requests alone reach it.
             Ok((_, record))
                 if source.over_limit && self.engine.unanswered_requests() >= self.own_connections() =>
             {
@@ -68,17 +69,17 @@
             }
             Ok((parsed, record)) => self.serve_request(parsed, record, announced, source).await,
         };
-        Ok(if self.must_close(source.client) { closing(reply) } else { reply })
+        Ok(if self.must_close(source.client) { close_after(reply) } else { reply })
     }
 
-    /// The status of `/health/ready`.
+    /// Returns the status of `/health/ready`.
     fn readiness(&self) -> StatusCode {
         let ready = self.engine.is_ready() && self.lifecycle.phase().keeps_connections();
         if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }
     }
 
-    /// Whether a client's connection is closed after its response. Clients that send one request and stay connected would
-    /// soon hold all connections: as those run short, none is kept.
+    /// Returns whether a client's connection is closed after its response. Clients that send one request and stay
+    /// connected would soon hold all connections, so that none is kept once more than half of the limit is in use.
     fn must_close(&self, client: &Client) -> bool {
         2 * self.open.get() > self.own_connections()
             || !self.lifecycle.phase().keeps_connections()
@@ -98,27 +99,27 @@
         source.client.set_request_complete(body.is_none());
         let mut ended = pin!(ended(self.engine.admit(request)));
         let Some(body) = body else {
-            let end = unless_client_leaves(ended, source.client).await;
-            return respond(self.in_time(end, received_at), record);
+            let end = end_or_client_left(ended, source.client).await;
+            return respond(self.fail_late_stream(end, received_at), record);
         };
         let complete_or_ended = async {
             tokio::select! {
                 end = &mut ended => return end,
-                state = body.settled() => body_settled(state, &mut record, source),
+                state = body.settled() => record_body_end(state, &mut record, source),
             }
             ended.await
         };
-        let end = unless_client_leaves(complete_or_ended, source.client).await;
+        let end = end_or_client_left(complete_or_ended, source.client).await;
         let end = match body.state() {
-            BodyState::Complete(at) => self.in_time(end, at),
+            BodyState::Complete(at) => self.fail_late_stream(end, at),
             _ => end,
         };
         respond_with_unread_body(end, record, &body, announced)
     }
 
-    /// Guards against a response that is begun and then lost at the SIGKILL by the platform: one that flows has no end in
-    /// sight, so that for a request that came late after the stop it counts as too late.
-    fn in_time(&self, end: RequestEnd, complete_at: Instant) -> RequestEnd {
+    /// Turns a streamed response into an exceeded deadline if the request was completed too late after the stop
+    /// began. The end of a streamed response is not known, and the platform's SIGKILL could cut it off.
+    fn fail_late_stream(&self, end: RequestEnd, complete_at: Instant) -> RequestEnd {
         match end {
             RequestEnd::Served(UpstreamResponse { remaining: Some(_), .. })
                 if self.lifecycle.is_late_request(complete_at) =>
@@ -130,7 +131,7 @@
     }
 }
 
-/// Waits for the end of a request that was or was not admitted.
+/// Waits for the end of an admitted request; one that was not admitted ends at once as rejected.
 async fn ended(admitted: Result<AdmittedRequest, NotAdmitted>) -> RequestEnd {
     match admitted {
         Ok(request) => request.ended().await,
@@ -138,7 +139,8 @@
     }
 }
 
-async fn unless_client_leaves(ended: impl Future<Output = RequestEnd>, client: &Client) -> RequestEnd {
+/// Waits for the end of a request, or until its client has left.
+async fn end_or_client_left(ended: impl Future<Output = RequestEnd>, client: &Client) -> RequestEnd {
     tokio::select! {
         biased;
         end = ended => end,
@@ -146,8 +148,9 @@
     }
 }
 
-/// The body that flowed is complete or broken off. When complete, an answer is owed, and the next bytes are another head's.
-fn body_settled(state: BodyState, record: &mut RequestRecord, source: RequestSource<'_>) {
+/// Records that a streamed request body is complete or broken. After a complete body the request must be answered,
+/// and the next bytes belong to the head of another request.
+fn record_body_end(state: BodyState, record: &mut RequestRecord, source: RequestSource<'_>) {
     if state != BodyState::Broken {
         source.client.set_request_complete(true);
         source.progress.await_head();
@@ -155,10 +158,11 @@
     }
 }
 
-/// Responds to a request whose body was not buffered, and sees to what of it is unread.
+/// Responds to a request whose body was not buffered, and drains what was not read of it.
 ///
-/// Guards against a response that is lost: closed over unread bytes, the client's connection would be reset. So the body is
-/// read to its end and dropped; where the client awaits a `100 Continue` it may never send it, and the connection closes.
+/// A connection that closes with unread bytes is reset, and the client may lose the response. The body is therefore
+/// read and discarded. A client that awaits a `100 Continue` may never send the body, so that its connection closes
+/// instead.
 fn respond_with_unread_body(
     end: RequestEnd,
     record: RequestRecord,
@@ -167,9 +171,9 @@
 ) -> Reply {
     let unread = if matches!(end, RequestEnd::Served(_)) { None } else { body.withdraw() };
     match unread {
-        Some(_) if announced.expects_continue && !body.was_passed_on() => closing(respond(end, record)),
-        Some(flow) => {
-            spawn_local(flow.drain());
+        Some(_) if announced.expects_continue && !body.was_passed_on() => close_after(respond(end, record)),
+        Some(unread) => {
+            spawn_local(unread.drain());
             respond(end, record)
         }
         None => respond(end, record),
