--- a/src/bin/simulator-adapter/wire/decoder.rs
+++ b/src/bin/simulator-adapter/wire/decoder.rs
@@ -1,48 +1,49 @@
-//! Decodes records, one function for each, and keeps the numbered endpoint lists that they refer to.
+//! Decodes records, one function per record type, and keeps the numbered endpoint lists that records refer to.
 //!
-//! The names in errors are those of the simulator's fields. Every field is read, also one that no decision needs, so
-//! that a malformed record is an error and the next one begins at the right byte.
+//! Errors name fields as the simulator does. Every field is read, even if no decision needs it, so that a malformed
+//! record is an error and the next record begins at the right byte.
 
 use super::frame::{Frame, HEADER_LENGTH};
 use super::reader::Reader;
+use crate::error::{Error, FieldError, InstanceError};
 use load_balancer::interface::{Arrival, Entry, Event, ListKind, Resolved};
 
-/// How many numbered endpoint lists there can be.
+/// Maximum number of numbered endpoint lists.
 const MAX_LISTS: usize = 16;
 
-/// A decoded record.
+/// Decoded record.
 pub enum Record {
     /// An instance starts.
     Launch {
-        /// The instance.
+        /// Number of the instance.
         instance: u16,
-        /// Seed of its random numbers.
+        /// Seed of the instance's random numbers.
         seed: u64,
-        /// Its settings as JSON text.
+        /// Settings of the instance as JSON text.
         facts: Vec<u8>,
     },
     /// An instance was killed.
     Shutdown {
-        /// The instance.
+        /// Number of the instance.
         instance: u16,
     },
-    /// A numbered endpoint list, which the decoder keeps.
+    /// A numbered endpoint list is defined; the decoder keeps it.
     Census,
-    /// A record for an instance that no decision needs.
+    /// An instance receives something that no decision needs.
     Unused {
-        /// The instance.
+        /// Number of the instance.
         instance: u16,
     },
-    /// An event for an instance.
+    /// An instance receives an event.
     Event {
-        /// The instance.
+        /// Number of the instance.
         instance: u16,
-        /// The event.
+        /// Event to handle.
         event: Event,
     },
 }
 
-/// Decodes records. It holds the numbered endpoint lists, which all instances share and which outlive a frame.
+/// Decodes records, and holds the numbered endpoint lists, which all instances share and which outlive a frame.
 #[derive(Default)]
 pub struct Decoder {
     lists: [Option<Vec<Entry>>; MAX_LISTS],
@@ -53,30 +54,27 @@
     pub fn decode(
         &mut self,
         frame: &Frame,
-        mut handle: impl FnMut(Record) -> Result<(), String>,
-    ) -> Result<(), String> {
-        let mut reader = Reader { bytes: &frame.body, at: 0, start: HEADER_LENGTH };
+        mut handle: impl FnMut(Record) -> Result<(), InstanceError>,
+    ) -> Result<(), Error> {
+        let mut reader = Reader { bytes: &frame.body, position: 0, frame_offset: HEADER_LENGTH };
         for number in 0..frame.count {
-            let begin = HEADER_LENGTH + reader.at;
-            let record = self.record(&mut reader).map_err(|error| format!("record {number}: {error}"))?;
-            handle(record).map_err(|error| format!("record {number}: byte {begin}: {error}"))?;
+            let byte = reader.offset();
+            let record = self.record(&mut reader).map_err(|source| Error::Decode { number, source })?;
+            handle(record).map_err(|source| Error::Handle { number, byte, source })?;
         }
-        match frame.body.len() - reader.at {
+        match frame.body.len() - reader.position {
             0 => Ok(()),
-            left => {
-                let at = HEADER_LENGTH + reader.at;
-                Err(format!("byte {at}: {left} bytes left over after the last record"))
-            }
+            count => Err(Error::LeftOver { byte: reader.offset(), count }),
         }
     }
 
-    fn record(&mut self, reader: &mut Reader) -> Result<Record, String> {
+    fn record(&mut self, reader: &mut Reader) -> Result<Record, FieldError> {
         let code = reader.u16("code")?;
         if code == 11 {
             return self.census(reader);
         }
         if !(1..=10).contains(&code) {
-            return reader.bad(2, "event", format_args!("{code} is unknown"));
+            return Err(reader.unknown(2, "event", code));
         }
         let instance = reader.u16("proxyId")?;
         let event = match code {
@@ -94,47 +92,48 @@
         Ok(Record::Event { instance, event })
     }
 
-    /// `Census` (code 11): defines a numbered endpoint list. It has no instance.
-    fn census(&mut self, reader: &mut Reader) -> Result<Record, String> {
+    /// Decodes `Census` (code 11): a numbered endpoint list is defined, for all instances.
+    fn census(&mut self, reader: &mut Reader) -> Result<Record, FieldError> {
         let page = reader.u32("page")?;
         let Some(list) = self.lists.get_mut(page as usize) else {
-            return reader.bad(4, "page", format_args!("{page} is out of range"));
+            return Err(FieldError::PageOutOfRange { byte: reader.offset() - 4, page });
         };
         let lines = reader.u32("lines")?;
         *list = Some((0..lines).map(|_| reader.entry()).collect::<Result<_, _>>()?);
         Ok(Record::Census)
     }
 
-    /// `Discovery` (code 2): an instance receives a numbered list, or learns that its poll failed.
-    fn list(&self, reader: &mut Reader) -> Result<Event, String> {
+    /// Decodes `Discovery` (code 2): an instance receives a numbered list, or learns that its poll failed.
+    fn list(&self, reader: &mut Reader) -> Result<Event, FieldError> {
         let page = reader.u32("page")?;
         let kind = match reader.u8("kind")? {
             0 => ListKind::Full,
             1 => ListKind::Delta,
             2 => ListKind::Failed,
             3 => ListKind::Cached,
-            other => return reader.bad(1, "list kind", format_args!("{other} is unknown")),
+            other => return Err(reader.unknown(1, "list kind", other.into())),
         };
         let entries = match self.lists.get(page as usize) {
             _ if kind == ListKind::Failed => Vec::new(),
             Some(Some(entries)) => entries.clone(),
-            _ => return reader.bad(5, "page", format_args!("{page} was never defined")),
+            // The kind, of 1 byte, has been read after the page, of 4.
+            _ => return Err(FieldError::UndefinedPage { byte: reader.offset() - 5, page }),
         };
         reader.u64("serial")?;
         Ok(Event::List { kind, entries })
     }
 }
 
-/// `Launch` (code 1): an instance starts.
-fn launch(reader: &mut Reader, instance: u16) -> Result<Record, String> {
+/// Decodes `Launch` (code 1): an instance starts.
+fn launch(reader: &mut Reader, instance: u16) -> Result<Record, FieldError> {
     let seed = reader.u64("rngSeed")?;
     let length = reader.u32("facts")? as usize;
     let facts = reader.take(length, "facts")?.to_vec();
     Ok(Record::Launch { instance, seed, facts })
 }
 
-/// `Ingress` (code 3): a request arrives.
-fn request(reader: &mut Reader) -> Result<Event, String> {
+/// Decodes `Ingress` (code 3): a request arrives.
+fn request(reader: &mut Reader) -> Result<Event, FieldError> {
     let request = reader.u64("xid")?;
     let key = reader.u64("nameKey")?;
     let class = reader.u16("qos")?;
@@ -145,8 +144,8 @@
     Ok(Event::Request(Arrival { request, key, class, tenant, deadline_ms, body_pending: false }))
 }
 
-/// `FirstByte` (code 4): an attempt's answer has begun. Nothing here waits for it.
-fn first_byte(reader: &mut Reader, instance: u16) -> Result<Record, String> {
+/// Decodes `FirstByte` (code 4): the response to an attempt has begun. No decision needs it.
+fn first_byte(reader: &mut Reader, instance: u16) -> Result<Record, FieldError> {
     reader.u64("xid")?;
     reader.u8("hop")?;
     reader.u32("backend")?;
@@ -154,8 +153,8 @@
     Ok(Record::Unused { instance })
 }
 
-/// `Resolved` (code 5): an attempt has ended.
-fn resolved(reader: &mut Reader) -> Result<Event, String> {
+/// Decodes `Resolved` (code 5): an attempt has ended.
+fn resolved(reader: &mut Reader) -> Result<Event, FieldError> {
     let request = reader.u64("xid")?;
     let latency_ms = reader.f64("waitTime")?;
     let request_ended = reader.u8("final")? != 0;
@@ -174,8 +173,8 @@
     }))
 }
 
-/// `Sampled` (code 8): a health check has ended. Nothing here sends health checks.
-fn sampled(reader: &mut Reader, instance: u16) -> Result<Record, String> {
+/// Decodes `Sampled` (code 8): a health check has ended. The decision module sends no health checks.
+fn sampled(reader: &mut Reader, instance: u16) -> Result<Record, FieldError> {
     reader.f64("waitTime")?;
     reader.u32("backend")?;
     reader.outcome()?;
@@ -183,8 +182,8 @@
     Ok(Record::Unused { instance })
 }
 
-/// `Datagram` (code 9): a message from another instance. Nothing here sends messages.
-fn datagram(reader: &mut Reader, instance: u16) -> Result<Record, String> {
+/// Decodes `Datagram` (code 9): a message from another instance. The decision module sends no messages.
+fn datagram(reader: &mut Reader, instance: u16) -> Result<Record, FieldError> {
     reader.u32("originPeer")?;
     let length = reader.u16("bytes")? as usize;
     reader.take(length, "bytes")?;
--- a/src/bin/simulator-adapter/wire/frame.rs
+++ b/src/bin/simulator-adapter/wire/frame.rs
@@ -1,45 +1,45 @@
-//! Frames: a clock, and the bytes of the records that are due at it.
+//! Reads frames: a simulated time, and the encoded records that are due then.
 
 use super::reader::Reader;
-use std::io::{self, Read};
+use crate::error::Error;
+use std::io::Read;
 
-/// Bytes before a frame's records: their count, the length of what follows, and the clock.
+/// Length of a frame's header, in bytes: the count of records, the length of what follows that length, and the clock.
 pub(super) const HEADER_LENGTH: usize = 16;
-/// Bytes of the clock, which the length counts with the records.
+/// Length of the clock, in bytes. The length in the header counts the clock as well as the records.
 const CLOCK_LENGTH: usize = 8;
 
-/// A frame with its records undecoded.
+/// Frame whose records are not decoded yet.
 pub struct Frame {
-    /// The clock, ms.
+    /// Simulated time of the frame, in ms.
     pub now_ms: f64,
-    /// The number of its records.
+    /// Number of records in the frame.
     pub count: u32,
-    /// The bytes of its records.
+    /// Encoded records of the frame.
     pub body: Vec<u8>,
 }
 
-/// Reads a frame; `None` at the end of input. Input that ends within a frame is an error.
-pub fn read_frame(input: &mut impl Read) -> Result<Option<Frame>, String> {
-    let failed = |e: io::Error| format!("frame: {e}");
+/// Reads a frame, or `None` at the end of input. Input that ends within a frame is an error.
+pub fn read_frame(input: &mut impl Read) -> Result<Option<Frame>, Error> {
     let mut header = Vec::with_capacity(HEADER_LENGTH);
-    input.by_ref().take(HEADER_LENGTH as u64).read_to_end(&mut header).map_err(failed)?;
+    input.by_ref().take(HEADER_LENGTH as u64).read_to_end(&mut header).map_err(Error::ReadFrame)?;
     if header.is_empty() {
         return Ok(None);
     }
     if header.len() < HEADER_LENGTH {
-        return Err(format!("frame: truncated in its header, {} of {HEADER_LENGTH} bytes", header.len()));
+        return Err(Error::TruncatedHeader { read: header.len(), expected: HEADER_LENGTH });
     }
-    let mut reader = Reader { bytes: &header, at: 0, start: 0 };
+    let mut reader = Reader { bytes: &header, position: 0, frame_offset: 0 };
     let count = reader.u32("count")?;
     let length = reader.u32("length")? as usize;
     let now_ms = reader.f64("clock")?;
     let Some(length) = length.checked_sub(CLOCK_LENGTH) else {
-        return Err(format!("frame: byte 4: length {length} is shorter than the clock"));
+        return Err(Error::LengthWithoutClock(length));
     };
     let mut body = Vec::new();
-    input.by_ref().take(length as u64).read_to_end(&mut body).map_err(failed)?;
+    input.by_ref().take(length as u64).read_to_end(&mut body).map_err(Error::ReadFrame)?;
     if body.len() < length {
-        return Err(format!("frame: truncated, {} of {length} bytes after the header", body.len()));
+        return Err(Error::TruncatedRecords { read: body.len(), expected: length });
     }
     Ok(Some(Frame { now_ms, count, body }))
 }
--- a/src/bin/simulator-adapter/wire/mod.rs
+++ b/src/bin/simulator-adapter/wire/mod.rs
@@ -1,6 +1,7 @@
-//! The simulator's binary wire: decodes frames of records into events and encodes actions into replies.
+//! The simulator's binary protocol: decodes frames of records into events and encodes actions into replies.
 //!
-//! The simulator defines the wire. Nothing here decides; the decoder's numbered endpoint lists are the only state.
+//! The simulator defines the protocol. This module makes no decisions, and its only state is the decoder's numbered
+//! endpoint lists.
 
 mod decoder;
 mod frame;
--- a/src/bin/simulator-adapter/wire/reply.rs
+++ b/src/bin/simulator-adapter/wire/reply.rs
@@ -1,13 +1,13 @@
-//! Encodes replies: for each frame one, with the actions of its events in order.
+//! Encodes replies: one per frame, with the actions that its events caused, in order.
 
 use load_balancer::interface::Action;
 
-/// Bytes of the length that stands before a reply's actions.
+/// Size of the length field in front of a reply's actions, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// A reply to which actions are added.
+/// Reply under construction.
 pub struct Reply {
-    /// The length, 0 until the reply is finished, and the encoded actions.
+    /// Length field, which is 0 until [`Reply::finish`], followed by the encoded actions.
     bytes: Vec<u8>,
 }
 
@@ -18,14 +18,14 @@
 }
 
 impl Reply {
-    /// Adds the failure of an instance's decision code.
+    /// Appends a failure of an instance's decision code.
     pub fn push_failure(&mut self, instance: u16, text: &str) {
         self.push_header(10, instance);
         self.push_counted(text.as_bytes());
     }
 
-    /// Adds an instance's action. Those that the simulator has no record for add nothing: it follows its own list, and
-    /// the list guard, which asks for a resync, is off there.
+    /// Appends an action of an instance. Withdrawals and resyncs, for which the simulator has no record, are left out:
+    /// the simulator follows its own list, and the list guard, which requests resyncs, is off there.
     pub fn push(&mut self, instance: u16, action: &Action) {
         match action {
             Action::Send { request, backend, deadline_ms } => {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The reply's bytes, with its length before them.
+    /// Returns the encoded reply, which starts with its length.
     pub fn finish(mut self) -> Vec<u8> {
         let length = (self.bytes.len() - LENGTH_BYTES) as u32;
         self.bytes[..LENGTH_BYTES].copy_from_slice(&length.to_le_bytes());
@@ -77,7 +77,7 @@
         self.bytes.extend(instance.to_le_bytes());
     }
 
-    /// Adds bytes after their count, cut to what the count can express.
+    /// Appends a 16-bit count and the bytes, truncated to the largest count.
     fn push_counted(&mut self, bytes: &[u8]) {
         let count = bytes.len().min(usize::from(u16::MAX));
         self.bytes.extend((count as u16).to_le_bytes());
