--- a/src/bin/proxy/config/check.rs
+++ b/src/bin/proxy/config/check.rs
@@ -1,19 +1,19 @@
-//! Checks settings that could be read. Each error names the key as it is in the file, and what it may be.
+//! Validates settings after they were parsed. Each error names the key as in the file, and its accepted values.
 
 use load_balancer::platform_settings::PlatformSettings;
 use std::collections::HashSet;
 
-/// Fewer descriptors than this leave too few for connections.
-const MIN_SOCKETS: usize = 64;
-/// A shorter latency objective counts as missing, ms.
+/// Minimum of `limits.sockets`; fewer file descriptors leave too few for connections.
+const MIN_DESCRIPTORS: usize = 64;
+/// Minimum latency objective (ms); a shorter one counts as missing.
 const MIN_LATENCY_OBJECTIVE_MS: f64 = 1e-3;
 
-/// The first error.
-pub(super) fn first_error(sockets: usize, platform: &PlatformSettings) -> Option<String> {
+/// Returns the text of the first error, if the settings have one.
+pub(super) fn first_error(max_descriptors: usize, platform: &PlatformSettings) -> Option<String> {
     let site = &platform.site;
     let settings = &platform.settings;
-    let caps = [
-        (sockets < MIN_SOCKETS, "limits.sockets: too few to work with, from 64 on"),
+    let checks = [
+        (max_descriptors < MIN_DESCRIPTORS, "limits.sockets: too few to work with, from 64 on"),
         (settings.instance_count == 0, "settings: peersTotal: is 0, and this proxy is one; from 1 on"),
         (
             settings.instance_index >= settings.instance_count,
@@ -29,33 +29,35 @@
         (site.connect_timeout_ms <= 0.0, "settings: caps.connectTimeout: is missing or 0"),
         (site.drain_grace_ms <= 0.0, "settings: guarantees.stopSendingWithin: is missing or 0"),
     ];
-    let cap_error = || caps.iter().find(|(bad, _)| *bad).map(|(_, what)| (*what).to_string());
-    cap_error().or_else(|| name_error(platform)).or_else(|| objective_error(platform))
+    let value_error = || checks.iter().find(|(failed, _)| *failed).map(|(_, text)| (*text).to_string());
+    value_error().or_else(|| name_error(platform)).or_else(|| objective_error(platform))
 }
 
-/// Names must be unique: requests and lists refer to classes, tenants and zones by them.
+/// Returns the first error in the names of classes, tenants and zones. Names must be unique, as requests and endpoint
+/// lists refer to classes, tenants and zones by name.
 fn name_error(platform: &PlatformSettings) -> Option<String> {
     let site = &platform.site;
     let lists = [("classes", &site.classes), ("tenants", &site.tenants), ("localities", &site.zones)];
     for (key, names) in lists {
         let mut seen = HashSet::new();
-        if let Some(twice) = names.iter().find(|name| !seen.insert(name.as_str())) {
-            return Some(match twice.as_str() {
+        if let Some(repeated) = names.iter().find(|name| !seen.insert(name.as_str())) {
+            return Some(match repeated.as_str() {
                 "" => format!("settings: {key}: more than one has no name"),
-                _ => format!("settings: {key}: {twice} stands there twice, give each a name of its own"),
+                _ => format!("settings: {key}: {repeated} stands there twice, give each a name of its own"),
             });
         }
         if names.iter().any(String::is_empty) {
             return Some(format!("settings: {key}: one has no name"));
         }
     }
-    // Without zones every backend is in this proxy's own.
+    // If no zones are configured, every backend is in the proxy's own zone.
     let own = usize::from(platform.settings.zone);
     let zones = site.zones.len();
     (zones > 0 && own >= zones)
         .then(|| format!("settings: locality: {own} is no place in localities, from 0 to {}", zones - 1))
 }
 
+/// Returns the error for the first class without a latency objective.
 fn objective_error(platform: &PlatformSettings) -> Option<String> {
     let missing =
         platform.settings.classes.iter().position(|c| c.latency_objective_ms < MIN_LATENCY_OBJECTIVE_MS)?;
--- a/src/bin/proxy/config/file.rs
+++ b/src/bin/proxy/config/file.rs
@@ -1,4 +1,6 @@
-//! The keys of the configuration file, in its two forms.
+//! Keys of the configuration file, in its two formats.
+//!
+//! Field names are the keys of the file. Parsers put type names into error messages, so a renamed type changes them.
 
 use crate::recorder;
 use load_balancer::client::discovery::PollBackoff;
@@ -6,7 +8,7 @@
 use load_balancer::client::{membership, route_table};
 use serde::Deserialize;
 
-/// The platform's JSON file. It has keys that nothing here needs; unknown ones are ignored.
+/// JSON file of the platform. Unknown keys are ignored, as the file has keys that the proxy does not need.
 #[derive(Deserialize)]
 pub(super) struct File {
     pub(super) listen: Option<String>,
@@ -24,7 +26,7 @@
     pub(super) record: Option<recorder::Settings>,
 }
 
-/// The operators' TOML file. An unknown key is taken for a typing error, and refused.
+/// TOML file of an operator. Unknown keys are rejected, as they are probably typing errors.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct OperatorFile {
@@ -44,7 +46,7 @@
     pub(super) record: Option<recorder::Settings>,
 }
 
-/// One address, several separated by commas, or a list of them.
+/// Addresses as text: one, several separated by commas, or a list.
 #[derive(Deserialize)]
 #[serde(untagged)]
 pub(super) enum Addresses {
@@ -52,13 +54,14 @@
     Many(Vec<String>),
 }
 
+/// Resources that the process may use.
 #[derive(Deserialize)]
 pub(super) struct Limits {
     pub(super) sockets: usize,
     pub(super) memory_mb: usize,
 }
 
-/// When removals in a list are withheld until they are confirmed.
+/// Settings of the list guard, which withholds removals in an endpoint list until they are confirmed.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(super) struct Guard {
--- a/src/bin/proxy/config/mod.rs
+++ b/src/bin/proxy/config/mod.rs
@@ -1,7 +1,7 @@
-//! The configuration: command line, environment and file, in this order of precedence, read and checked.
+//! Reads and validates the configuration: command line, environment and file, in this order of precedence.
 //!
-//! Acts once, at the start, and at each SIGHUP for discovery's addresses. Keys, flags and variables are the operators' and
-//! the platform's, and do not change.
+//! It is read once at the start; a SIGHUP reads only discovery's addresses again. Keys, flags and variables are an
+//! interface to operators and the platform, and do not change.
 
 mod check;
 mod discovery;
@@ -26,40 +26,40 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// All that a start needs.
+/// Validated configuration of the proxy.
 pub struct Config {
-    /// Where clients connect.
+    /// Address on which the proxy listens for clients.
     pub listen: SocketAddr,
-    /// Addresses of discovery, or of its agent; the preferred one first.
+    /// Addresses of discovery or of its agent, the preferred one first.
     pub discovery: Vec<SocketAddr>,
-    /// The service whose backends are called, where the registries have several services.
+    /// Service whose backends are called, if the registries have several services.
     pub service: Option<ServiceName>,
-    /// PollBackoff of calls to discovery while it cannot be reached; without it, and under the platform's protocol, a short
-    /// one.
+    /// Backoff of calls to discovery while it can't be reached. `None`, the default under the platform's JSON file,
+    /// selects the short delays of [`PollSchedule`](load_balancer::client::discovery::PollSchedule).
     pub discovery_backoff: Option<PollBackoff>,
-    /// The operators' address, if there is one.
+    /// Address that operators call, if configured.
     pub ops: Option<SocketAddr>,
-    /// Seed of the module's random numbers.
+    /// Seed of the random numbers of the decision module and of membership.
     pub seed: u64,
-    /// How many descriptors the process may hold.
-    pub sockets: usize,
-    /// How much memory the process may hold, bytes.
-    pub memory: usize,
-    /// The list of backends that this proxy had before its start.
+    /// Maximum number of file descriptors that the process may hold.
+    pub max_descriptors: usize,
+    /// Memory that the process may hold, in bytes.
+    pub memory_bytes: usize,
+    /// Endpoint list that the proxy had before it was started, if any.
     pub cached_list: Option<ListPage>,
-    /// The platform's settings.
+    /// Settings that the platform gives.
     pub platform: PlatformSettings,
-    /// Membership among the proxies of the tier, where configured.
+    /// Settings of membership among the proxies of the tier, if configured.
     pub membership: Option<membership::Settings>,
-    /// The route table, where configured.
+    /// Settings of the route table, if configured.
     pub routes: Option<route_table::Settings>,
-    /// The recorder, where configured.
+    /// Settings of the recorder, if configured.
     pub record: Option<recorder::Settings>,
-    /// This proxy's name in route reports and recordings; empty without them.
+    /// Name of the proxy in route reports and recordings; empty without them.
     pub name: String,
-    /// The settings as they were read, for recordings.
+    /// JSON text of the platform's settings, for recordings; empty without them.
     pub settings_text: String,
-    /// Where the file was read, for a reload.
+    /// Source of the configuration, for a reload.
     pub origin: Origin,
 }
 
@@ -87,13 +87,13 @@
     ops: Option<String>,
 }
 
-/// Reads the command line, the environment and the file that either names.
+/// Reads the command line, the environment and the file that one of them names.
 pub fn load() -> Result<Config, Error> {
     let args = Args::parse();
     load_from(Origin::find(&args)?, args)
 }
 
-/// Reads the configuration at `origin`; the command line and the environment take precedence.
+/// Reads the configuration at `origin`; the command line and the environment take precedence over it.
 pub fn load_from(origin: Origin, args: Args) -> Result<Config, Error> {
     let flag_or_variable = |flag: Option<String>, name| flag.or_else(|| env::var(name).ok());
     let mut file = origin.read()?;
@@ -101,11 +101,11 @@
     let discovery = flag_or_variable(args.discovery, "RELAY_DISCOVERY").map(Addresses::One);
     let listen = flag_or_variable(args.listen, "RELAY_LISTEN");
     let ops = flag_or_variable(args.ops, "RELAY_OPS");
-    checked(file, origin, listen, discovery, ops)
+    validate(file, origin, listen, discovery, ops)
 }
 
-/// Checks the file's values; `listen`, `discovery` and `ops` take precedence over them.
-fn checked(
+/// Validates the file's values; `listen`, `discovery` and `ops` take precedence over them.
+fn validate(
     file: File,
     origin: Origin,
     listen: Option<String>,
@@ -114,29 +114,29 @@
 ) -> Result<Config, Error> {
     let settings_text = file.record.as_ref().map_or_else(String::new, |_| file.settings.to_string());
     let mut platform = platform_settings::read(file.settings)?;
-    // Under the platform's protocol a change must be applied at once: there the guard is off unless it is configured.
+    // The platform's protocol requires that a change is applied at once, so that its guard is off unless configured.
     platform.settings.list_guard = file.list_guard.map_or(ListGuard::default(), |g| ListGuard {
         panic_threshold: g.panic_threshold,
         confirm_after_ms: g.hold_ms,
     });
-    if let Some(what) = check::first_error(file.limits.sockets, &platform) {
-        return Err(Error::Value(what));
+    if let Some(error) = check::first_error(file.limits.sockets, &platform) {
+        return Err(Error::Value(error));
     }
     let File { discovery_backoff, membership, routes, record, .. } = file;
     check_sections(&discovery_backoff, &membership, &routes, &record)?;
-    let listen = address("listen", listen.or(file.listen))?;
+    let listen = parse_address("listen", listen.or(file.listen))?;
     let name = proxy_name(&membership, &routes, &record, listen)?;
-    let service = file.service.map(service).transpose()?;
-    let ops = ops.or(file.ops).map(|text| address("ops", Some(text))).transpose()?;
+    let service = file.service.map(parse_service).transpose()?;
+    let ops = ops.or(file.ops).map(|text| parse_address("ops", Some(text))).transpose()?;
     Ok(Config {
         ops,
         listen,
         service,
         discovery_backoff,
-        discovery: addresses(discovery.or(file.discovery))?,
+        discovery: parse_discovery(discovery.or(file.discovery))?,
         seed: u64::from_str_radix(&file.seed, 16)?,
-        sockets: file.limits.sockets,
-        memory: file.limits.memory_mb.saturating_mul(1 << 20),
+        max_descriptors: file.limits.sockets,
+        memory_bytes: file.limits.memory_mb.saturating_mul(1 << 20),
         cached_list: file.known,
         platform,
         membership,
@@ -148,7 +148,7 @@
     })
 }
 
-/// Checks the sections that check themselves; an error names the section.
+/// Validates the sections whose types have a validation of their own; an error names the section.
 fn check_sections(
     discovery_backoff: &Option<PollBackoff>,
     membership: &Option<membership::Settings>,
@@ -171,8 +171,8 @@
     Ok(())
 }
 
-/// The name of this proxy in route reports and recordings: that of `routes`, else that of `membership`, else one made of
-/// the address; empty where neither reports nor recordings are configured.
+/// Returns the proxy's name in route reports and recordings: that of `routes`, else that of `membership`, else one
+/// derived from the address. It is empty if neither reports nor recordings are configured.
 fn proxy_name(
     membership: &Option<membership::Settings>,
     routes: &Option<route_table::Settings>,
@@ -182,13 +182,13 @@
     if routes.is_none() && record.is_none() {
         return Ok(String::new());
     }
-    let own = routes.as_ref().and_then(|r| r.name.as_deref());
+    let configured = routes.as_ref().and_then(|r| r.name.as_deref());
     let member = membership.as_ref().and_then(|m| m.name.as_deref());
-    route_table::resolve_name(own, member, listen).map_err(|why| Error::Value(format!("routes.{why}")))
+    route_table::resolve_name(configured, member, listen).map_err(|why| Error::Value(format!("routes.{why}")))
 }
 
-/// Discovery's addresses, the preferred one first.
-fn addresses(configured: Option<Addresses>) -> Result<Vec<SocketAddr>, Error> {
+/// Parses discovery's addresses, the preferred one first.
+fn parse_discovery(configured: Option<Addresses>) -> Result<Vec<SocketAddr>, Error> {
     let texts = match configured {
         None => Vec::new(),
         Some(Addresses::One(text)) => text.split(',').map(|part| part.trim().to_string()).collect(),
@@ -196,16 +196,16 @@
     };
     match texts.len() {
         0 => Err(Error::Missing("discovery")),
-        1..=MAX_REGISTRIES => texts.into_iter().map(|text| address("discovery", Some(text))).collect(),
-        _ => Err(Error::ManyRegistries(MAX_REGISTRIES)),
+        1..=MAX_REGISTRIES => texts.into_iter().map(|text| parse_address("discovery", Some(text))).collect(),
+        _ => Err(Error::TooManyRegistries(MAX_REGISTRIES)),
     }
 }
 
-fn address(key: &'static str, text: Option<String>) -> Result<SocketAddr, Error> {
+fn parse_address(key: &'static str, text: Option<String>) -> Result<SocketAddr, Error> {
     let text = text.ok_or(Error::Missing(key))?;
     text.parse().map_err(|source| Error::Address { key, text, source })
 }
 
-fn service(text: String) -> Result<ServiceName, Error> {
+fn parse_service(text: String) -> Result<ServiceName, Error> {
     Ok(ServiceName::new(&text)?)
 }
--- a/src/bin/proxy/config/origin.rs
+++ b/src/bin/proxy/config/origin.rs
@@ -1,69 +1,71 @@
-//! Where the configuration file is, and how it is read from there.
+//! Sources of the configuration, and how each is read.
 //!
-//! Kept for the life of the process: a SIGHUP reads the same file again.
+//! The source is kept for the lifetime of the process: a SIGHUP reads the same file again.
 
 use super::file::{Addresses, File, OperatorFile};
-use super::{Args, Error, addresses};
+use super::{Args, Error, parse_discovery};
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 use std::env;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Where the configuration is.
+/// Source of the configuration.
 #[derive(Clone)]
 pub enum Origin {
-    /// The JSON file that the platform names in RELAY_CONFIG.
+    /// JSON file that the platform names in RELAY_CONFIG.
     Platform(PathBuf),
-    /// The TOML file of `--config`.
+    /// TOML file that an operator names with `--config`.
     Operator(PathBuf),
-    /// The TOML text of `--local`.
+    /// TOML text embedded in the program, which `--local` selects.
     Local,
 }
 
 impl Origin {
+    /// Selects the source: `--local`, else `--config`, else RELAY_CONFIG.
     pub(super) fn find(args: &Args) -> Result<Self, Error> {
         if args.local {
             return Ok(Origin::Local);
         }
-        let platforms = || env::var_os("RELAY_CONFIG").map(|path| Origin::Platform(path.into()));
-        let found = args.config.clone().map(Origin::Operator).or_else(platforms);
-        found.ok_or(Error::Nowhere)
+        let from_environment = || env::var_os("RELAY_CONFIG").map(|path| Origin::Platform(path.into()));
+        let found = args.config.clone().map(Origin::Operator).or_else(from_environment);
+        found.ok_or(Error::NotNamed)
     }
 
-    /// Discovery's addresses in the file as it is now; it may have been replaced since the start. The command line and the
-    /// environment cannot change, and are not consulted. Nothing else in the file is read.
+    /// Reads discovery's addresses from the current file, which may have been replaced since the start. The command line
+    /// and the environment can't change, and are not consulted. Other keys of the file are ignored.
     pub fn discovery(&self) -> Result<Vec<SocketAddr>, Error> {
         #[derive(Deserialize)]
         struct DiscoveryOnly {
             discovery: Option<Addresses>,
         }
-        addresses(self.parse::<DiscoveryOnly>()?.discovery)
+        parse_discovery(self.parse::<DiscoveryOnly>()?.discovery)
     }
 
+    /// Reads the whole file. An operator's file gets a random seed if it has none.
     pub(super) fn read(&self) -> Result<File, Error> {
         if let Origin::Platform(_) = self {
             return self.parse();
         }
-        let own: OperatorFile = self.parse()?;
+        let file: OperatorFile = self.parse()?;
         Ok(File {
-            listen: own.listen,
-            discovery: own.discovery,
-            service: own.service,
-            ops: own.ops,
-            seed: own.seed.unwrap_or_else(|| format!("{:x}", fastrand::u64(..))),
-            limits: own.limits,
+            listen: file.listen,
+            discovery: file.discovery,
+            service: file.service,
+            ops: file.ops,
+            seed: file.seed.unwrap_or_else(|| format!("{:x}", fastrand::u64(..))),
+            limits: file.limits,
             known: None,
-            settings: own.settings,
-            list_guard: Some(own.list_guard),
-            discovery_backoff: Some(own.discovery_backoff),
-            membership: own.membership,
-            routes: own.routes,
-            record: own.record,
+            settings: file.settings,
+            list_guard: Some(file.list_guard),
+            discovery_backoff: Some(file.discovery_backoff),
+            membership: file.membership,
+            routes: file.routes,
+            record: file.record,
         })
     }
 
-    /// Parses the text, JSON or TOML by where it is; an error names the key.
+    /// Parses the source as JSON or TOML, according to its kind; an error names the key.
     fn parse<T: DeserializeOwned>(&self) -> Result<T, Error> {
         let read = |by, path: &Path| {
             std::fs::read_to_string(path).map_err(|source| Error::Unreadable {
@@ -82,14 +84,14 @@
         if let Origin::Platform(_) = self {
             let json = &mut serde_json::Deserializer::from_str(&text);
             return serde_path_to_error::deserialize(json)
-                .map_err(|e| Error::Text { what: e.to_string(), place });
+                .map_err(|e| Error::Malformed { what: e.to_string(), place });
         }
-        // TOML's own message has several lines; a log line is one.
-        let wrong = |key: &str, e: &toml::de::Error| Error::Text {
+        // The TOML parser's messages have several lines, and a log entry has one.
+        let malformed = |key: &str, e: &toml::de::Error| Error::Malformed {
             what: format!("{key}: {}", e.message().replace('\n', "; ")),
             place: place.clone(),
         };
-        let toml = toml::Deserializer::parse(&text).map_err(|e| wrong("not TOML", &e))?;
-        serde_path_to_error::deserialize(toml).map_err(|e| wrong(&e.path().to_string(), e.inner()))
+        let toml = toml::Deserializer::parse(&text).map_err(|e| malformed("not TOML", &e))?;
+        serde_path_to_error::deserialize(toml).map_err(|e| malformed(&e.path().to_string(), e.inner()))
     }
 }
--- a/src/bin/proxy/descriptors.rs
+++ b/src/bin/proxy/descriptors.rs
@@ -1,29 +1,32 @@
-//! Shares out the process's descriptors: clients and backends get what the rest does not need.
+//! Allocates the process's file descriptors: connections to clients and backends get those that nothing else needs.
 //!
-//! Acts once, at the start, and raises the process's limit where the system allows. Guards against a
-//! proxy that cannot reach discovery, or answer its operators, because clients hold every descriptor.
+//! Runs once, at the start, and raises the process's limit as far as the system allows.
+//!
+//! Failure: clients hold all descriptors, and the proxy can neither reach discovery nor answer operators. Some are
+//! therefore reserved for both.
 
 use crate::config::Error;
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use tracing::warn;
 
-/// Descriptors that are neither clients' nor backends' connections: standard streams, the listener, the reactor, a file
-/// that is read again, and discovery, of which two calls may be in flight while the connection of a third is being closed.
+/// Number of descriptors reserved for standard streams, the listener, the reactor, the configuration file during a
+/// reload, and discovery, to which two calls may be in flight while the connection of a third is being closed.
 const RESERVED: usize = 16;
-/// Most connections that are accepted only to have their requests rejected at once.
+/// Maximum number of connections that are accepted beyond the limit, only to have their requests rejected at once.
 const MAX_SPARE: usize = 32;
 
-/// Descriptors for connections.
+/// Numbers of descriptors for connections.
 pub struct Descriptors {
-    /// For clients beyond the limit, whose requests are rejected at once.
+    /// Number for clients beyond the limit, whose requests are rejected at once.
     pub spare: usize,
-    /// For clients and backends, half each: a request that is being served holds a connection on either side.
+    /// Number for clients and backends, half each, as a request in progress holds a connection on either side.
     pub usable: usize,
 }
 
 impl Descriptors {
-    /// Shares out so many, or as many as the system allows; `optional_parts` are reserved for what is configured besides.
-    pub fn share_out(configured: usize, optional_parts: usize) -> Result<Self, Error> {
+    /// Allocates the configured number of descriptors, or as many as the system allows; `optional_parts` of them are
+    /// reserved for the optional parts that are configured.
+    pub fn allocate(configured: usize, optional_parts: usize) -> Result<Self, Error> {
         let reserved = RESERVED + optional_parts;
         let allowed = raise_limit(configured);
         let mut spare = MAX_SPARE;
@@ -41,7 +44,8 @@
     }
 }
 
-/// Raises the soft limit up to the hard one, where so many are wanted; how many the process then has.
+/// Raises the soft limit to `wanted`, or to the hard limit if that is lower, and returns how many of the wanted
+/// descriptors the process may hold.
 fn raise_limit(wanted: usize) -> usize {
     let Rlimit { current, maximum } = getrlimit(Resource::Nofile);
     let wanted = wanted as u64;
--- a/src/bin/proxy/error.rs
+++ b/src/bin/proxy/error.rs
@@ -1,4 +1,4 @@
-//! Why the program ends. Each error is one line that says what an operator can do.
+//! Errors that end the program. Each message is one line that says what an operator can do.
 
 use crate::config;
 use load_balancer::client::membership;
@@ -6,40 +6,40 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Why the program ends. Each is one line.
+/// Error that ends the program.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The configuration cannot be used.
+    /// The configuration is missing, malformed or invalid.
     #[error(transparent)]
     Config(#[from] config::Error),
     /// The decision module rejects the settings.
     #[error("{0}; mend this key in the configuration file")]
     Settings(#[from] SettingsError),
-    /// Membership cannot bind its socket.
+    /// Membership can't bind its socket.
     #[error(transparent)]
     Membership(#[from] membership::Error),
-    /// The event loop cannot be created.
+    /// The event loop can't be created.
     #[error("runtime: {0}; raise the limit of open files (ulimit -n)")]
     Runtime(io::Error),
-    /// A signal cannot be awaited.
+    /// The handler of a signal can't be installed.
     #[error("{signal}: {source}; raise the limit of open files (ulimit -n)")]
     Signal {
-        /// Which one.
+        /// Name of the signal.
         signal: &'static str,
-        /// What is wrong with it.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A listener cannot be bound.
+    /// A listener can't be opened.
     #[error("{what}: {address}: {source}; end the program that holds it, or change the address")]
     Listen {
-        /// What was to listen.
+        /// Purpose of the listener, `listening` for clients or `ops` for operators.
         what: &'static str,
-        /// Where.
+        /// Address of the listener.
         address: SocketAddr,
-        /// What is wrong with it.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The task that serves clients has panicked.
-    #[error("front: {0}; a defect: keep the log, and start anew")]
+    #[error("serving clients: {0}; this is a defect in the proxy: keep the log and restart it")]
     Serving(#[from] tokio::task::JoinError),
 }
--- a/src/bin/proxy/log.rs
+++ b/src/bin/proxy/log.rs
@@ -1,6 +1,6 @@
-//! The log: one line for each thing that operators should know, on standard error.
+//! Log for operators: one line per event, on standard error.
 //!
-//! Set up once, before the configuration is read. RUST_LOG selects the levels.
+//! It is set up once, before the configuration is read. RUST_LOG selects what is logged.
 
 use std::fmt;
 use tracing::{Event, Subscriber, level_filters::LevelFilter};
@@ -9,25 +9,30 @@
 use tracing_subscriber::fmt::format::{FormatEvent, FormatFields, Writer};
 use tracing_subscriber::registry::LookupSpan;
 
-/// `proxy: what happened`. The platform and the supervisor put the time before it.
-struct Line;
+/// Line format `proxy: <message>`, without a time, which the platform and the supervisor put in front.
+struct LineFormat;
 
-impl<S, N> FormatEvent<S, N> for Line
+impl<S, N> FormatEvent<S, N> for LineFormat
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
 {
-    fn format_event(&self, ctx: &FmtContext<'_, S, N>, mut to: Writer<'_>, event: &Event<'_>) -> fmt::Result {
-        to.write_str("proxy: ")?;
-        ctx.field_format().format_fields(to.by_ref(), event)?;
-        writeln!(to)
+    fn format_event(
+        &self,
+        ctx: &FmtContext<'_, S, N>,
+        mut writer: Writer<'_>,
+        event: &Event<'_>,
+    ) -> fmt::Result {
+        writer.write_str("proxy: ")?;
+        ctx.field_format().format_fields(writer.by_ref(), event)?;
+        writeln!(writer)
     }
 }
 
-/// Logs from now on what RUST_LOG selects; without it everything from `info` on.
-pub fn begin() {
-    let wanted = EnvFilter::builder().with_default_directive(LevelFilter::INFO.into()).from_env_lossy();
-    // Guards against a process that ends when the reader of its log does: errors in writing are dropped.
+/// Installs the logger, which logs what RUST_LOG selects, or `info` and above without it.
+pub fn init() {
+    let filter = EnvFilter::builder().with_default_directive(LevelFilter::INFO.into()).from_env_lossy();
+    // Write errors are ignored, so that the process does not end when the reader of its log does.
     let lines = tracing_subscriber::fmt().with_ansi(false).log_internal_errors(false);
-    lines.event_format(Line).with_writer(std::io::stderr).with_env_filter(wanted).init();
+    lines.event_format(LineFormat).with_writer(std::io::stderr).with_env_filter(filter).init();
 }
--- a/src/bin/proxy/main.rs
+++ b/src/bin/proxy/main.rs
@@ -1,6 +1,6 @@
-//! The proxy program: a load-balancing HTTP proxy that carries out the decision module's actions on sockets.
+//! Load-balancing HTTP proxy that carries out the decision module's actions on sockets.
 //!
-//! `startup.rs` has the order of the start and the stop; the way of a request begins in `downstream/`.
+//! `startup/` has the order of the start and the stop; `downstream/` receives requests from clients.
 
 #![forbid(unsafe_code)]
 #![warn(clippy::cognitive_complexity)]
@@ -29,7 +29,7 @@
 use tracing::error;
 
 fn main() -> ExitCode {
-    log::begin();
+    log::init();
     match start() {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
@@ -39,7 +39,7 @@
     }
 }
 
-/// Runs the proxy on one thread: all events have one order.
+/// Runs the proxy on one thread, so that events are totally ordered.
 fn start() -> Result<(), Error> {
     let config = config::load()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
--- a/src/bin/proxy/ops.rs
+++ b/src/bin/proxy/ops.rs
@@ -1,7 +1,7 @@
-//! The operators' address: one line on a connection, one answer, then a close.
+//! Serves the address that operators call: a connection carries one line and its answer, and is then closed.
 //!
-//! Acts on each connection to it. Owns these connections, of which there are at most [`MAX_CALLERS`]. Answers and their
-//! keys are read by operators' scripts and do not change.
+//! At most [`MAX_CONNECTIONS`] connections are open. Operators' scripts read the answers and their keys, which therefore
+//! do not change.
 
 use crate::counters::Counters;
 use crate::engine::Engine;
@@ -18,66 +18,70 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Most connections at once. One more closes the one that has been open longest without a complete call: connections that
-/// send nothing keep no operator out.
-const MAX_CALLERS: usize = 16;
-/// Descriptors that this address may need: the listener, the connections and the one that is just being accepted.
-pub const DESCRIPTORS: usize = MAX_CALLERS + 2;
-/// A call is awaited for so long, and so is the writing of its answer.
+/// Maximum number of open connections. One more evicts the oldest of them, so that connections that send nothing keep no
+/// operator out.
+const MAX_CONNECTIONS: usize = 16;
+/// Number of file descriptors that this address may need: the listener, the connections and the one being accepted.
+pub const DESCRIPTORS: usize = MAX_CONNECTIONS + 2;
+/// Timeout of reading a call, and of writing its answer.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// After its answer a connection is read and dropped for so long, until the caller closes it.
+/// Longest time after its answer for which a connection is read and its bytes are discarded, until the caller closes it.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
-/// Longest call, bytes.
+/// Length, in bytes, from which a call without a line end is rejected.
 const MAX_CALL_BYTES: usize = 256;
-/// Pause when nothing can be accepted.
+/// Delay before the next accept after one has failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Why a line is no call; its text is the answer.
+/// Error of reading a call; its text is the answer.
 #[derive(Debug, thiserror::Error)]
-enum BadCall {
+enum CallError {
+    /// The line is not valid UTF-8.
     #[error("NAK not text")]
     NotText,
+    /// No line end follows within [`MAX_CALL_BYTES`].
     #[error("NAK the call is too long")]
     TooLong,
+    /// The connection ends before the line does.
     #[error("NAK half a call")]
-    Half,
+    Truncated,
 }
 
-/// What is needed to answer.
+/// Parts of the proxy from which calls are answered.
 pub struct Ops {
-    /// Says whether requests can be served.
+    /// Engine, which reports whether requests can be served, and the census and share of backends.
     pub engine: Rc<Engine>,
-    /// The figures.
+    /// Counters of the proxy, for the `counters` call.
     pub counters: Rc<Counters>,
-    /// Drains the proxy, or accepts clients again.
+    /// Lifecycle, which drains the proxy or lets it accept clients again.
     pub lifecycle: Rc<Lifecycle>,
-    /// The proxies of the tier, where membership is configured.
+    /// Membership of the tier's proxies, if configured.
     pub membership: Option<Rc<Membership>>,
-    /// The route table, where there is one.
+    /// Client of the route table, if configured.
     pub routes: Option<Rc<RouteTableClient>>,
-    /// The recording, where there is one.
+    /// Recording, if configured.
     pub recording: Option<Rc<Recording>>,
 }
 
 impl Ops {
     /// Answers calls for as long as the process runs.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
-        let mut callers: VecDeque<oneshot::Sender<()>> = VecDeque::new();
+        let mut connections: VecDeque<oneshot::Sender<()>> = VecDeque::new();
         loop {
             let Ok((stream, _)) = listener.accept().await else {
                 sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
-            callers.retain(|c| !c.is_closed());
-            if callers.len() >= MAX_CALLERS {
-                callers.pop_front();
+            connections.retain(|c| !c.is_closed());
+            if connections.len() >= MAX_CONNECTIONS {
+                connections.pop_front();
             }
             let (connection, evicted) = oneshot::channel();
-            callers.push_back(connection);
+            connections.push_back(connection);
             spawn_local(self.clone().serve_call(stream, evicted));
         }
     }
 
+    /// Reads and answers one call. A connection that is evicted before its call is complete gets an answer too.
     async fn serve_call(self: Rc<Self>, mut stream: TcpStream, mut evicted: oneshot::Receiver<()>) {
         let mut was_evicted = false;
         let answer = tokio::select! {
@@ -91,13 +95,13 @@
                 "NAK too many callers".to_string()
             }
         };
-        // An error or a timeout means that the caller has left or does not read: the connection closes in any case.
+        // After an error or a timeout the caller has left or does not read; the connection is closed in either case.
         let _ = timeout(CALL_TIMEOUT, async {
             stream.write_all(format!("{answer}\n").as_bytes()).await?;
             stream.shutdown().await
         })
         .await;
-        // Guards against an answer that is lost: closed over unread bytes, the connection would be reset.
+        // A close with unread bytes would reset the connection, and the caller could lose the answer.
         let mut unread = [0; MAX_CALL_BYTES];
         let caller_closes = async { while matches!(stream.read(&mut unread).await, Ok(1..)) {} };
         tokio::select! {
@@ -107,6 +111,7 @@
         }
     }
 
+    /// Returns the answer to a call, without its final line end.
     fn answer(&self, call: &str) -> String {
         let acknowledge = |yes: bool| {
             let state = if self.engine.is_ready() { self.lifecycle.phase().name() } else { "no backend" };
@@ -139,22 +144,22 @@
     }
 }
 
-/// One line, without its end.
-async fn read_call(stream: &mut TcpStream) -> Result<String, BadCall> {
+/// Reads one line and returns it without surrounding white space.
+async fn read_call(stream: &mut TcpStream) -> Result<String, CallError> {
     let mut line = Vec::with_capacity(MAX_CALL_BYTES);
     loop {
         if let Some(end) = line.iter().position(|&b| b == b'\n') {
             line.truncate(end);
-            let line = String::from_utf8(line).map_err(|_| BadCall::NotText)?;
+            let line = String::from_utf8(line).map_err(|_| CallError::NotText)?;
             return Ok(line.trim().to_string());
         }
         if line.len() >= MAX_CALL_BYTES {
-            return Err(BadCall::TooLong);
+            return Err(CallError::TooLong);
         }
         let mut part = [0; MAX_CALL_BYTES];
         match stream.read(&mut part).await {
             Ok(n @ 1..) => line.extend_from_slice(&part[..n]),
-            Ok(_) | Err(_) => return Err(BadCall::Half),
+            Ok(_) | Err(_) => return Err(CallError::Truncated),
         }
     }
 }
--- a/src/bin/proxy/startup/listen.rs
+++ b/src/bin/proxy/startup/listen.rs
@@ -1,14 +1,15 @@
-//! Listening sockets.
+//! Opens listening sockets.
 
 use crate::error::Error;
 use std::net::SocketAddr;
 use tokio::net::{TcpListener, TcpSocket};
 use tracing::info;
 
-/// Connections that the system may queue for a listener.
+/// Maximum number of connections that the operating system queues for a listener.
 const LISTEN_BACKLOG: u32 = 1024;
 
-/// Listens, and logs where. At a shared address another process may listen, which this one replaces.
+/// Opens a listener and logs its address. If `shared`, other processes may listen on the address at the same time, such
+/// as the one that this process replaces.
 pub(super) fn bind(what: &'static str, address: SocketAddr, shared: bool) -> Result<TcpListener, Error> {
     let listen = || {
         let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
--- a/src/bin/proxy/startup/mod.rs
+++ b/src/bin/proxy/startup/mod.rs
@@ -1,8 +1,8 @@
-//! Starts the proxy, one step a function, serves until SIGTERM, and stops.
+//! Starts the proxy, serves until SIGTERM, and stops.
 //!
-//! Acts once. Owns the signals, and in [`Core`] the parts that live as long as the process. The order of the steps matters:
-//! the list of endpoints is asked for before the port is bound, so that a process that is replaced serves until this one
-//! can.
+//! Each step of the start is a function. [`Core`] has the parts that live as long as the process. The order of the steps
+//! matters: the endpoint list is requested before the port is bound, so that a process that is being replaced serves
+//! until this one can.
 
 mod core_parts;
 mod listen;
@@ -35,36 +35,36 @@
 use tokio::time::{Instant, sleep, timeout};
 use tracing::{info, warn};
 
-/// A start waits so long for discovery's first list before it accepts clients.
+/// Timeout of the wait for discovery's first endpoint list before clients are accepted.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(1500);
-/// And so long for its first route table, where one is configured.
+/// Timeout of the wait for the first route table, if one is configured, before clients are accepted.
 const FIRST_TABLE_TIMEOUT: Duration = Duration::from_millis(500);
-/// How often idle connections are checked for expired ones; an expired one is not used in the meantime.
+/// Interval at which expired idle connections are closed; until then they are not used.
 const POOL_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Runs the proxy until SIGTERM, and then until all is answered.
+/// Runs the proxy until SIGTERM, and then until all requests are answered.
 pub async fn run(mut config: Config) -> Result<(), Error> {
     let mut signals = Signals::install()?;
-    let descriptors = share_out_descriptors(&config)?;
+    let descriptors = allocate_descriptors(&config)?;
     let core = Core::new(&mut config, descriptors.usable)?;
     let membership = start_membership(&config, &core).await?;
-    let (discovery_moved, discovery) = watch::channel(std::mem::take(&mut config.discovery));
+    let (discovery_sender, discovery) = watch::channel(std::mem::take(&mut config.discovery));
     let (routes, recording) = start_route_table(&config, &core, &membership, &discovery);
     start_ops(&config, &core, &membership, &routes, recording)?;
-    follow_process_count(&core);
+    track_process_count(&core);
     let first_list = start_discovery(&config, &core, discovery);
     tokio::select! {
         biased;
-        // Guards against clients that are accepted only to be cut off: their last answer would count from this signal.
+        // Clients that were accepted now would soon be cut off: the time to the last answer counts from this signal.
         _ = signals.terminate.recv() => {
-            info!("stopping before it listened");
+            info!("stopping: SIGTERM arrived before the listener was open, so there are no clients to answer");
             membership.inspect(Membership::leave);
             return Ok(());
         }
-        () = first_list_and_table(config.ops.is_some(), first_list, routes) => {}
+        () = wait_for_first_list_and_table(config.ops.is_some(), first_list, routes) => {}
     }
     let listener = bind("listening", config.listen, config.ops.is_some())?;
-    start_reloads(config.origin.clone(), signals.hangup, discovery_moved);
+    start_reloads(config.origin.clone(), signals.hangup, discovery_sender);
     start_pool_checks(core.pool.clone());
     join_shared_listeners(&config, &core, &listener)?;
     core.lifecycle.begin();
@@ -75,13 +75,13 @@
     stop(&core, membership, time_to_last_answer, serving).await
 }
 
-fn share_out_descriptors(config: &Config) -> Result<Descriptors, Error> {
+fn allocate_descriptors(config: &Config) -> Result<Descriptors, Error> {
     let for_routes = if is_observed(config) { route_table::DESCRIPTORS } else { 0 };
     let for_ops = if config.ops.is_some() { ops::DESCRIPTORS } else { 0 };
-    Ok(Descriptors::share_out(config.sockets, for_routes + for_ops)?)
+    Ok(Descriptors::allocate(config.max_descriptors, for_routes + for_ops)?)
 }
 
-/// Joins the proxies of the tier, where that is configured, and keeps the engine up to date on their number.
+/// Joins the membership of the tier's proxies, if configured, and passes each change of their number to the engine.
 async fn start_membership(config: &Config, core: &Core) -> Result<Option<Rc<Membership>>, Error> {
     let Some(settings) = &config.membership else { return Ok(None) };
     let zone = config.platform.site.zones.get(usize::from(config.platform.settings.zone));
@@ -137,8 +137,8 @@
     Ok(())
 }
 
-/// Keeps the engine up to date on the number of processes at this address.
-fn follow_process_count(core: &Core) {
+/// Passes each change of the number of processes at this address to the engine.
+fn track_process_count(core: &Core) {
     let mut count = core.processes.subscribe();
     let engine = core.engine.clone();
     spawn_local(async move {
@@ -150,7 +150,7 @@
     });
 }
 
-/// Starts to follow discovery; the receiver is notified of the first list.
+/// Starts the watch of discovery; the returned receiver is notified of the first list.
 fn start_discovery(
     config: &Config,
     core: &Core,
@@ -163,10 +163,10 @@
     first_list
 }
 
-/// Waits for the first list and route table, each for a limited time: without a list the cached one is used, and without a
-/// table every weight is 1. A process without an ops address replaces no other and does not wait for a list: its
-/// `/health/ready` says when it can serve.
-async fn first_list_and_table(
+/// Waits for the first list and the first route table, each for a limited time. Without a list the cached one is used,
+/// and without a table every weight is 1. A process without an ops address replaces no other and does not wait for a
+/// list: its `/health/ready` reports when it can serve.
+async fn wait_for_first_list_and_table(
     has_ops: bool,
     first_list: oneshot::Receiver<()>,
     routes: Option<Rc<RouteTableClient>>,
@@ -188,8 +188,8 @@
     });
 }
 
-/// Joins the processes that listen at this address, where it is shared. Where the lock files cannot be used each goes on as
-/// if it were alone.
+/// Joins the processes that listen on this address, which is shared if there is an ops address. If the lock files can't
+/// be used, the process continues as if it were the only one.
 fn join_shared_listeners(config: &Config, core: &Core, listener: &TcpListener) -> Result<(), Error> {
     let bound = listener.local_addr();
     let bound =
@@ -197,7 +197,9 @@
     if config.ops.is_some() {
         match SharedListeners::join(&std::env::temp_dir(), bound) {
             Ok(listeners) => drop(spawn_local(listeners.publish_count(core.processes.clone()))),
-            Err(e) => warn!("no place among the processes here: {e}"),
+            Err(e) => {
+                warn!("not counted among the processes that share {bound}, continuing as the only one: {e}")
+            }
         }
     }
     Ok(())
@@ -214,7 +216,7 @@
         platform: config.platform,
         counters: core.counters.clone(),
         lifecycle: core.lifecycle.clone(),
-        // The backends have the other half.
+        // The pool of connections to backends has the other half.
         connections: descriptors.usable - descriptors.usable / 2,
         spare: descriptors.spare,
         buffer_budget: core.buffer_budget.clone(),
@@ -224,15 +226,16 @@
     spawn_local(Rc::new(downstream).serve(listener))
 }
 
-/// Stops: all is answered by `time_to_last_answer` from now on. Responses that flow may go on for [`STREAMING_GRACE`], as
-/// long as the platform allows; a client that does not read its response must not keep the process.
+/// Stops the proxy: all requests are answered within `time_to_last_answer`. Responses that have begun may continue for
+/// [`STREAMING_GRACE`], as long as the platform allows, so that a client that does not read its response can't keep the
+/// process from ending.
 async fn stop(
     core: &Core,
     membership: Option<Rc<Membership>>,
     time_to_last_answer: Duration,
     serving: JoinHandle<()>,
 ) -> Result<(), Error> {
-    info!("stopping, {} requests open", core.engine.unanswered_requests());
+    info!("stopping: {} open requests are still to be answered", core.engine.unanswered_requests());
     core.lifecycle.stop();
     membership.inspect(Membership::leave);
     core.engine.answer_all_by(Instant::now() + time_to_last_answer);
--- a/src/bin/proxy/startup/signals.rs
+++ b/src/bin/proxy/startup/signals.rs
@@ -1,4 +1,4 @@
-//! The signals that the process handles: SIGTERM, to stop, and SIGHUP, to read discovery's addresses again.
+//! Handles signals: SIGTERM stops the proxy, and SIGHUP reads discovery's addresses again.
 
 use crate::config::Origin;
 use crate::error::Error;
@@ -8,43 +8,44 @@
 use tokio::task::spawn_local;
 use tracing::{info, warn};
 
-/// The signals that the process handles.
+/// Streams of the signals that the process handles.
 pub(super) struct Signals {
-    /// SIGTERM: stop.
+    /// Receives SIGTERM, which stops the proxy.
     pub(super) terminate: Signal,
-    /// SIGHUP: read the configuration file again.
+    /// Receives SIGHUP, which reads discovery's addresses again from the configuration file.
     pub(super) hangup: Signal,
 }
 
 impl Signals {
     pub(super) fn install() -> Result<Self, Error> {
-        let listen =
+        let install =
             |kind, signal_name| signal(kind).map_err(|source| Error::Signal { signal: signal_name, source });
-        let terminate = listen(SignalKind::terminate(), "SIGTERM")?;
-        let hangup = listen(SignalKind::hangup(), "SIGHUP")?;
+        let terminate = install(SignalKind::terminate(), "SIGTERM")?;
+        let hangup = install(SignalKind::hangup(), "SIGHUP")?;
         Ok(Signals { terminate, hangup })
     }
 }
 
-/// Reads discovery's addresses again at each SIGHUP.
+/// Starts the task that reads discovery's addresses again at each SIGHUP. If they can't be read, the old ones stay.
 pub(super) fn start_reloads(
     origin: Origin,
     mut hangup: Signal,
-    discovery_moved: watch::Sender<Vec<SocketAddr>>,
+    discovery_sender: watch::Sender<Vec<SocketAddr>>,
 ) {
     spawn_local(async move {
         while hangup.recv().await.is_some() {
             match origin.discovery() {
-                Ok(addresses) => move_discovery(&discovery_moved, addresses),
-                Err(e) => warn!("not reloaded: {e}"),
+                Ok(addresses) => update_discovery(&discovery_sender, addresses),
+                Err(e) => warn!("not reloaded, discovery's addresses are unchanged: {e}"),
             }
         }
     });
 }
 
-fn move_discovery(discovery_moved: &watch::Sender<Vec<SocketAddr>>, addresses: Vec<SocketAddr>) {
+/// Publishes discovery's addresses if they have changed.
+fn update_discovery(discovery_sender: &watch::Sender<Vec<SocketAddr>>, addresses: Vec<SocketAddr>) {
     let text = addresses.iter().map(ToString::to_string).collect::<Vec<_>>().join(", ");
-    if discovery_moved.send_if_modified(|now| std::mem::replace(now, addresses.clone()) != addresses) {
+    if discovery_sender.send_if_modified(|now| std::mem::replace(now, addresses.clone()) != addresses) {
         info!("reloaded, discovery is at {text}");
     }
 }
