--- a/benches/scale/run/hollow.rs
+++ b/benches/scale/run/hollow.rs
@@ -153,7 +153,7 @@
 }
 
 impl RoutedProxy for StandIn {
-    fn put_in_force(&self, revision: Revision, weights: Weights) {
+    fn apply_table(&self, revision: Revision, weights: Weights) {
         let held = &mut *self.0.held.borrow_mut();
         (held.revision, held.table, held.table_since) = (Some(revision), weights, now_us());
     }
@@ -166,7 +166,7 @@
         self.0.held.borrow().table.digest()
     }
 
-    fn left_out(&self) -> BTreeMap<String, ExclusionReason> {
+    fn exclusions(&self) -> BTreeMap<String, ExclusionReason> {
         let looks = self.0.looks.get() + 1;
         self.0.looks.set(looks % LOOKS);
         match looks {
@@ -179,7 +179,7 @@
         self.0.held.borrow().list_version
     }
 
-    fn drain_calls(&self) -> BTreeMap<String, CallCounts> {
+    fn take_call_counts(&self) -> BTreeMap<String, CallCounts> {
         self.0.standings.borrow_mut().picture(now_ms() as f64).calls.clone()
     }
 
--- a/src/bin/proxy/route_table/proxy.rs
+++ b/src/bin/proxy/route_table/proxy.rs
@@ -16,7 +16,7 @@
 }
 
 impl RoutedProxy for ObservedEngine {
-    fn put_in_force(&self, revision: Revision, weights: Weights) {
+    fn apply_table(&self, revision: Revision, weights: Weights) {
         self.engine.apply_route_table(revision, weights);
     }
 
@@ -30,7 +30,7 @@
         self.observer.digest(&self.engine.weights_in_force())
     }
 
-    fn left_out(&self) -> BTreeMap<String, ExclusionReason> {
+    fn exclusions(&self) -> BTreeMap<String, ExclusionReason> {
         let hosts = self.observer.hosts();
         let reasons = self.engine.exclusion_reasons().into_iter();
         reasons.filter_map(|(id, reason)| Some((hosts.get(&id)?.clone(), reason?))).collect()
@@ -40,7 +40,7 @@
         self.observer.list_version()
     }
 
-    fn drain_calls(&self) -> BTreeMap<String, CallCounts> {
+    fn take_call_counts(&self) -> BTreeMap<String, CallCounts> {
         self.observer.drain_tallies()
     }
 
--- a/src/client/backoff.rs
+++ b/src/client/backoff.rs
@@ -1,31 +1,31 @@
 //! Exponential backoff with jitter, for the control plane's client.
 //!
-//! Whoever retries a failed call owns one [`Backoff`], takes a delay from it before each retry and resets it after a
-//! success. It counts nothing but its own position between the bounds; the caller does the waiting.
+//! A task that retries failed calls owns one [`Backoff`], takes a delay from it before each retry and resets it after a
+//! success. A [`Backoff`] stores only its current delay; the caller sleeps.
 
 use backon::{BackoffBuilder, ExponentialBackoff, ExponentialBuilder};
 use std::time::Duration;
 
-/// The range of a backoff's delays before jitter, which adds up to as much again.
+/// Range of a backoff's delays before jitter, which adds up to the delay itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackoffBounds {
-    /// The first delay.
+    /// Shortest delay, used before the first retry.
     pub min: Duration,
-    /// The longest delay.
+    /// Longest delay, at which the growth stops.
     pub max: Duration,
 }
 
-/// Delays that double from `min` to `max` and never end.
+/// Endless sequence of delays that double from `min` to `max`.
 ///
-/// Failure: clients that lose one registry at the same moment retry at the same moment, and their retries overload it
-/// when it returns. Jitter of up to once the delay, drawn anew for each, spreads them over time.
+/// Clients that lose a registry at the same moment would retry at the same moment, and their retries would overload it
+/// when it returns. Jitter of up to the delay itself, drawn for each delay, spreads the retries over time.
 pub struct Backoff {
     bounds: BackoffBounds,
     delays: ExponentialBackoff,
 }
 
 impl Backoff {
-    /// A backoff that begins at the shortest delay.
+    /// Creates a backoff that starts at the shortest delay.
     pub fn new(bounds: BackoffBounds) -> Self {
         let delays = ExponentialBuilder::default()
             .with_min_delay(bounds.min)
@@ -37,12 +37,12 @@
         Backoff { bounds, delays }
     }
 
-    /// The delay before the next retry, with jitter.
+    /// Returns the delay before the next retry, with jitter.
     pub fn next_delay(&mut self) -> Duration {
         self.delays.next().unwrap_or(self.bounds.max)
     }
 
-    /// Begins at the shortest delay again, after a success.
+    /// Returns to the shortest delay, after a success.
     pub fn reset(&mut self) {
         *self = Backoff::new(self.bounds);
     }
--- a/src/client/discovery/mod.rs
+++ b/src/client/discovery/mod.rs
@@ -1,8 +1,8 @@
 //! Discovery: keeps a listener's endpoint list up to date by polling and watching a registry.
 //!
-//! [`run_watch`] runs one task per process. It asks for the full list, then watches for updates after the version that
-//! it holds, and begins anew with the full list wherever the registries move to. It owns the held version, the
-//! connection and the backoff; the list itself belongs to the [`EndpointListener`].
+//! [`run_watch`] runs as one task per process. It polls the full list, then watches for updates after the held version.
+//! When the registries' addresses change, it starts again with the full list. It owns the held version, the connection
+//! and the backoff; the [`EndpointListener`] owns the list itself.
 
 mod listener;
 mod missing_service;
@@ -18,19 +18,19 @@
 use crate::catalog::ServiceName;
 use crate::client::traffic::Traffic;
 
-/// What discovery polls, and when.
+/// Settings of discovery: the polled list and the schedule of the polls.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// When it polls.
+    /// Schedule of the polls.
     pub schedule: PollSchedule,
-    /// The service whose list is polled; none for the service without a name.
+    /// Service whose list is polled; `None` for the unnamed service.
     pub service: Option<ServiceName>,
-    /// Counts the messages and bytes of its calls.
+    /// Counts of the messages and bytes of discovery's calls.
     pub traffic: Traffic,
 }
 
 impl Settings {
-    /// Polls the list of the service without a name; set `service` for another.
+    /// Creates settings for the unnamed service; set `service` for another one.
     pub fn new(schedule: PollSchedule, traffic: Traffic) -> Self {
         Settings { schedule, service: None, traffic }
     }
--- a/src/client/discovery/poll.rs
+++ b/src/client/discovery/poll.rs
@@ -1,8 +1,8 @@
-//! One poll of the endpoint list, with hedged calls while it stays unanswered.
+//! One poll of the endpoint list, with hedged calls while it is unanswered.
 //!
-//! A poll either asks for the full list or watches for a change after the version that is held. The first call keeps
-//! its full time limit; while it is late, further calls (hedges) go out one after another, and the first complete
-//! answer of any of them counts.
+//! A poll either requests the full list or watches for a change after the held version. The first call keeps its full
+//! time limit; while its answer is late, further calls (hedges) are sent one after another, and the first complete
+//! answer to any of them is used.
 
 use super::Settings;
 use super::schedule::HedgeSchedule;
@@ -17,33 +17,33 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// How long a watch waits for a change before it is answered without one.
+/// Longest time that a registry holds a watch open before it answers without a change.
 ///
-/// Failure: a watch falls silent, which shows only by the end of its wait. A change must be in force 6 s after it was
-/// made, so that even three silent watches in a row have to be noticed well within that time.
+/// A watch that will never be answered is noticed only after this wait. A change must be in force 6 s after it was
+/// made, so three unanswered watches in a row have to be noticed well within that time.
 const WATCH_WAIT: Duration = Duration::from_secs(1);
-/// The registry's path for endpoint lists.
+/// Path of the registry's endpoint lists.
 const PATH: &str = "/registry/instances";
-/// The longest accepted list, in bytes: 59,000 backends with names of 20 bytes, 9,300 with the longest names, zones and
-/// classes (computed). A longer one would hold a large part of a proxy's memory while it is parsed.
+/// Longest accepted list, in bytes: 59,000 backends with names of 20 bytes, or 9,300 with the longest names, zones and
+/// classes (computed). A longer list would occupy a large part of a proxy's memory while it is parsed.
 const MAX_LIST_BYTES: usize = 8 << 20;
 
-/// What one poll asks for, and where.
+/// Registry and parameters of one poll.
 #[derive(Clone, Copy)]
 struct PollRequest<'a> {
     address: SocketAddr,
-    /// The version to watch from; without one the full list is asked for.
+    /// Version after which to watch for changes; `None` requests the full list.
     after: Option<u64>,
     settings: &'a Settings,
 }
 
-/// A parsed answer, and the connection that it came over if that can be kept.
+/// Parsed answer to a poll, and its connection if that can be kept.
 struct PollAnswer {
     page: ListPage,
     connection: Option<Connection>,
 }
 
-/// Polls the list: the full one if no version is held, else a watch from that version, without a wait after a failure.
+/// Polls the full list if no version is held; otherwise watches from the held version, without a wait after a failure.
 pub(super) async fn poll(
     connection: &mut Option<Connection>,
     state: &WatchState,
@@ -51,8 +51,8 @@
     hedges: &mut HedgeSchedule,
 ) -> Result<ListPage, CallError> {
     let request = PollRequest { address: state.address(), after: state.resume_version(), settings };
-    let at_once = request.after.is_none() || state.is_failing();
-    let wait = if at_once { Duration::ZERO } else { WATCH_WAIT };
+    let is_immediate = request.after.is_none() || state.is_failing();
+    let wait = if is_immediate { Duration::ZERO } else { WATCH_WAIT };
     let first = request.send_poll(connection.take(), wait);
     let answer = tokio::select! {
         answer = first => answer?,
@@ -63,7 +63,7 @@
 }
 
 impl PollRequest<'_> {
-    /// Makes one call.
+    /// Makes one call for the list.
     async fn send_poll(
         self,
         mut connection: Option<Connection>,
@@ -82,10 +82,10 @@
         Ok(PollAnswer { page: serde_json::from_slice(&body)?, connection })
     }
 
-    /// Makes one call after another, each on a connection of its own, until one is answered.
+    /// Sends hedges one after another, each on its own connection, until one is answered.
     ///
-    /// Failure: a registry restarts and never answers a call that it had accepted before, though it answers new ones.
-    /// Only a new call notices that it is back. Each hedge ends when the next one begins, so that one is out at most.
+    /// A restarted registry never answers the calls that it accepted before its restart, but does answer new ones; only
+    /// a new call notices that it is back. Each hedge is cancelled when the next one starts, so at most one is pending.
     async fn send_hedges(self, wait: Duration, hedges: &mut HedgeSchedule) -> PollAnswer {
         sleep(wait + hedges.next_interval()).await;
         loop {
@@ -100,11 +100,12 @@
     }
 }
 
-/// The path and query of a call. Without a service it has the form from before there were services.
+/// Returns the path and query of a call. Without a service they have the form that predates services, which registries
+/// of earlier versions understand.
 fn path(after: Option<u64>, wait: Duration, service: Option<&ServiceName>) -> String {
     let mut query = Vec::new();
     if let Some(version) = after {
-        // A registry may read a wait of 0 as no wait parameter, and wait for its own default.
+        // A registry may treat a wait of 0 as an absent parameter and apply its default wait.
         query.push(format!("after={version}&wait_ms={}", wait.as_millis().max(1)));
     }
     if let Some(service) = service {
--- a/src/client/discovery/schedule.rs
+++ b/src/client/discovery/schedule.rs
@@ -1,40 +1,41 @@
-//! When discovery is polled: the delays after failed calls and the intervals of hedged calls.
+//! Schedule of discovery's calls: the delays after failed calls and the intervals of hedged calls.
 //!
-//! A [`PollSchedule`] is made once from the configuration and holds no state. A watch makes a [`HedgeSchedule`] from
-//! it, which remembers how far its intervals have grown.
+//! A [`PollSchedule`] is created once from the configuration and has no mutable state. Each watch creates a
+//! [`HedgeSchedule`] from it, which stores how far its intervals have grown.
 
 use crate::client::backoff::{Backoff, BackoffBounds};
 use crate::client::registry::CallError;
 use serde::Deserialize;
 use std::time::Duration;
 
-/// Delays after failed calls; a short drain grace shortens them.
+/// Range of the delays after failed calls; a short drain grace shortens them.
 const FAILED_CALL_BACKOFF: BackoffBounds =
     BackoffBounds { min: Duration::from_millis(33), max: Duration::from_millis(133) };
-/// How late a watch's answer may be before a hedge goes out; a short drain grace shortens it.
+/// Delay of a watch's answer after which a hedge is sent; a short drain grace shortens it.
 const WATCH_HEDGE_AFTER: Duration = Duration::from_millis(200);
-/// How late an answer may be before a hedge goes out where lists are polled on demand. Each call costs discovery there,
-/// and a change must be in force only 6 s on, whatever is configured.
+/// Delay of an answer after which a hedge is sent where lists are polled on demand. There each call loads discovery,
+/// and a change must be in force only after 6 s, whatever is configured.
 const POLL_HEDGE_AFTER: Duration = Duration::from_millis(500);
-/// The shortest delay or interval that any setting gives.
+/// Lower bound of all delays and hedge intervals, whatever the settings.
 const MIN_DELAY: Duration = Duration::from_millis(10);
-/// The smallest accepted [`PollBackoff::max_ms`].
+/// Smallest accepted [`PollBackoff::max_ms`].
 const MIN_BACKOFF_MAX_MS: u64 = 100;
-/// The largest accepted [`PollBackoff::max_ms`].
+/// Largest accepted [`PollBackoff::max_ms`].
 const MAX_BACKOFF_MAX_MS: u64 = 60_000;
 
-/// How seldom an unreachable registry is called.
+/// Configured backoff for calls to an unreachable registry.
 ///
-/// Failure: all proxies lose the registry at once, and their retries overload it when it returns. Delays therefore
-/// double up to `max_ms`, with up to as much again of jitter. `N` proxies make `N / (1.5 * max_ms)` calls a
-/// millisecond: 4,100 proxies some 1,400 a second at the default, where they make some 20,000 without a backoff.
+/// When all proxies lose the registry at once, their retries would overload it when it returns. Delays therefore double
+/// up to `max_ms`, plus jitter of up to the delay itself. `N` proxies make `N / (1.5 * max_ms)` calls per millisecond:
+/// 4,100 proxies make about 1,400 calls per second at the default, and about 20,000 without a backoff.
 ///
-/// A proxy calls a registry that is reachable again within `2 * max_ms`: at the default a change is in force 6 s on,
-/// with 2 s for the call itself. Several registries share this time: each is called that often, in turn.
+/// A registry that is reachable again is called within `2 * max_ms`: at the default a change is in force after 6 s,
+/// which includes 2 s for the call itself. Several registries are called in turn and share this time, so each of them
+/// is called once within it.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PollBackoff {
-    /// The longest delay between two calls before jitter, ms: from 100 to 60,000, by default 2,000.
+    /// Longest delay between two calls before jitter, ms: from 100 to 60,000, by default 2,000.
     pub max_ms: u64,
 }
 
@@ -45,7 +46,7 @@
 }
 
 impl PollBackoff {
-    /// The setting that is out of bounds and its bounds, if one is.
+    /// Returns the setting that is out of bounds, with its bounds, or `None` if all are valid.
     pub fn invalid(&self) -> Option<String> {
         let accepted = MIN_BACKOFF_MAX_MS..=MAX_BACKOFF_MAX_MS;
         (!accepted.contains(&self.max_ms))
@@ -53,23 +54,23 @@
     }
 }
 
-/// When discovery is polled.
+/// Delays and intervals with which discovery is polled.
 #[derive(Clone, Copy, Debug)]
 pub struct PollSchedule {
-    /// Lists are polled when the listener needs one, instead of watched all the time.
+    /// Whether lists are polled only when the listener needs one, instead of being watched all the time.
     pub(super) on_demand: bool,
     hedge_after: Duration,
     failed_call_backoff: BackoffBounds,
-    /// The longest delay, where a [`PollBackoff`] is configured.
+    /// Longest delay, if a [`PollBackoff`] is configured.
     max_delay: Option<Duration>,
 }
 
 impl PollSchedule {
-    /// The schedule without a [`PollBackoff`].
+    /// Creates a schedule without a [`PollBackoff`].
     ///
-    /// The platform counts a change as delivered once its agent has it, called or not. When the agent returns, a call
-    /// must reach it and be answered within half the drain grace; delays grow by up to as much again by jitter, so
-    /// that a quarter bounds them.
+    /// The platform counts a change as delivered once its agent has it, whether or not the proxy has polled it. When
+    /// the agent returns, a call must reach it and be answered within half the drain grace. Jitter at most doubles a
+    /// delay, so delays before jitter are limited to a quarter of the grace.
     pub fn new(on_demand: bool, drain_grace: Duration) -> Self {
         let hedge_after = match on_demand {
             true => POLL_HEDGE_AFTER,
@@ -83,12 +84,12 @@
         PollSchedule { on_demand, hedge_after, failed_call_backoff, max_delay: None }
     }
 
-    /// The same schedule with delays and hedge intervals that grow to `backoff.max_ms` while nothing is answered.
+    /// Returns this schedule with delays and hedge intervals that grow to `backoff.max_ms` while no call is answered.
     pub fn with_backoff(self, backoff: PollBackoff) -> Self {
         PollSchedule { max_delay: Some(Duration::from_millis(backoff.max_ms)), ..self }
     }
 
-    /// The delays after failed calls to `registries` addresses in turn.
+    /// Returns the range of the delays after failed calls to `registries` addresses that are called in turn.
     pub(super) fn backoff_bounds(&self, registries: usize) -> BackoffBounds {
         let BackoffBounds { min, max } = self.failed_call_backoff;
         let registries = u32::try_from(registries.max(1)).unwrap_or(u32::MAX);
@@ -96,7 +97,7 @@
         BackoffBounds { min, max }
     }
 
-    /// The intervals of hedged calls.
+    /// Creates the schedule of hedged calls for one watch.
     pub(super) fn hedge_schedule(&self) -> HedgeSchedule {
         let min = self.hedge_after;
         match self.max_delay {
@@ -105,10 +106,10 @@
         }
     }
 
-    /// What is left of the delay after a failed call that took `call_time`.
+    /// Returns the rest of the delay after a failed call that took `call_time`.
     ///
-    /// A call that timed out has been a delay by itself and has left no call open, so that its time is subtracted, or
-    /// on a watch without a [`PollBackoff`] stands for the delay.
+    /// A call that timed out has already delayed the next one and left no call pending. With a [`PollBackoff`] its time
+    /// is subtracted; on a watch without one the next call follows without a delay.
     pub(super) fn remaining_delay(
         &self,
         delay: Duration,
@@ -123,16 +124,16 @@
     }
 }
 
-/// The intervals between the hedged calls that go out while an answer is late.
+/// Intervals between the hedged calls that are sent while an answer is late.
 pub(super) enum HedgeSchedule {
-    /// The same interval each time.
+    /// Constant interval.
     Fixed(Duration),
-    /// Intervals that grow until something is answered, also from one late poll to the next.
+    /// Intervals that grow until a poll is answered; they keep growing across polls that stay unanswered.
     Exponential(Backoff),
 }
 
 impl HedgeSchedule {
-    /// The interval before the next hedged call.
+    /// Returns the interval before the next hedged call.
     pub(super) fn next_interval(&mut self) -> Duration {
         match self {
             HedgeSchedule::Fixed(interval) => *interval,
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Begins at the shortest interval again, after an answer.
+    /// Returns to the shortest interval, after an answer.
     pub(super) fn reset(&mut self) {
         if let HedgeSchedule::Exponential(backoff) = self {
             backoff.reset();
--- a/src/client/discovery/watch.rs
+++ b/src/client/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! The watch itself: polls, applies answers, and waits between calls.
+//! Watch loop of discovery: polls, passes answers to the listener, and waits between calls.
 
 use super::missing_service::MissingServiceWarning;
 use super::poll::poll;
@@ -13,17 +13,18 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::{Instant, sleep};
 
-/// Delay after an answer without a change that came at once.
+/// Delay after an answer without a change that arrived sooner than this.
 ///
-/// Failure: a registry that answers watches without waiting would be polled in a tight loop. The platform needs the
-/// next watch within 200 ms of the last answer, whatever is configured.
+/// Without the delay, a registry that answers watches without waiting would be polled in a tight loop. The platform
+/// requires the next watch within 200 ms of the last answer, whatever is configured.
 const UNCHANGED_DELAY: Duration = Duration::from_millis(100);
 
-/// Watches the endpoint list for as long as `on_demand` has a sender, at the registries that `addresses` names.
+/// Watches the endpoint list at the registries in `addresses`, and passes it to `listener`.
 ///
-/// When `addresses` changes, the watch begins anew there with the full list. `on_demand` matters only where the
-/// schedule polls on demand: calls are made while it is true. `first_list` is notified once, of the first list that
-/// reaches the listener.
+/// When `addresses` changes, the watch starts again at the new addresses with the full list. `on_demand` is used only
+/// where the schedule polls on demand: calls are made while it is true, and the function returns once its sender is
+/// dropped. Otherwise the function never returns. `first_list` is notified once the first list has been passed to the
+/// listener.
 pub async fn run_watch(
     listener: impl EndpointListener,
     mut addresses: watch::Receiver<Vec<SocketAddr>>,
@@ -42,7 +43,7 @@
     }
 }
 
-/// A watch at one set of registries.
+/// Watch of the endpoint list at one set of registries.
 struct EndpointWatch<'a, L> {
     listener: &'a L,
     settings: &'a Settings,
@@ -50,7 +51,7 @@
     connection: Option<Connection>,
     hedges: HedgeSchedule,
     missing_service: MissingServiceWarning,
-    /// Taken by the first list.
+    /// Notified of the first list, and `None` from then on.
     first_list: &'a mut Option<oneshot::Sender<()>>,
 }
 
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Polls until the sender of `on_demand` is gone; where lists are not polled on demand it never ends.
+    /// Polls for ever, or until the sender of `on_demand` is dropped if lists are polled on demand.
     async fn watch_endpoint(mut self, mut on_demand: watch::Receiver<bool>) {
         loop {
             if self.settings.schedule.on_demand && on_demand.wait_for(|wanted| *wanted).await.is_err() {
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Passes an accepted answer to the listener; returns the delay before the next call, if there is one.
+    /// Passes an accepted answer to the listener; returns the delay before the next call, if one is needed.
     fn apply(&mut self, page: ListPage, resumed: Option<u64>, begun: Instant) -> Option<Duration> {
         self.hedges.reset();
         if let (Some(service), true) = (&self.settings.service, page.is_full) {
@@ -107,13 +108,13 @@
         let version = page.version;
         let ParsedEntries { entries, unreadable } = page.into_entries();
         if unreadable > 0 && kind == ListKind::Delta {
-            // An update that was skipped is sent again only as a part of the full list.
+            // The registry sends a skipped entry again only as part of the full list.
             self.state.resync();
         }
         if has_content {
             self.listener.apply(kind, version, entries);
             if let Some(first_list) = self.first_list.take() {
-                // The receiver is gone where nothing waits for the first list.
+                // The receiver may be dropped: not every caller waits for the first list.
                 let _ = first_list.send(());
             }
         }
--- a/src/client/list.rs
+++ b/src/client/list.rs
@@ -1,62 +1,62 @@
-//! The endpoint list in the form in which a registry sends it.
+//! Endpoint list in the form in which a registry sends it.
 //!
-//! A [`ListPage`] is a full list or an update to one. Its entries are parsed one by one, so that an entry that does
-//! not parse costs no other. The serde names are the protocol's.
+//! A [`ListPage`] is a full list or an update to one. Its entries are parsed one by one, so that an invalid entry does
+//! not affect the others. The serde names are those of the protocol.
 
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
 use tracing::warn;
 
-/// A full endpoint list, or an update to one.
+/// Full endpoint list, or an update to one, as a registry sends it.
 #[derive(Deserialize)]
 pub struct ListPage {
-    /// The list's version once this page is applied.
+    /// Version of the list once this page is applied.
     #[serde(rename = "seq")]
     pub version: u64,
-    /// Whether it is the full list; an update otherwise.
+    /// Whether the page is a full list; otherwise it is an update.
     #[serde(rename = "whole")]
     pub is_full: bool,
-    /// Its entries as JSON text, not parsed yet.
+    /// Entries as JSON text that is not parsed yet.
     ///
-    /// Failure: one entry that does not parse, or a number that no type holds, would fail the parse of the full list.
-    /// As raw text it is found by [`ListPage::into_entries`] and fails alone.
+    /// If they were parsed with the page, one invalid entry or one number out of range would fail the whole page.
+    /// [`ListPage::into_entries`] parses each entry separately.
     #[serde(rename = "hosts")]
     pub entries: Vec<Box<RawValue>>,
 }
 
-/// A list's entries once parsed.
+/// Result of parsing the entries of a page.
 pub struct ParsedEntries {
-    /// Those that parse.
+    /// Entries that were parsed.
     pub entries: Vec<EndpointEntry>,
-    /// How many do not; they were logged.
+    /// Number of entries that could not be parsed; [`ListPage::into_entries`] logs them.
     pub unreadable: usize,
 }
 
-/// A backend in an endpoint list.
+/// Entry of an endpoint list: one backend.
 #[derive(Deserialize)]
 pub struct EndpointEntry {
-    /// The backend's name.
+    /// Name of the backend.
     #[serde(rename = "host")]
     pub name: String,
-    /// Its address; only one that is draining or deleted may have none.
+    /// Address of the backend; absent only if it is draining or deleted.
     #[serde(rename = "dial")]
     pub address: Option<SocketAddr>,
-    /// Its zone; by default empty.
+    /// Zone of the backend; by default empty.
     #[serde(rename = "site", default)]
     pub zone: String,
-    /// Its machine class; by default empty.
+    /// Machine class of the backend; by default empty.
     #[serde(default)]
     pub class: String,
-    /// Its cell; by default 0.
+    /// Cell of the backend; by default 0.
     #[serde(rename = "block", default)]
     pub cell: u16,
-    /// Whether it accepts new calls.
+    /// Whether the backend accepts new calls.
     pub health: Health,
-    /// Its size relative to the others; by default 0.
+    /// Weight of the backend relative to the others; by default 0.
     #[serde(rename = "share", default)]
     pub weight: f64,
-    /// When it started, Unix time in milliseconds; by default 0, for long ago.
+    /// Start of the backend, Unix time in milliseconds; by default 0, for an unknown start long ago.
     #[serde(rename = "born_ms", default)]
     pub started_ms: f64,
 }
@@ -65,27 +65,27 @@
 #[derive(Deserialize, Clone, Copy, PartialEq, Eq)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Health {
-    /// It accepts calls.
+    /// The backend accepts new calls.
     Serving,
-    /// It finishes the calls that it has.
+    /// The backend accepts no new calls and finishes those in flight.
     Draining,
-    /// It is gone.
+    /// The backend was removed.
     Deleted,
 }
 
-/// The part of an entry that tells that a backend accepts no new calls; parsed where the entry as such does not parse.
+/// Name and health of an entry, parsed alone where the complete entry cannot be parsed.
 #[derive(Deserialize)]
-struct EndedEntry {
+struct HealthEntry {
     #[serde(rename = "host")]
     name: String,
     health: Health,
 }
 
-/// Characters of an unreadable entry that are logged.
+/// Most characters of an invalid entry that are logged.
 const MAX_LOGGED_ENTRY: usize = 200;
 
 impl ListPage {
-    /// Parses the entries. Those that do not parse are counted, and one line logs them with one as an example.
+    /// Parses the entries. Logs the number of those that cannot be parsed in one line, with the last one as an example.
     pub fn into_entries(self) -> ParsedEntries {
         let mut entries = Vec::new();
         let mut unreadable = 0;
@@ -101,16 +101,16 @@
             }
         }
         if unreadable > 0 {
-            warn!("discovery: {unreadable} entries passed over, such as {example}");
+            warn!("discovery: skipped {unreadable} list entries that cannot be parsed, such as {example}");
         }
         ParsedEntries { entries, unreadable }
     }
 }
 
-/// Parses an entry.
+/// Parses one entry.
 ///
-/// Failure: a backend that drains or is gone would go on receiving calls because another field of its entry does not
-/// parse. Its name and health are enough to end them.
+/// For a draining or deleted backend a valid name and health suffice: otherwise an invalid value in another field would
+/// keep the backend in service.
 fn parse_entry(text: &str) -> Result<EndpointEntry, String> {
     let parsed = serde_json::from_str::<EndpointEntry>(text).map_err(|error| error.to_string());
     let error = match parsed {
@@ -118,7 +118,7 @@
         Ok(_) => "no address".to_string(),
         Err(error) => error,
     };
-    match serde_json::from_str::<EndedEntry>(text) {
+    match serde_json::from_str::<HealthEntry>(text) {
         Ok(ended) if ended.health != Health::Serving => Ok(ended.into()),
         _ => Err(error),
     }
@@ -130,8 +130,8 @@
     }
 }
 
-impl From<EndedEntry> for EndpointEntry {
-    fn from(ended: EndedEntry) -> Self {
+impl From<HealthEntry> for EndpointEntry {
+    fn from(ended: HealthEntry) -> Self {
         EndpointEntry {
             name: ended.name,
             health: ended.health,
--- a/src/client/membership/datagrams.rs
+++ b/src/client/membership/datagrams.rs
@@ -1,4 +1,4 @@
-//! The membership's socket and timers: passes datagrams to the protocol and carries out what it asks for.
+//! Socket and timers of the membership: passes datagrams to the protocol and performs its output.
 
 use super::Membership;
 use super::operator_page::DatagramCounts;
@@ -12,16 +12,16 @@
 use tokio::time::{Instant, sleep};
 use tracing::{info, warn};
 
-/// Datagrams that are received in a row before the task yields.
+/// Most datagrams that are received before the task yields.
 ///
-/// Failure: a flood of datagrams occupies the one thread, and calls stall. The flood gets at most one batch in each
-/// `BATCH_INTERVAL`; the rest is dropped by the socket's buffer, and the protocol bears lost datagrams.
+/// Without a limit, a flood of datagrams would occupy the only thread and stall calls. At most one batch is received
+/// per `BATCH_INTERVAL`; the socket's buffer drops the rest, and the protocol tolerates lost datagrams.
 const MAX_BATCH: usize = 256;
-/// Delay between two batches.
+/// Delay between two batches of received datagrams.
 const BATCH_INTERVAL: Duration = Duration::from_millis(1);
-/// Delay after the socket reports an error, for lack of memory or descriptors.
+/// Delay after the socket reports an error, such as a lack of memory or descriptors.
 const SOCKET_ERROR_DELAY: Duration = Duration::from_millis(10);
-/// Bytes of the receive buffer, above the longest datagram that members send.
+/// Size of the receive buffer in bytes, larger than the longest datagram that members send.
 const RECEIVE_BUFFER: usize = 2048;
 
 impl Membership {
@@ -57,7 +57,7 @@
         self.datagram_counts.set(counts);
     }
 
-    /// Sends the datagrams, sets the timers and reports the changes that the protocol has ready.
+    /// Sends the protocol's pending datagrams, sets its timers, and logs and publishes its notifications.
     pub(super) fn flush_protocol(self: &Rc<Self>) {
         let swim = &mut *self.swim.borrow_mut();
         self.send_datagrams(swim);
@@ -74,7 +74,8 @@
         }
     }
 
-    /// Sends what waits. A datagram that the socket does not accept is lost, as any datagram may be.
+    /// Sends the pending datagrams. One that the socket does not accept is lost; the protocol tolerates the loss of any
+    /// datagram.
     fn send_datagrams(&self, swim: &mut Swim) {
         let mut counts = self.datagram_counts.get();
         while let Some((to, datagram)) = swim.next_datagram() {
@@ -99,7 +100,7 @@
         });
     }
 
-    /// Forgets the datagram times of members that are forgotten, and notifies the receivers of a changed count.
+    /// Removes the datagram times of forgotten members, and notifies the receivers if the count changed.
     fn publish_count(&self, swim: &Swim) {
         let known: Vec<SocketAddr> = swim.members().map(|member| member.id.addr).collect();
         self.last_received.borrow_mut().retain(|address, _| known.contains(address));
@@ -115,7 +116,8 @@
         DropReason::TooManyMembers => {
             if counts.too_many_members == 0 {
                 warn!(
-                    "membership: {} members are known, no more are taken in; give each tier its own cluster",
+                    "membership: {} members are known; datagrams of new members are dropped. Set a separate \
+                     membership.cluster for each tier",
                     swim::MAX_MEMBERS
                 );
             }
@@ -128,9 +130,11 @@
     match notification {
         OwnedNotification::MemberUp(id) => info!("membership: {} is alive", describe(id)),
         OwnedNotification::MemberDown(id) => warn!("membership: {} is gone", describe(id)),
-        OwnedNotification::Rejoin(id) => warn!("membership: back as {}", describe(id)),
+        OwnedNotification::Rejoin(id) => {
+            warn!("membership: this process was declared dead and rejoins as {}", describe(id))
+        }
         OwnedNotification::Rename(old, new) => {
-            info!("membership: {} takes the place of {}", describe(new), describe(old));
+            info!("membership: {} replaces {}", describe(new), describe(old));
         }
         OwnedNotification::Active | OwnedNotification::Idle | OwnedNotification::Defunct => {}
     }
--- a/src/client/membership/mod.rs
+++ b/src/client/membership/mod.rs
@@ -1,9 +1,9 @@
-//! Membership among the proxies of a tier: which of them are alive, found by gossip over UDP.
+//! Membership among the proxies of a tier: detects by gossip over UDP which of them are alive.
 //!
 //! [`Membership`] owns the socket, the seeds and the counts of datagrams; the protocol, without sockets or clock, is
-//! in [`swim`]. Three tasks act: one receives datagrams, one announces this process to seeds, and where registries are
-//! configured one registers it there. The rest of the program reads the count of members; what follows from a change
-//! of it is the decision module's to decide.
+//! in [`swim`]. One task receives datagrams, one announces this process to seeds, and if registries are configured a
+//! third registers it there. The rest of the program reads the count of members; the decision module decides how to
+//! react to a change of the count.
 
 mod datagrams;
 mod operator_page;
@@ -29,7 +29,7 @@
 use tokio::time::Instant;
 use tracing::info;
 
-/// The UDP address cannot be used, so that this process cannot take part.
+/// Failure to bind the membership's UDP address.
 #[derive(Debug, thiserror::Error)]
 #[error("membership: {address}: {source}; free the UDP address or set another as membership.bind")]
 pub struct Error {
@@ -37,31 +37,35 @@
     source: std::io::Error,
 }
 
-/// This process as a member.
+/// This process as a member of the tier.
 pub struct Membership {
     swim: RefCell<Swim>,
     socket: UdpSocket,
-    /// The configured seeds, followed by the proxies that a registry lists.
+    /// Configured seeds, followed by the proxies that a registry lists.
     seeds: RefCell<Vec<SocketAddr>>,
-    /// How many of `seeds` are configured.
+    /// Number of configured seeds at the beginning of `seeds`.
     configured_seeds: usize,
-    /// The registries that list the tier's proxies.
+    /// Registries that list the tier's proxies.
     registries: Vec<SocketAddr>,
     /// Notified when a registry lists a new proxy and this process is alone.
     new_seeds: Notify,
-    /// When each member's last datagram came, by its address.
+    /// Time of the last datagram received from each member, by address.
     last_received: RefCell<HashMap<SocketAddr, Instant>>,
     datagram_counts: Cell<DatagramCounts>,
-    /// Counts this client's control traffic of all kinds.
+    /// Counts of this client's control traffic of all kinds.
     control_traffic: Traffic,
     count: watch::Sender<MemberCount>,
     has_left: Cell<bool>,
 }
 
 impl Membership {
-    /// Binds the socket and logs its address. The process is alone until [`Membership::run`] has found others.
+    /// Binds the socket and logs its address. The process knows no other members until [`Membership::run`] finds some.
     ///
-    /// `seed` seeds the protocol's random choices. Fails if the address in the settings cannot be bound.
+    /// `seed` initializes the protocol's random number generator.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the address in the settings cannot be bound.
     pub async fn bind(
         settings: &Settings,
         zone: &str,
@@ -89,12 +93,12 @@
         }))
     }
 
-    /// The count of members, which notifies its receivers of each change.
+    /// Returns a receiver of the member count that is notified of each change.
     pub fn count(&self) -> watch::Receiver<MemberCount> {
         self.count.subscribe()
     }
 
-    /// Takes part for ever.
+    /// Runs the membership's tasks for ever.
     pub async fn run(self: Rc<Self>) {
         spawn_local(self.clone().run_seeding());
         if !self.registries.is_empty() {
@@ -103,8 +107,8 @@
         self.receive_datagrams().await;
     }
 
-    /// Announces to the other members that this process leaves, and deletes its registration. Only the first call does
-    /// something.
+    /// Announces to the other members that this process leaves, and deletes its registration. Later calls have no
+    /// effect.
     pub fn leave(self: &Rc<Self>) {
         if self.has_left.replace(true) {
             return;
@@ -117,7 +121,7 @@
     }
 }
 
-/// This process's identity. Its generation is the time of its start, so that it rises with each restart.
+/// Builds this process's identity. Its generation is the start time, so it increases with each restart.
 fn member_id(settings: &Settings, bound: SocketAddr, zone: &str) -> MemberId {
     let addr = settings.advertise.unwrap_or(bound);
     let name = settings.name.clone().unwrap_or_else(|| addr.to_string());
--- a/src/client/membership/operator_page.rs
+++ b/src/client/membership/operator_page.rs
@@ -1,34 +1,34 @@
-//! The membership's page for operators. Its keys are a contract with their scripts.
+//! Membership page for operators. Its keys are a contract: operators' scripts parse them.
 
 use super::Membership;
 use super::swim::MemberCount;
 use serde::Serialize;
 use serde_json::{Value, json};
 
-/// Counts of the datagrams that went over the socket, since the start.
+/// Counts of the membership's datagrams since the start.
 #[derive(Clone, Copy, Default, Serialize)]
 pub(super) struct DatagramCounts {
-    /// Received, accepted or not.
+    /// Received datagrams, including dropped ones.
     pub(super) received: u64,
-    /// Bytes in them.
+    /// Bytes of the received datagrams.
     pub(super) received_bytes: u64,
-    /// Sent.
+    /// Sent datagrams.
     pub(super) sent: u64,
-    /// Bytes in them.
+    /// Bytes of the sent datagrams.
     pub(super) sent_bytes: u64,
-    /// Not accepted by the socket, and lost.
+    /// Datagrams that the socket did not accept, which are lost.
     pub(super) unsent: u64,
-    /// Dropped as malformed.
+    /// Datagrams dropped as malformed.
     #[serde(rename = "garbage")]
     pub(super) malformed: u64,
-    /// Dropped as another cluster's.
+    /// Datagrams dropped because they belong to another cluster.
     pub(super) other_cluster: u64,
-    /// Dropped since too many members are known.
+    /// Datagrams of new members dropped because [`MAX_MEMBERS`](super::swim::MAX_MEMBERS) are known.
     pub(super) too_many_members: u64,
 }
 
 impl Membership {
-    /// This process, the members with their states, and the datagram counts, as JSON.
+    /// Returns this process, the members with their states, and the datagram counts, as JSON.
     pub fn page(&self) -> Value {
         let swim = self.swim.borrow();
         let last_received = self.last_received.borrow();
--- a/src/client/membership/registration.rs
+++ b/src/client/membership/registration.rs
@@ -1,8 +1,8 @@
-//! The tier's own registration with a registry, by which members find each other without configured seeds.
+//! Registration of this process with a registry, through which members find each other without configured seeds.
 //!
-//! Such a registry lists the tier's proxies as other registries list backends. One task registers this process,
-//! renews the registration well within its TTL, and passes the proxies that it reads to the seeding. It owns the
-//! registry in use and the backoff between failed calls.
+//! Such a registry lists the tier's proxies as other registries list backends. One task registers this process, renews
+//! the registration well within its TTL, and passes the listed proxies to the seeding. It owns the registry in use and
+//! the backoff between failed calls.
 
 use super::Membership;
 use super::seeding::SEEDING_BACKOFF;
@@ -19,17 +19,17 @@
 use tokio::time::{sleep, timeout};
 use tracing::warn;
 
-/// How long a registration lives without renewal.
+/// Time to live of a registration that is not renewed.
 const TTL: Duration = Duration::from_secs(30);
-/// The time limit of a registration with the read that follows it; later the next registry is called.
+/// Time limit of a registration and the read that follows it, after which the next registry is called.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest accepted list, in bytes: 33,500 proxies with the longest names and zones, 64,500 with short ones
-/// (computed). It is held while one answer is parsed.
+/// Longest accepted list, in bytes: 33,500 proxies with the longest names and zones, 64,500 with short ones (computed).
+/// A list is in memory only while it is parsed.
 const MAX_LIST_BYTES: usize = 8 << 20;
-/// The registry's path for endpoint lists.
+/// Path of the registry's endpoint lists.
 const PATH: &str = "/registry/instances";
 
-/// Registers this process and reads the proxies of the tier, for ever, at the first registry that answers.
+/// Registers this process and reads the tier's proxies repeatedly, for ever, at the first registry that answers.
 pub(super) async fn run_registration(membership: Rc<Membership>, registries: Vec<SocketAddr>) {
     let mut current = 0;
     let mut backoff = Backoff::new(SEEDING_BACKOFF);
@@ -45,7 +45,7 @@
             }
             Err(error) => {
                 if !is_failing {
-                    warn!("membership: registry {registry}: {error}");
+                    warn!("membership: registration with {registry} failed: {error}; retrying");
                 }
                 is_failing = true;
                 current = (current + 1) % registries.len();
@@ -65,13 +65,13 @@
     }
 }
 
-/// The delay before the next renewal: from 1/4 to 5/12 of the TTL, so that two renewals in a row may fail. It is drawn
-/// by chance, so that the proxies' renewals don't come together.
+/// Returns a random delay before the next renewal: from 1/4 to 5/12 of the TTL, so that two renewals in a row may fail
+/// and the proxies' renewals are spread over time.
 fn renewal_delay() -> Duration {
     TTL.mul_f64(0.25 + fastrand::f64() / 6.0)
 }
 
-/// Registers this process, then reads the addresses of the proxies in service.
+/// Registers this process, then reads the addresses of the serving proxies.
 async fn register_and_read(
     membership: &Membership,
     registry: SocketAddr,
@@ -97,7 +97,7 @@
     call(membership, registry, Method::PUT, body.into()).await.map(drop)
 }
 
-/// Makes a call on a connection of its own, which is not kept: the next call is seconds away.
+/// Makes a call on a new connection, which is not kept because the next call is seconds away.
 async fn call(
     membership: &Membership,
     registry: SocketAddr,
--- a/src/client/membership/seeding.rs
+++ b/src/client/membership/seeding.rs
@@ -1,7 +1,7 @@
-//! Seeding: asks seeds to join their membership, at the start and after a split.
+//! Seeding: announces this process to seeds, at the start and after a network partition.
 //!
-//! The seeds are those from the configuration and the proxies that a registry lists. One task asks them often while
-//! this process is alone, and one of them now and then later on.
+//! The seeds are those from the configuration and the proxies that a registry lists. While this process knows no other
+//! live member, one task announces it to many seeds often; afterwards to a single seed at a long interval.
 
 use super::{Membership, swim};
 use crate::client::backoff::{Backoff, BackoffBounds};
@@ -10,19 +10,19 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Delays between two rounds of announcements of a process that is alone.
+/// Range of the delays between rounds of announcements while no other member is alive.
 pub(super) const SEEDING_BACKOFF: BackoffBounds =
     BackoffBounds { min: Duration::from_millis(100), max: Duration::from_secs(5) };
-/// The most seeds that one round asks.
+/// Most seeds that are announced to in one round.
 const MAX_SEEDS_PER_ROUND: usize = 16;
-/// Interval at which a process that is not alone asks one seed.
+/// Interval of the announcements to one seed while other members are alive.
 ///
-/// Failure: after a split that outlasts `forget_ms` the two sides have forgotten each other and would stay apart. One
-/// announcement across joins them again.
+/// After a partition that outlasts `forget_ms`, the two sides have forgotten each other and would stay separate. One
+/// announcement from one side to the other joins them again.
 const REJOIN_INTERVAL: Duration = Duration::from_secs(30);
 
 impl Membership {
-    /// Announces this process to seeds until it leaves.
+    /// Announces this process to seeds repeatedly until it leaves.
     pub(super) async fn run_seeding(self: Rc<Self>) {
         let mut backoff = Backoff::new(SEEDING_BACKOFF);
         while !self.has_left.get() {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Announces this process to at most `max_seeds` seeds, from a random one on.
+    /// Announces this process to at most `max_seeds` consecutive seeds, starting at a random one.
     fn announce_to_seeds(&self, max_seeds: usize) {
         let seeds = self.seeds.borrow();
         let count = seeds.len().min(max_seeds);
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Replaces the seeds that a registry lists; this process may be one of them and is left out. A process that is
-    /// alone announces itself at once if one of them is new.
+    /// Replaces the seeds that a registry lists, without this process itself. If one is new and no other member is
+    /// alive, the next round of announcements starts at once.
     pub(super) fn set_listed_members(&self, addresses: Vec<SocketAddr>) {
         let own = self.swim.borrow().id().addr;
         let mut seeds = self.seeds.borrow_mut();
--- a/src/client/membership/settings.rs
+++ b/src/client/membership/settings.rs
@@ -1,42 +1,42 @@
-//! The membership's settings. Their names are the keys of the configuration.
+//! Settings of the membership. Their names are the keys of the configuration.
 
 use super::swim::{MAX_NAME_BYTES, Timing};
 use crate::client::registry::MAX_REGISTRIES;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// Where the membership runs, and with whom.
+/// Addresses, identity, seeds and timing of the membership.
 #[derive(Deserialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// UDP address to listen on.
+    /// UDP address to bind.
     pub bind: SocketAddr,
-    /// Address that the other members send to; by default the bound one.
+    /// Address to which the other members send; by default the bound address.
     pub advertise: Option<SocketAddr>,
-    /// Name of the cluster, one for each tier; datagrams of another cluster are dropped. By default `heathroad`.
+    /// Name of the cluster, different for each tier; datagrams of another cluster are dropped. By default `heathroad`.
     #[serde(default = "default_cluster")]
     pub cluster: String,
-    /// This process's name among the members, the same after a restart; by default the advertised address.
+    /// Name of this process among the members, which stays the same across restarts; by default the advertised address.
     pub name: Option<String>,
-    /// Members to announce this process to; by default none.
+    /// Addresses of members to announce this process to; by default none.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
     /// Registries that list the tier's proxies and nothing else; by default none.
     #[serde(default)]
     pub registries: Vec<SocketAddr>,
-    /// The protocol's times.
+    /// Intervals and timeouts of the protocol.
     #[serde(default)]
     pub timing: Timing,
 }
 
-/// Kept: datagrams of another cluster are dropped, and proxies of earlier versions use this name. Another default would
-/// part the proxies of a tier during a rolling update.
+/// Returns the default cluster name, which must not change: proxies of earlier versions use it, and datagrams of
+/// another cluster are dropped, so another default would separate the proxies of a tier during a rolling update.
 fn default_cluster() -> String {
     "heathroad".into()
 }
 
 impl Settings {
-    /// The setting that is out of bounds and its bounds, if one is.
+    /// Returns the setting that is out of bounds, with its bounds, or `None` if all are valid.
     pub fn invalid(&self) -> Option<String> {
         let name_length = self.name.as_ref().map_or(1, String::len);
         if !(1..=MAX_NAME_BYTES).contains(&name_length) {
--- a/src/client/membership/swim/frame.rs
+++ b/src/client/membership/swim/frame.rs
@@ -1,13 +1,13 @@
-//! The frame of a datagram: `magic | crc32 of the cluster's name | crc32 of the body | body`, each number u32
-//! little-endian. It is a contract: old and new proxies of a tier exchange it during a rolling update.
+//! Frame of a datagram: `magic | crc32 of the cluster's name | crc32 of the body | body`, each number a little-endian
+//! u32. The format is a contract: proxies of different versions exchange datagrams during a rolling update.
 
 use super::DropReason;
 
-/// Bytes before the body.
+/// Length of the header before the body, in bytes.
 pub(super) const HEADER_LENGTH: usize = 12;
 const MAGIC: u32 = u32::from_le_bytes(*b"HRM1");
 
-/// Frames a body for the cluster with this hash.
+/// Frames a body for the cluster with hash `cluster_hash`.
 pub(super) fn frame(body: &[u8], cluster_hash: u32) -> Vec<u8> {
     let mut datagram = Vec::with_capacity(HEADER_LENGTH + body.len());
     for field in [MAGIC, cluster_hash, crc32fast::hash(body)] {
@@ -17,7 +17,8 @@
     datagram
 }
 
-/// The body of a datagram of the cluster with this hash.
+/// Returns the body of a datagram, or the reason to drop it if it is damaged or not of the cluster with hash
+/// `cluster_hash`.
 pub(super) fn unframe(datagram: &[u8], cluster_hash: u32) -> Result<&[u8], DropReason> {
     let (header, body) = datagram.split_at_checked(HEADER_LENGTH).ok_or(DropReason::Malformed)?;
     let field = |at: usize| header[at..at + 4].iter().rev().fold(0, |sum, &byte| sum << 8 | u32::from(byte));
--- a/src/client/membership/swim/member.rs
+++ b/src/client/membership/swim/member.rs
@@ -1,22 +1,23 @@
-//! The members as the protocol knows them: their identities, their states and their count.
+//! Members as the protocol knows them: their identities, states and count.
 
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A member's identity, as members send it to each other. The order of its fields is that of the wire.
+/// Identity of a member, as members send it to each other. The order of the fields is the wire format.
 ///
-/// Members are distinguished by address. Of two identities with one address the later generation is the member, and
-/// the earlier one is what it was before a restart.
+/// Members are distinguished by address. Of two identities with the same address the one with the higher generation is
+/// current; the other is from before a restart.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberId {
-    /// Where its datagrams go.
+    /// Address to which the member's datagrams are sent.
     pub addr: SocketAddr,
-    /// Its start, Unix time in microseconds, plus one for each time that it was taken for dead and returned.
+    /// Start of the member, Unix time in microseconds, plus one for each time that it rejoined after it was declared
+    /// dead.
     pub generation: u64,
-    /// Its name, the same after a restart.
+    /// Name of the member, which stays the same across restarts.
     pub name: String,
-    /// Its zone.
+    /// Zone of the member.
     pub zone: String,
 }
 
@@ -36,46 +37,47 @@
     }
 }
 
-/// A member's state, as this process sees it.
+/// State of a member, as this process sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberState {
-    /// It answers probes.
+    /// The member answers probes.
     Alive,
-    /// It did not answer a probe and has not refuted the suspicion yet.
+    /// The member did not answer a probe and has not refuted the suspicion yet.
     Suspect,
-    /// It has left, or its suspicion ran out.
+    /// The member has left, or its suspicion expired.
     Gone,
 }
 
-/// A member, as this process sees it.
+/// Member of the tier, as this process sees it.
 #[derive(Clone, Debug, Serialize)]
 pub struct Member {
-    /// Its identity.
+    /// Identity of the member.
     pub id: MemberId,
-    /// Its state.
+    /// State of the member.
     #[serde(rename = "standing")]
     pub state: MemberState,
-    /// How many suspicions it has refuted within its generation.
+    /// Number of suspicions that the member has refuted within its generation.
     pub incarnation: u16,
 }
 
-/// How many members there are, this process included.
+/// Numbers of members, including this process, and the rank of this process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemberCount {
-    /// Alive or suspect.
+    /// Number of members that are alive or suspect.
     pub alive: u32,
-    /// Of these, in this process's zone.
+    /// Number of members in this process's zone that are alive or suspect.
     pub in_zone: u32,
-    /// Alive, suspect, or gone and not forgotten.
+    /// Number of members that are alive, suspect, or gone and not forgotten.
     pub known: u32,
-    /// This process's place among the alive, from 0, in the order of their names' hashes. A member that joins or leaves
-    /// moves each other place by one at most, and processes with neighbouring names are not neighbours.
+    /// Position of this process among the live members, from 0, ordered by the hashes of their names. A member that
+    /// joins or leaves changes the rank of each other member by at most one. Processes with similar names have
+    /// unrelated ranks.
     pub rank: u32,
 }
 
 impl MemberCount {
-    /// Whether no other member is alive.
+    /// Returns whether no other member is alive.
     pub fn is_alone(&self) -> bool {
         self.alive <= 1
     }
--- a/src/client/membership/swim/mod.rs
+++ b/src/client/membership/swim/mod.rs
@@ -1,11 +1,11 @@
-//! The SWIM protocol (Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group
+//! SWIM protocol (Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group
 //! Membership Protocol", 2002) as the crate `foca` implements it, without sockets or clock.
 //!
-//! Datagrams and timers go in; datagrams, timers and notifications come out. [`Swim`] owns the protocol's state, frames
-//! the datagrams, bounds the number of members and counts them.
+//! Its inputs are datagrams and timers, its outputs datagrams, timers and notifications. [`Swim`] owns the protocol's
+//! state, frames the datagrams, and limits and counts the members.
 //!
-//! A member has a generation, which rises with each restart and with each return after it was taken for dead, and
-//! within it an incarnation, which rises with each suspicion that it refutes.
+//! A member has a generation, which increases with each restart and each time that it rejoins after it was declared
+//! dead. Within a generation its incarnation increases with each suspicion that it refutes.
 
 mod frame;
 mod member;
@@ -25,40 +25,41 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest datagram, under the smallest usual MTU.
+/// Longest datagram in bytes, below the usual MTU.
 pub const MAX_DATAGRAM: usize = 1400;
 
-/// Longest name, as for a DNS label.
+/// Longest name or zone of a member in bytes, as for a DNS label.
 pub const MAX_NAME_BYTES: usize = 63;
-/// The most members, dead ones included, with which a new one that announces itself is still accepted.
+/// Number of known members, including dead ones, from which datagrams of new members are dropped.
 ///
-/// Failure: a stranger announces made-up members and fills the memory. So many members with short names take 11 MB
-/// (measured as the resident memory of `limits::as_many_members_...` over that of another test of its file). Members
-/// that other members gossip about are accepted beyond it.
+/// Without a limit, forged announcements would exhaust the memory. This many members with short names take 11 MB
+/// (measured as the resident memory of `limits::as_many_members_...` over that of another test in its file). Members
+/// learned from the gossip of known members are accepted beyond the limit.
 pub const MAX_MEMBERS: usize = 16_384;
 
-/// Why a datagram was dropped.
+/// Reason for dropping a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DropReason {
-    /// It is not of this protocol, or was damaged on its way.
+    /// The datagram is not of this protocol, or was damaged in transit.
     Malformed,
-    /// It is of another cluster.
+    /// The datagram belongs to another cluster.
     OtherCluster,
-    /// Its sender is new, and [`MAX_MEMBERS`] are known.
+    /// The datagram's sender is a new member, and [`MAX_MEMBERS`] members are known already.
     TooManyMembers,
 }
 
-/// One process's part in the protocol.
+/// Protocol instance of one process.
 pub struct Swim {
     foca: Foca<MemberId, PostcardCodec, StdRng, NoCustomBroadcast>,
-    /// What the protocol wants done.
+    /// Pending datagrams, timers and notifications.
     output: AccumulatingRuntime<MemberId>,
-    /// crc32 of the cluster's name.
+    /// CRC-32 of the cluster's name.
     cluster_hash: u32,
 }
 
 impl Swim {
-    /// Alone at first; `seed` seeds the random choice of members to probe and to gossip with.
+    /// Creates an instance that knows no other members; `seed` seeds the random choice of members to probe and to
+    /// gossip with.
     pub fn new(id: MemberId, timing: &Timing, cluster: &str, seed: u64) -> Self {
         let rng = StdRng::seed_from_u64(seed);
         let foca = Foca::new(id, timing.config(), rng, PostcardCodec);
@@ -66,12 +67,12 @@
         Swim { foca, output: AccumulatingRuntime::new(), cluster_hash }
     }
 
-    /// This process's identity.
+    /// Returns this process's identity.
     pub fn id(&self) -> &MemberId {
         self.foca.identity()
     }
 
-    /// Handles a datagram; returns its sender.
+    /// Handles a received datagram; returns its sender.
     pub fn receive(&mut self, datagram: &[u8]) -> Result<MemberId, DropReason> {
         let body = unframe(datagram, self.cluster_hash)?;
         let header = PostcardCodec.decode_header(body).map_err(|_| DropReason::Malformed)?;
@@ -83,7 +84,7 @@
         if self.foca.iter_membership_state().len() >= MAX_MEMBERS && !self.knows(sender.addr) {
             return Err(DropReason::TooManyMembers);
         }
-        // The protocol ignores a datagram that is late, repeated or meant for an earlier generation.
+        // The protocol ignores datagrams that are late, repeated or addressed to an earlier generation.
         self.foca.handle_data(body, &mut self.output).map_err(|_| DropReason::Malformed)?;
         Ok(sender)
     }
@@ -92,11 +93,11 @@
         self.foca.iter_membership_state().any(|member| member.id().addr == addr)
     }
 
-    /// Handles a timer that is due. One that a later change made obsolete does nothing.
+    /// Handles a timer that is due. A timer made obsolete by a later change has no effect.
     ///
-    /// Failure: with `notify_down_members`, foca 2.0.0 tells a suspect that it is down when its suspicion runs out, even
-    /// if it refuted the suspicion in time, and the member needlessly takes a new generation. Such a timer is ignored
-    /// unless the suspicion that it belongs to still stands.
+    /// With `notify_down_members`, foca 2.0.0 notifies a suspect that it is down when its suspicion timer expires, even
+    /// if it refuted the suspicion in time, and the member would needlessly take a new generation. Such a timer is
+    /// ignored unless its suspicion is still current.
     pub fn handle_timer(&mut self, timer: Timer<MemberId>) {
         if let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = &timer
             && !self.is_suspect(member_id, *incarnation)
@@ -112,7 +113,7 @@
         })
     }
 
-    /// Asks the member at an address to accept this process.
+    /// Announces this process to the member at address `seed`, which adds it to its members.
     pub fn announce(&mut self, seed: SocketAddr) {
         let id = MemberId { addr: seed, generation: 0, name: String::new(), zone: String::new() };
         if seed != self.id().addr {
@@ -125,23 +126,23 @@
         let _ = self.foca.leave_cluster(&mut self.output);
     }
 
-    /// The next datagram to send, and its receiver.
+    /// Removes and returns the next datagram to send, with its destination.
     pub fn next_datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
         let (to, body) = self.output.to_send()?;
         Some((to.addr, frame(&body, self.cluster_hash)))
     }
 
-    /// The next timer to set, and the delay after which it is due.
+    /// Removes and returns the next timer to set, with the delay after which it is due.
     pub fn next_timer(&mut self) -> Option<(Duration, Timer<MemberId>)> {
         self.output.to_schedule()
     }
 
-    /// The next change among the members.
+    /// Removes and returns the next notification of a change among the members.
     pub fn next_notification(&mut self) -> Option<OwnedNotification<MemberId>> {
         self.output.to_notify()
     }
 
-    /// All other members that are not forgotten.
+    /// Returns all other members that are not forgotten.
     pub fn members(&self) -> impl Iterator<Item = Member> {
         self.foca.iter_membership_state().map(|member| Member {
             id: member.id().clone(),
@@ -154,7 +155,7 @@
         })
     }
 
-    /// Counts the members.
+    /// Counts the members and determines this process's rank.
     pub fn count(&self) -> MemberCount {
         let own = self.id();
         let others = self.latest_generations();
@@ -171,7 +172,8 @@
         }
     }
 
-    /// The other members by name. One that restarted at another address is known by two identities; the latest counts.
+    /// Returns the other members by name. Of a member that restarted at another address, which has two identities, the
+    /// one with the highest generation is returned.
     fn latest_generations(&self) -> HashMap<String, Member> {
         let mut latest: HashMap<String, Member> = HashMap::new();
         for member in self.members().filter(|member| member.id.name != self.id().name) {
--- a/src/client/membership/swim/timing.rs
+++ b/src/client/membership/swim/timing.rs
@@ -1,4 +1,4 @@
-//! The protocol's times, and the configuration of `foca` that follows from them.
+//! Intervals and timeouts of the protocol, and the configuration of `foca` derived from them.
 
 use super::MAX_DATAGRAM;
 use super::frame::HEADER_LENGTH;
@@ -7,22 +7,22 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// Members that are asked to probe one that did not answer.
+/// Number of members that are asked to probe a member that did not answer.
 const INDIRECT_PROBES: usize = 3;
-/// How often a member passes on one change.
+/// Number of times that a member gossips one change.
 const MAX_TRANSMISSIONS: u8 = 10;
 
-/// The protocol's times. Their names are the keys of the configuration.
+/// Intervals and timeouts of the protocol. Their names are the keys of the configuration.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Timing {
-    /// Interval between two probes, each of one member, ms; by default 1,000.
+    /// Interval between probes, each of one member, ms; by default 1,000.
     pub probe_ms: u64,
-    /// How long a probe's answer may take before other members are asked to probe, ms; below `probe_ms`, by default 300.
+    /// Timeout of a probe before other members are asked to probe, ms; below `probe_ms`, by default 300.
     pub rtt_ms: u64,
-    /// How long a suspect has to refute the suspicion before it is gone, ms; by default 4,000.
+    /// Time in which a suspect can refute the suspicion before it is declared gone, ms; by default 4,000.
     pub suspicion_ms: u64,
-    /// How long a member that is gone is remembered, ms; by default 600,000.
+    /// Time for which a gone member is remembered, ms; by default 600,000.
     pub forget_ms: u64,
 }
 
@@ -33,7 +33,7 @@
 }
 
 impl Timing {
-    /// The setting that is out of bounds and its bounds, if one is.
+    /// Returns the setting that is out of bounds, with its bounds, or `None` if all are valid.
     pub fn invalid(&self) -> Option<&'static str> {
         const DAY_MS: u64 = 86_400_000;
         let checks = [
@@ -48,7 +48,7 @@
         checks.iter().find(|(is_wrong, _)| *is_wrong).map(|(_, problem)| *problem)
     }
 
-    /// The configuration of `foca`.
+    /// Returns the configuration of `foca`.
     pub(super) fn config(&self) -> Config {
         Config {
             probe_period: Duration::from_millis(self.probe_ms),
@@ -58,19 +58,19 @@
             suspect_to_down_after: Duration::from_millis(self.suspicion_ms),
             remove_down_after: Some(Duration::from_millis(self.forget_ms)),
             max_packet_size: non_zero(MAX_DATAGRAM - HEADER_LENGTH),
-            // Failure: a member that was stopped or cut off is taken for dead and never learns of it, so that it stays
-            // away. Members tell it, and it returns with a new generation.
+            // Without this, a member that was paused or disconnected and declared dead would not learn of it and never
+            // rejoin. Other members notify it, and it rejoins with a new generation.
             notify_down_members: true,
             periodic_announce: periodic(self.probe_ms * 30, 1),
-            // Failure: after a split each side takes the other for dead and probes it no more. Announcements to members
-            // that are gone join the sides again, as long as they are remembered.
+            // After a partition each side has declared the other dead and no longer probes it. Announcements to gone
+            // members join the sides again, for as long as they remember each other.
             periodic_announce_to_down_members: periodic(self.probe_ms * 2, 2),
             periodic_gossip: periodic((self.probe_ms / 5).max(1), 3),
         }
     }
 }
 
-/// Something that is done to `members` members each `interval_ms`.
+/// Returns the parameters of an action on `members` members each `interval_ms` milliseconds.
 fn periodic(interval_ms: u64, members: usize) -> Option<PeriodicParams> {
     Some(PeriodicParams { frequency: Duration::from_millis(interval_ms), num_members: non_zero(members) })
 }
--- a/src/client/membership/witnesses.rs
+++ b/src/client/membership/witnesses.rs
@@ -1,23 +1,25 @@
-//! What this process reports of the other members to the registry, which compares the reports of all proxies.
+//! Observations of the other members that this process reports; the registry compares the reports of all proxies.
 
 use super::Membership;
 use super::swim::MemberState;
 use crate::route_table::Witness;
 
 impl Membership {
-    /// This process's generation: its start, Unix time in microseconds, or later if others took it for dead since.
+    /// Returns this process's generation: its start, Unix time in microseconds, plus one for each time that it rejoined
+    /// after other members declared it dead.
     pub fn generation(&self) -> u64 {
         self.swim.borrow().id().generation
     }
 
-    /// How many members are alive or suspect, this one included.
+    /// Returns the number of members that are alive or suspect, including this process.
     pub fn alive(&self) -> u32 {
         self.count.borrow().alive
     }
 
-    /// At most `max` of the other members, from place `first` on in their order by name and generation.
+    /// Returns at most `max` of the other members, from position `first` in their order by name and generation.
     ///
-    /// Places count modulo the number of members, so that a caller that goes on by `max` each time reports all in turn.
+    /// `first` is taken modulo the number of members, so that a caller that increases it by `max` each time reports all
+    /// members in turn.
     pub fn witnessed_members(&self, first: usize, max: usize) -> Vec<Witness> {
         let mut members: Vec<Witness> = self
             .swim
--- a/src/client/registry/call.rs
+++ b/src/client/registry/call.rs
@@ -1,7 +1,7 @@
-//! One HTTP call to a registry, over a connection that is kept between calls.
+//! HTTP call to a registry, over a connection that is kept between calls.
 //!
-//! The caller owns the kept [`Connection`]. A call opens one where there is none or where the peer has closed it,
-//! counts its messages and bytes under its [`TrafficKind`], and ends in bounded time.
+//! The caller owns the kept [`Connection`]. A call opens a new one if there is none or the peer has closed it, counts
+//! its messages and bytes under its [`TrafficKind`], and ends in bounded time.
 
 use super::CallError;
 use crate::client::traffic::{MeteredStream, StreamMeter, Traffic, TrafficKind};
@@ -17,41 +17,42 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long after the end of its wait an answer may still come; later the call fails as [`CallError::TimedOut`].
+/// Time after a call's wait within which the answer must arrive; otherwise the call fails with
+/// [`CallError::TimedOut`].
 ///
-/// Failure: a registry accepts a watch and never answers, and the client goes on with an old list. The platform
-/// expects a change to be in force 2 s after a watch's wait ends, or 6 s after the change, whatever is configured; a
-/// silent watch is noticed before both.
+/// Without the timeout, a client whose watch is accepted but never answered would keep using an old list. The platform
+/// expects a change to be in force 2 s after a watch's wait ends, or 6 s after the change, whatever is configured; an
+/// unanswered watch is detected before both.
 const ANSWER_GRACE: Duration = Duration::from_secs(1);
-/// Bytes of an error answer's text that are kept for the log.
+/// Most bytes of an error answer's text that are kept for the error message.
 const MAX_ERROR_TEXT: usize = 200;
 
-/// A kept connection to a registry.
+/// Open connection to a registry, which the caller keeps between calls.
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
     meter: Rc<StreamMeter>,
 }
 
-/// A call to a registry.
+/// Parameters of a call to a registry.
 pub struct Call<'a> {
-    /// The kind under which its traffic is counted.
+    /// Kind under which the call's traffic is counted.
     pub kind: TrafficKind,
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Its path, with the query.
+    /// Path with the query.
     pub path: &'a str,
-    /// Its body; empty for none.
+    /// Body of the request; may be empty.
     pub body: Bytes,
-    /// How long the registry may wait before it answers; the call times out 1 s later.
+    /// Time for which the registry may delay its answer; the call times out 1 s later.
     pub wait: Duration,
-    /// The longest accepted answer, in bytes.
+    /// Longest accepted body of the answer, in bytes.
     pub max_answer: usize,
 }
 
-/// Makes a call and returns the body of its answer, which has status 200.
+/// Makes a call and returns the body of the answer with status 200.
 ///
-/// A usable `connection` is taken and put back once the answer is complete. After an error none is put back, except
-/// after [`CallError::Status`], whose answer was read to its end.
+/// The call takes `connection` if it is usable, and puts it back once the answer is complete. After an error no
+/// connection is put back, except after [`CallError::Status`], whose answer was read to its end.
 pub async fn call(
     connection: &mut Option<Connection>,
     address: SocketAddr,
@@ -94,13 +95,13 @@
 }
 
 fn status_error(status: StatusCode, body: &[u8]) -> CallError {
-    let begin = &body[..body.len().min(MAX_ERROR_TEXT)];
-    let text = String::from_utf8_lossy(begin).trim().to_string();
+    let start = &body[..body.len().min(MAX_ERROR_TEXT)];
+    let text = String::from_utf8_lossy(start).trim().to_string();
     let why = if text.is_empty() { text } else { format!(": {text}") };
     CallError::Status { status, why }
 }
 
-/// Opens a connection. It has no timeout of its own: the call's time limit covers it.
+/// Opens a connection. There is no separate timeout: the call's time limit covers it.
 async fn connect(address: SocketAddr, kind: TrafficKind, traffic: &Traffic) -> Result<Connection, CallError> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
@@ -108,7 +109,7 @@
     let io = TokioIo::new(MeteredStream::new(stream, meter.clone()));
     let (sender, connection) = handshake(io).await?;
     tokio::task::spawn_local(async move {
-        // An error that ends the connection fails the call on it or shows as a closed sender.
+        // An error on the connection also fails the pending call or closes the sender, so it is not handled here.
         let _ = connection.await;
     });
     Ok(Connection { sender, meter })
--- a/src/client/registry/error.rs
+++ b/src/client/registry/error.rs
@@ -1,13 +1,13 @@
-//! The errors of a call to a registry.
+//! Errors of a call to a registry.
 
 use crate::client::route_table::TableError;
 use hyper::StatusCode;
 use std::io;
 
-/// Why a call to a registry failed. Its text goes to the log and to operators' pages.
+/// Error of a call to a registry. Its text goes to the log and to operators' pages.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// No answer came before the call's timeout.
+    /// No answer arrived before the call's timeout.
     #[error("no answer in time; see that a registry runs there and is reachable")]
     TimedOut,
     /// The connection could not be opened.
@@ -19,35 +19,37 @@
     /// The request cannot be built from its parts.
     #[error("{0}")]
     Request(#[from] hyper::http::Error),
-    /// The answer has another status than 200.
+    /// The answer has a status other than 200.
     #[error("answered {status}{why}; see that this is a registry's address")]
     Status {
-        /// The answer's status.
+        /// Status of the answer.
         status: StatusCode,
-        /// The beginning of the answer's text after `": "`; empty if the answer has none.
+        /// Beginning of the answer's text, prefixed by `": "`; empty if the answer has no text.
         why: String,
     },
-    /// The answer's body ended early or exceeds the call's limit.
+    /// The answer's body ended early or exceeded the call's limit.
     #[error("{0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    /// The answer is a route table whose content is not accepted.
+    /// The answer is a route table that is invalid or cannot follow the one in force.
     #[error("{0}")]
     RejectedTable(#[from] TableError),
     /// The answer does not parse as a route table.
     #[error("a table that cannot be read: {0}; see that this is a registry's address")]
     InvalidTable(serde_json::Error),
     /// The answer does not parse as an endpoint list.
-    #[error("list: {0}; see that this is a registry's address")]
+    #[error("the endpoint list does not parse: {0}; see that this is a registry's address")]
     InvalidList(#[from] serde_json::Error),
-    /// The answer is an update, though the client holds no list that it could apply to.
-    #[error("answered with changes where the whole list was asked for")]
+    /// The answer is an update, but the client holds no list to which it could be applied.
+    #[error(
+        "answered with an update where the full list was requested; see that this is a registry's address"
+    )]
     UnexpectedUpdate,
-    /// The answer is an update whose version lies below the one that the client holds: it is of another history.
-    #[error("its version went back from {held} to {received}; the whole list is asked for")]
+    /// The answer is an update whose version is below the held one, so it belongs to another history.
+    #[error("the list's version went back from {held} to {received}; the full list is requested next")]
     VersionWentBack {
-        /// The version that the client holds.
+        /// Version that the client holds.
         held: u64,
-        /// The answer's version.
+        /// Version of the answer.
         received: u64,
     },
 }
--- a/src/client/registry/mod.rs
+++ b/src/client/registry/mod.rs
@@ -1,8 +1,8 @@
-//! Calls to a registry, whatever they ask for.
+//! Calls to a registry, independent of their content.
 //!
-//! [`call`] makes one HTTP call over a kept [`Connection`], bounded in time and in bytes. [`EndpointFailover`] decides
-//! which of several registries is called next and after which delay. Discovery, the route table, the membership's
-//! registration and the traffic recorder build on them; this module knows nothing of what they exchange.
+//! [`call`] makes one HTTP call over a kept [`Connection`], with limits on time and bytes. [`EndpointFailover`] decides
+//! which of several registries is called next, and after which delay. Discovery, the route table, the membership's
+//! registration and the traffic recorder use them; this module does not depend on the content of their calls.
 
 mod call;
 mod error;
@@ -12,5 +12,5 @@
 pub use error::CallError;
 pub use failover::{DEFAULT_BACKOFF, EndpointFailover};
 
-/// The most registries that a configuration may name.
+/// Most registries that a configuration may name.
 pub const MAX_REGISTRIES: usize = 16;
--- a/src/client/route_table/mod.rs
+++ b/src/client/route_table/mod.rs
@@ -1,9 +1,8 @@
-//! The proxy's side of the route table: it watches the table at a registry, puts valid ones in force, and
-//! reports what the proxy did with them. The registry decides which proxy gets which table, and when.
+//! Client of the route table: watches the table at a registry, applies valid tables in the proxy, and reports the
+//! proxy's calls and its table in force. The registry decides which proxy gets which table, and when.
 //!
-//! Two tasks run for as long as the process does: [`RouteTableClient::run_watch`] and
-//! [`RouteTableClient::run_reports`]. They share the table in force and the window that the next report
-//! covers.
+//! Two tasks run for the lifetime of the process: [`RouteTableClient::run_watch`] and
+//! [`RouteTableClient::run_reports`]. They share the table in force and the window that the next report covers.
 
 mod identity;
 mod proxy;
@@ -27,22 +26,22 @@
 use table::CurrentTable;
 use tokio::sync::Notify;
 
-/// The client of one process.
+/// Route table client of one process.
 pub struct RouteTableClient {
     identity: Rc<Identity>,
     proxy: Box<dyn RoutedProxy>,
     traffic: Traffic,
     report_interval: Duration,
     current: RefCell<CurrentTable>,
-    /// The registry that is polled and reported to at present.
+    /// Registry in use for polls and reports.
     registry: Cell<Option<SocketAddr>>,
     reports: RefCell<ReportState>,
-    /// Notified when a table is put in force.
+    /// Notified when a table is applied.
     first_table: Notify,
 }
 
 impl RouteTableClient {
-    /// A client without a table: every weight is 1.
+    /// Creates a client without a table: every weight is 1.
     pub fn new(
         settings: &Settings,
         identity: Rc<Identity>,
@@ -61,25 +60,26 @@
         })
     }
 
-    /// Waits for the first table.
+    /// Waits until the first table is in force.
     pub async fn first_table(&self) {
         self.first_table.notified().await;
     }
 
-    /// Revision of the table in force; 0 before the first one.
+    /// Returns the revision of the table in force, or 0 before the first one.
     pub fn revision(&self) -> crate::route_table::Revision {
         self.current.borrow().revision
     }
 
-    /// The page of the table in force, for operators. Its keys are a contract.
+    /// Returns the operators' page of the table in force, as JSON. Its keys are a contract: operators' scripts parse
+    /// them.
     pub fn page(&self) -> Value {
         let current = self.current.borrow();
         let reports = self.reports.borrow();
         json!({
             "name": self.identity.name(), "generation": self.identity.generation(), "registry": self.registry.get(),
             "revision": current.revision, "digest": self.proxy.digest(), "newest": current.newest,
-            "since_ms": current.since_ms, "weights": self.proxy.weights(), "left_out": self.proxy.left_out(),
-            "error": current.error, "refused_tables": current.refused, "reports": reports.page(),
+            "since_ms": current.since_ms, "weights": self.proxy.weights(), "left_out": self.proxy.exclusions(),
+            "error": current.error, "refused_tables": current.rejected, "reports": reports.page(),
         })
     }
 }
--- a/src/client/route_table/proxy.rs
+++ b/src/client/route_table/proxy.rs
@@ -1,43 +1,43 @@
-//! What the client needs of the proxy: it puts tables in force there and reads the counts for its reports.
+//! Interface to the proxy, in which the client applies tables and from which it reads the counts for its reports.
 
 use crate::route_table::{ExclusionReason, Revision, Weights};
 use std::collections::BTreeMap;
 
-/// Requests that have ended since the start.
+/// Counts of the requests that have ended since the start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RequestTotals {
-    /// All requests.
+    /// Number of all requests.
     pub requests: u64,
-    /// Requests that were refused.
+    /// Number of requests that the proxy refused.
     pub refused: u64,
-    /// Requests that failed.
+    /// Number of requests that failed.
     pub failed: u64,
 }
 
-/// Calls to one backend in a window.
+/// Counts of the calls to one backend in a window.
 #[derive(Default, Clone, Copy, Debug)]
 pub struct CallCounts {
-    /// Calls sent.
+    /// Number of calls sent.
     pub calls: u64,
-    /// Calls that ended with an error or without an answer.
+    /// Number of calls that ended with an error or without an answer.
     pub errors: u64,
 }
 
-/// The proxy whose selection follows the route table.
+/// Proxy whose selection of backends follows the route table.
 pub trait RoutedProxy {
-    /// Uses the weights of another table from now on.
-    fn put_in_force(&self, revision: Revision, weights: Weights);
-    /// The weight in force of each listed backend, by name.
+    /// Replaces the weights in force by those of another table.
+    fn apply_table(&self, revision: Revision, weights: Weights);
+    /// Returns the weight in force of each listed backend, by name.
     fn weights(&self) -> BTreeMap<String, f64>;
-    /// Digest of the weights that the selection uses; it equals that of the table only if every weight is the
-    /// table's. The registry raises `diverged` where it does not.
+    /// Returns the digest of the weights that the selection uses. It equals the digest of the table only if every
+    /// weight does; otherwise the registry raises the drift `diverged`.
     fn digest(&self) -> String;
-    /// The backends that get fewer calls now than by their weights, and why.
-    fn left_out(&self) -> BTreeMap<String, ExclusionReason>;
-    /// Version of the list of backends in use.
+    /// Returns the backends that currently get fewer calls than their weights imply, with the reasons.
+    fn exclusions(&self) -> BTreeMap<String, ExclusionReason>;
+    /// Returns the version of the endpoint list in use.
     fn list_version(&self) -> u64;
-    /// The calls since the last call of this function, by backend.
-    fn drain_calls(&self) -> BTreeMap<String, CallCounts>;
-    /// The requests that have ended since the start.
+    /// Returns the counts of calls by backend, and resets them.
+    fn take_call_counts(&self) -> BTreeMap<String, CallCounts>;
+    /// Returns the counts of the requests that have ended since the start.
     fn totals(&self) -> RequestTotals;
 }
--- a/src/client/route_table/report.rs
+++ b/src/client/route_table/report.rs
@@ -1,6 +1,6 @@
-//! The reports of this process: one for each window, with its counts and the table in force.
+//! Reports of this process: one for each window, with the window's counts and the table in force.
 //!
-//! A report that no registry accepts is dropped with its counts; the registry sees the gap in the numbers.
+//! A report that the registry does not accept is dropped with its counts; the registry detects the gap in the numbers.
 
 use super::{CallCounts, RequestTotals, RouteTableClient};
 use crate::client::registry::{Call, CallError, call};
@@ -15,24 +15,24 @@
 use tokio::time::{Instant, sleep};
 use tracing::{info, warn};
 
-/// Samples of the excluded backends in each window.
+/// Number of samples of the excluded backends in each window.
 const EXCLUSION_SAMPLES: u32 = 4;
-/// Longest answer to a report, in bytes.
+/// Longest accepted answer to a report, in bytes.
 const MAX_ANSWER_BYTES: usize = 64 << 10;
 
-/// The numbering of the reports, and the window that the next one covers.
+/// Numbering of the reports, and the window that the next one covers.
 pub(super) struct ReportState {
     /// Number of the last report.
     number: u64,
-    /// Reports that no registry accepted.
+    /// Number of reports that were not accepted.
     lost: u64,
-    /// Why the last report was lost, if it was.
+    /// Error of the last report, if it was lost.
     error: Option<String>,
     window_began: Instant,
-    /// Totals at the beginning of the window.
+    /// Request totals at the beginning of the window.
     totals_before: RequestTotals,
-    /// Backends that got fewer calls than by their weights at some time of the window.
-    left_out: BTreeMap<String, ExclusionReason>,
+    /// Backends that got fewer calls than their weights imply in any sample of the window.
+    exclusions: BTreeMap<String, ExclusionReason>,
     /// Position of the first member in the next report.
     next_member: usize,
 }
@@ -45,14 +45,14 @@
             error: None,
             window_began: Instant::now(),
             totals_before,
-            left_out: BTreeMap::new(),
+            exclusions: BTreeMap::new(),
             next_member: 0,
         }
     }
 
-    /// Begins a window.
+    /// Starts a new window.
     fn begin_window(&mut self, totals: RequestTotals) {
-        self.left_out.clear();
+        self.exclusions.clear();
         self.window_began = Instant::now();
         self.totals_before = totals;
     }
@@ -63,10 +63,10 @@
 }
 
 impl RouteTableClient {
-    /// Sends a report at the end of each window, for ever. A report that is lost is not sent again: by then
-    /// the registry compares later windows.
+    /// Sends a report at the end of each window, for ever. A lost report is not sent again: by then the registry
+    /// compares later windows.
     pub async fn run_reports(self: Rc<Self>) {
-        let mut link = None;
+        let mut connection = None;
         // Spreads the reports of proxies that started together over the interval.
         sleep(self.report_interval.mul_f64(fastrand::f64())).await;
         loop {
@@ -86,11 +86,11 @@
                 wait: Duration::ZERO,
                 max_answer: MAX_ANSWER_BYTES,
             };
-            match call(&mut link, registry, request, &self.traffic).await {
+            match call(&mut connection, registry, request, &self.traffic).await {
                 Ok(_) => self.report_accepted(),
-                Err(fault) => {
-                    link = None;
-                    self.report_lost(report.number, registry, &fault);
+                Err(error) => {
+                    connection = None;
+                    self.report_lost(report.number, registry, &error);
                 }
             }
         }
@@ -99,43 +99,43 @@
     fn report_accepted(&self) {
         let mut reports = self.reports.borrow_mut();
         if reports.error.take().is_some() {
-            info!("routes: reports are taken again, {} lost since the start", reports.lost);
+            info!("routes: the registry accepts reports again; {} were lost since the start", reports.lost);
         }
     }
 
-    /// Counts a lost report. Only the first of several in a row is logged.
-    fn report_lost(&self, number: u64, registry: SocketAddr, fault: &CallError) {
+    /// Counts a lost report. Of consecutive lost reports only the first is logged.
+    fn report_lost(&self, number: u64, registry: SocketAddr, error: &CallError) {
         let mut reports = self.reports.borrow_mut();
         reports.lost += 1;
         if reports.error.is_none() {
-            warn!("routes: report {number} lost: {registry}: {fault}");
+            warn!("routes: report {number} to {registry} failed and is dropped: {error}");
         }
-        reports.error = Some(format!("{registry}: {fault}"));
+        reports.error = Some(format!("{registry}: {error}"));
     }
 
     fn sample_exclusions(&self) {
-        let left_out = self.proxy.left_out();
-        self.reports.borrow_mut().left_out.extend(left_out);
+        let exclusions = self.proxy.exclusions();
+        self.reports.borrow_mut().exclusions.extend(exclusions);
     }
 
-    /// Begins a window without a report for the one so far: its calls followed another table.
+    /// Starts a new window and drops the counts of the current one, whose calls followed another table.
     pub(super) fn restart_window(&self) {
-        self.proxy.drain_calls();
+        self.proxy.take_call_counts();
         self.reports.borrow_mut().begin_window(self.proxy.totals());
     }
 
-    /// The report of the window so far; the next window begins.
+    /// Returns the report of the current window, and starts the next window.
     fn next_report(&self) -> Report {
         let digest = self.proxy.digest();
-        let call_counts = self.proxy.drain_calls();
+        let call_counts = self.proxy.take_call_counts();
         let membership = self.identity.membership.as_ref();
         let totals = self.proxy.totals();
         let mut reports = self.reports.borrow_mut();
         reports.number += 1;
-        let mut left_out = std::mem::take(&mut reports.left_out);
-        let WindowCalls { calls, errors } = WindowCalls::new(call_counts, &left_out);
-        while left_out.len() > MAX_REPORTED {
-            left_out.pop_last();
+        let mut exclusions = std::mem::take(&mut reports.exclusions);
+        let WindowCalls { calls, errors } = WindowCalls::new(call_counts, &exclusions);
+        while exclusions.len() > MAX_REPORTED {
+            exclusions.pop_last();
         }
         let members =
             membership.map_or_else(Vec::new, |m| m.witnessed_members(reports.next_member, MAX_WITNESSED));
@@ -157,14 +157,14 @@
             failed: totals.failed.saturating_sub(before.failed),
             calls,
             errors,
-            left_out,
+            left_out: exclusions,
             alive: membership.map_or(0, |m| m.alive()),
             members,
         }
     }
 }
 
-/// The calls of a window by backend, at most [`MAX_REPORTED`] in each map.
+/// Counts of a window's calls by backend, at most [`MAX_REPORTED`] in each map.
 #[derive(Default)]
 struct WindowCalls {
     calls: BTreeMap<String, u64>,
@@ -172,11 +172,12 @@
 }
 
 impl WindowCalls {
-    /// Backends outside of the subset are reported only if they got calls: they could not get any.
-    fn new(counts: BTreeMap<String, CallCounts>, left_out: &BTreeMap<String, ExclusionReason>) -> Self {
+    /// Selects the counts to report. A backend outside of the subset is reported only if it got calls, as it should get
+    /// none.
+    fn new(counts: BTreeMap<String, CallCounts>, exclusions: &BTreeMap<String, ExclusionReason>) -> Self {
         let mut window = WindowCalls::default();
         for (name, counts) in counts {
-            let outside_subset = left_out.get(&name) == Some(&ExclusionReason::Subset);
+            let outside_subset = exclusions.get(&name) == Some(&ExclusionReason::Subset);
             if window.calls.len() < MAX_REPORTED && (counts.calls > 0 || !outside_subset) {
                 window.calls.insert(name.clone(), counts.calls);
             }
--- a/src/client/route_table/settings.rs
+++ b/src/client/route_table/settings.rs
@@ -1,26 +1,26 @@
-//! The settings under `[routes]` of the proxy, and the name that the process reports under.
+//! Settings under `[routes]` of the proxy, and the name under which the process reports.
 
 use crate::client::registry::MAX_REGISTRIES;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// Longest name, in bytes: that of a member.
+/// Longest name, in bytes; the same limit as for a member.
 const MAX_NAME_BYTES: usize = 63;
 /// Shortest interval between reports, ms.
 const MIN_REPORT_MS: u64 = 100;
 /// Longest interval between reports, ms.
 const MAX_REPORT_MS: u64 = 60_000;
 
-/// Where the table is watched and where reports are sent.
+/// Registries, name and report interval of the route table client.
 #[derive(Deserialize, Clone, Debug)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// Registries, the preferred one first; empty for those of discovery.
+    /// Addresses of the registries, the preferred one first; those of discovery if empty.
     pub registries: Vec<SocketAddr>,
-    /// Name of this process, the same after a restart. By default that of membership, or else the address it
-    /// listens on.
+    /// Name of this process, which stays the same across restarts. By default the name of membership, or else the
+    /// address on which the process listens.
     pub name: Option<String>,
-    /// Interval between reports, ms; each is up to a fifth shorter or longer at random.
+    /// Mean interval between reports, ms; each interval is randomly up to a fifth shorter or longer.
     pub report_ms: u64,
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl Settings {
-    /// The first invalid setting, as text for the operator.
+    /// Returns the first setting that is out of bounds, with its bounds, or `None` if all are valid.
     pub fn invalid(&self) -> Option<String> {
         if self.registries.len() > MAX_REGISTRIES {
             return Some(format!("registries: at most {MAX_REGISTRIES}"));
@@ -41,11 +41,12 @@
     }
 }
 
-/// The name of this process: the configured one, or that of membership, or the address that it listens on.
+/// Returns the name of this process: the configured one, or else that of membership, or else the address on which the
+/// process listens.
 ///
 /// # Errors
 ///
-/// What is wrong with the name, as text for the operator.
+/// Returns a description of the allowed names, as text for the operator, if the name is not allowed.
 pub fn resolve_name(
     configured: Option<&str>,
     member: Option<&str>,
@@ -53,8 +54,7 @@
 ) -> Result<String, &'static str> {
     let name = match configured.or(member) {
         Some(name) => name.to_string(),
-        // The system chooses the port, so that the address is not known yet. The name changes with each
-        // restart.
+        // The operating system chooses the port, so the address is not known yet. The name changes with each restart.
         None if listen.port() == 0 => format!("{}-{}", listen.ip(), std::process::id()),
         None => listen.to_string(),
     };
--- a/src/client/route_table/table.rs
+++ b/src/client/route_table/table.rs
@@ -1,58 +1,57 @@
-//! The table as a registry answers it, the one in force here, and the reasons for which a table is refused.
+//! Route table as a registry sends it, the table in force in this proxy, and the errors for which a table is rejected.
 
 use crate::route_table::{MAX_WEIGHTS, Revision, Weights};
 use serde::Deserialize;
 use std::cmp::Ordering;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Most characters of a wrong digest that an error quotes: it comes from outside.
+/// Most characters of a received digest that an error message quotes.
 const MAX_QUOTED_DIGEST: usize = 64;
 
-/// A registry's answer: the table that this proxy should have.
+/// Answer of a registry: the table that this proxy should have in force.
 #[derive(Deserialize, Clone, Debug)]
 pub(super) struct TableResponse {
     pub(super) revision: Revision,
     pub(super) weights: Weights,
     pub(super) digest: String,
-    /// The newest revision at the registry, which may be in a stage of its rollout that does not include this
-    /// proxy.
+    /// Newest revision at the registry, whose rollout may not have reached this proxy yet.
     #[serde(default)]
     pub(super) newest: Revision,
 }
 
-/// The table in force in this proxy, and the state of the watch.
+/// Table in force in this proxy, and the state of the watch.
 #[derive(Default)]
 pub(super) struct CurrentTable {
     /// Whether any table has been received.
     pub(super) received: bool,
     pub(super) revision: Revision,
     pub(super) digest: String,
-    /// See [`TableResponse::newest`].
+    /// Newest revision at the registry; see [`TableResponse::newest`].
     pub(super) newest: Revision,
-    /// Since when it is in force, Unix time in milliseconds.
+    /// Time since which the table is in force, Unix time in milliseconds.
     pub(super) since_ms: Option<u64>,
-    /// Why the last answer failed, if it did.
+    /// Error of the last poll, if it failed.
     pub(super) error: Option<String>,
-    /// Tables that were refused since the start.
-    pub(super) refused: u64,
+    /// Number of tables rejected since the start.
+    pub(super) rejected: u64,
 }
 
-/// Why a table is refused. The one in force stays.
+/// Reason for rejecting a table; the table in force stays. The text goes to the log and to operators' pages.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum TableError {
-    /// The weights are not those of the digest: they were changed on their way or on the registry's disk.
+    /// The digest of the weights is not the stated one: they were damaged in transit or on the registry's disk.
     #[error(
         "table {revision} is spoilt: its digest is {stated}, its weights give {computed}; revision {current} stays in \
          force. Read it at the registry, and propose it again"
     )]
     Digest {
-        /// The revision of the refused table.
+        /// Revision of the rejected table.
         revision: Revision,
-        /// The digest that the table states.
+        /// Digest stated with the table.
         stated: String,
-        /// The digest that its weights give.
+        /// Digest computed from the table's weights.
         computed: String,
-        /// The revision that stays in force.
+        /// Revision that stays in force.
         current: Revision,
     },
     /// A weight is negative or not finite.
@@ -61,59 +60,59 @@
          {current} stays in force. Propose a sound table"
     )]
     Weight {
-        /// The revision of the refused table.
+        /// Revision of the rejected table.
         revision: Revision,
-        /// What the weight is of, such as a backend or a class.
+        /// Kind of item that the weight belongs to, such as a backend or a class.
         kind: &'static str,
-        /// The name that the weight is of.
+        /// Name of the item that the weight belongs to.
         name: String,
-        /// The weight.
+        /// Value of the weight.
         weight: f64,
-        /// The revision that stays in force.
+        /// Revision that stays in force.
         current: Revision,
     },
-    /// It has more than [`MAX_WEIGHTS`] weights.
+    /// The table has more than [`MAX_WEIGHTS`] weights.
     #[error(
         "table {revision} is spoilt: {count} weights are more than {MAX_WEIGHTS}; revision {current} stays in force. \
          Propose a smaller table"
     )]
     Size {
-        /// The revision of the refused table.
+        /// Revision of the rejected table.
         revision: Revision,
-        /// The number of its weights.
+        /// Number of weights in the table.
         count: usize,
-        /// The revision that stays in force.
+        /// Revision that stays in force.
         current: Revision,
     },
-    /// Its revision is older than the one in force.
+    /// The table's revision is older than the one in force.
     #[error(
         "the registry is behind: it gives revision {revision}, revision {current} is in force here and stays. It has \
          lost its state, or is another registry: see GET /registry/drift, and propose the wanted weights there anew"
     )]
     Behind {
-        /// The revision of the refused table.
+        /// Revision of the rejected table.
         revision: Revision,
-        /// The revision that stays in force.
+        /// Revision that stays in force.
         current: Revision,
     },
-    /// It has the revision in force with other weights.
+    /// The table has the revision in force but other weights.
     #[error(
         "the registry has another table under revision {current} than the one in force here, which stays. It has lost \
          its state, or is another registry: propose the wanted weights there anew"
     )]
     Conflict {
-        /// The revision of both tables.
+        /// Revision of both tables.
         current: Revision,
     },
 }
 
 impl TableResponse {
-    /// Whether the table is valid and newer than the one in force.
+    /// Returns whether the table is newer than the one in force.
     ///
     /// # Errors
     ///
-    /// [`TableError`] if it is not valid, or cannot follow the one in force. Failure that the last two guard
-    /// against: a registry that lost its state would take this proxy back to an older table.
+    /// Returns a [`TableError`] if the table is invalid or cannot follow the one in force. [`TableError::Behind`] and
+    /// [`TableError::Conflict`] prevent a registry that lost its state from reverting this proxy to an older table.
     pub(super) fn is_new(&self, current: &CurrentTable) -> Result<bool, TableError> {
         self.check_weights(current.revision)?;
         if !current.received {
@@ -130,7 +129,7 @@
         }
     }
 
-    /// Checks size, digest and range of the weights.
+    /// Checks the number, digest and range of the weights.
     fn check_weights(&self, current: Revision) -> Result<(), TableError> {
         let revision = self.revision;
         let count = self.weights.iter().count();
@@ -153,7 +152,7 @@
 }
 
 impl CurrentTable {
-    /// Records that a table is put in force now.
+    /// Records that a table is in force from now on.
     pub(super) fn set(&mut self, table: &TableResponse) {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         self.received = true;
--- a/src/client/route_table/watch.rs
+++ b/src/client/route_table/watch.rs
@@ -1,6 +1,6 @@
-//! The watch of the table: a long poll of one registry after another, for as long as the process runs.
+//! Watch of the route table: long polls with failover among the registries, for the lifetime of the process.
 //!
-//! While no registry answers, or an answer is refused, the table in force stays.
+//! While no registry answers, or an answer is rejected, the table in force stays.
 
 use super::RouteTableClient;
 use super::table::TableResponse;
@@ -15,17 +15,17 @@
 use tokio::time::{Instant, sleep};
 use tracing::info;
 
-/// Longest time that a registry holds a poll open. The requests of a fleet rise in inverse proportion to it.
+/// Longest time that a registry holds a poll open. The request rate of a fleet is inversely proportional to it.
 const POLL_WAIT: Duration = Duration::from_secs(5);
-/// Pause after a poll that was answered at once without a new table. Failure: a registry that answers at once
-/// without one would be asked in a busy loop.
-const PAUSE_AFTER_EMPTY_ANSWER: Duration = Duration::from_millis(500);
-/// Longest answer that is read, in bytes. The largest table that a registry accepts takes 4.5 MB (computed:
-/// all the weights that a table may have, under the longest names).
+/// Delay after a poll that was answered without a new table sooner than this. Without the delay, a registry that
+/// answers immediately would be polled in a tight loop.
+const UNCHANGED_DELAY: Duration = Duration::from_millis(500);
+/// Longest accepted answer, in bytes. The largest table that a registry accepts takes 4.5 MB (computed: the maximum
+/// number of weights, with the longest names).
 const MAX_TABLE_BYTES: usize = 8 << 20;
 
 impl RouteTableClient {
-    /// Watches the table for ever, from the registries that the channel names at the time.
+    /// Watches the table for ever, at the registries that the channel currently holds.
     pub async fn run_watch(self: Rc<Self>, mut registries: watch::Receiver<Vec<SocketAddr>>) {
         loop {
             let current = registries.borrow_and_update().clone();
@@ -36,41 +36,41 @@
         }
     }
 
-    /// Polls one registry until it fails, then the next one, with the pauses that the rotation gives.
+    /// Polls the table with failover among `registries`, with the delays of the failover after failed polls.
     async fn watch_registries(&self, registries: Vec<SocketAddr>) {
-        let mut source = EndpointFailover::new("routes", registries, DEFAULT_BACKOFF);
-        let mut link = None;
+        let mut failover = EndpointFailover::new("routes", registries, DEFAULT_BACKOFF);
+        let mut connection = None;
         loop {
-            self.registry.set(Some(source.address()));
+            self.registry.set(Some(failover.address()));
             let polled_at = Instant::now();
-            let answer = self.poll(&mut link, source.address()).await;
+            let answer = self.poll(&mut connection, failover.address()).await;
             match answer.and_then(|response| self.update_table(response)) {
                 Ok(is_new) => {
-                    if source.record_success() {
+                    if failover.record_success() {
                         info!(
-                            "routes: {} answers, revision {}",
-                            source.address(),
+                            "routes: {} answers after failed calls; revision {} is in force",
+                            failover.address(),
                             self.current.borrow().revision
                         );
                     }
                     self.current.borrow_mut().error = None;
-                    if !is_new && polled_at.elapsed() < PAUSE_AFTER_EMPTY_ANSWER {
-                        sleep(PAUSE_AFTER_EMPTY_ANSWER).await;
+                    if !is_new && polled_at.elapsed() < UNCHANGED_DELAY {
+                        sleep(UNCHANGED_DELAY).await;
                     }
                 }
-                Err(fault) => {
-                    self.current.borrow_mut().error = Some(format!("{}: {fault}", source.address()));
-                    sleep(source.record_failure(&fault)).await;
+                Err(error) => {
+                    self.current.borrow_mut().error = Some(format!("{}: {error}", failover.address()));
+                    sleep(failover.record_failure(&error)).await;
                 }
             }
         }
     }
 
-    /// Asks for the table that this process should have. Without a table the registry answers at once, else
-    /// when there is a newer one or after [`POLL_WAIT`].
+    /// Polls the table that this process should have. While this process has no table, the registry answers
+    /// immediately; otherwise when there is a newer table, or after [`POLL_WAIT`].
     async fn poll(
         &self,
-        link: &mut Option<Connection>,
+        connection: &mut Option<Connection>,
         registry: SocketAddr,
     ) -> Result<TableResponse, CallError> {
         let name = self.identity.name();
@@ -90,15 +90,15 @@
             wait,
             max_answer: MAX_TABLE_BYTES,
         };
-        let text = call(link, registry, request, &self.traffic).await?;
+        let text = call(connection, registry, request, &self.traffic).await?;
         serde_json::from_slice(&text).map_err(CallError::InvalidTable)
     }
 
-    /// Puts a table in force if it is new, and says whether it was.
+    /// Applies a table if it is new; returns whether it was.
     ///
     /// # Errors
     ///
-    /// The table is refused and counted; the one in force stays.
+    /// Returns an error if the table is rejected. It is counted, and the table in force stays.
     fn update_table(&self, response: TableResponse) -> Result<bool, CallError> {
         let mut current = self.current.borrow_mut();
         current.newest = response.newest;
@@ -106,19 +106,19 @@
             Ok(false) => Ok(false),
             Ok(true) => {
                 info!(
-                    "routes: revision {} in force, digest {}, before {}",
+                    "routes: revision {} is in force with digest {}; it replaces revision {}",
                     response.revision, response.digest, current.revision
                 );
                 current.set(&response);
                 drop(current);
-                self.proxy.put_in_force(response.revision, response.weights);
-                // The calls counted so far followed other weights: a report must not mix both.
+                self.proxy.apply_table(response.revision, response.weights);
+                // The calls counted so far followed the previous weights; a report must not mix both.
                 self.restart_window();
                 self.first_table.notify_one();
                 Ok(true)
             }
             Err(error) => {
-                current.refused += 1;
+                current.rejected += 1;
                 Err(error.into())
             }
         }
--- a/src/client/traffic.rs
+++ b/src/client/traffic.rs
@@ -1,7 +1,7 @@
 //! Counts of a client's control traffic: messages and bytes, by kind.
 //!
-//! A [`Traffic`] owns the counts; its clones share them. Calls count their messages, a `MeteredStream` counts the
-//! bytes of its connection under the kind of the call that the connection carries.
+//! A [`Traffic`] owns the counts; its clones share them. Calls count their messages, and a `MeteredStream` counts the
+//! bytes of its connection under the kind of the call in progress.
 
 use std::cell::Cell;
 use std::pin::Pin;
@@ -10,27 +10,27 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// The kind of a message.
+/// Kind of a control message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrafficKind {
-    /// A poll of the full endpoint list.
+    /// Poll of the full endpoint list.
     FullList,
-    /// A watch for updates to the endpoint list.
+    /// Watch for updates to the endpoint list.
     ListWatch,
-    /// A watch on the route table, and the first poll of it.
+    /// First poll of the route table, and each watch of it.
     RouteWatch,
-    /// A report of the calls that this proxy made.
+    /// Report of the calls that this proxy made.
     Report,
-    /// A registration of this process, and a poll of the list of proxies that it belongs to.
+    /// Registration of this process, and the poll of the tier's proxies that follows it.
     Registration,
-    /// A datagram of the membership protocol.
+    /// Datagram of the membership protocol.
     Datagram,
-    /// A segment of recorded traffic.
+    /// Segment of recorded traffic.
     Trace,
 }
 
 impl TrafficKind {
-    /// All kinds, in the order of their numbers.
+    /// All kinds, in the order of their discriminants.
     pub const ALL: [TrafficKind; 7] = [
         TrafficKind::FullList,
         TrafficKind::ListWatch,
@@ -42,32 +42,32 @@
     ];
 }
 
-/// The traffic of one kind since the start.
+/// Messages and bytes of one kind since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TrafficCount {
-    /// Requests or datagrams sent.
+    /// Number of requests or datagrams sent.
     pub messages_sent: u64,
-    /// Complete answers or datagrams received.
+    /// Number of complete answers or datagrams received.
     pub messages_received: u64,
-    /// Bytes written to sockets, with the HTTP heads and without the headers of TCP, UDP and IP.
+    /// Bytes written to sockets, including HTTP headers and excluding those of TCP, UDP and IP.
     pub bytes_sent: u64,
-    /// Bytes read from sockets, counted likewise.
+    /// Bytes read from sockets, including HTTP headers and excluding those of TCP, UDP and IP.
     pub bytes_received: u64,
 }
 
-/// The counts of one client; clones share them.
+/// Traffic counts of one client; clones share them.
 #[derive(Clone, Debug, Default)]
 pub struct Traffic {
     counts: Rc<[Cell<TrafficCount>; TrafficKind::ALL.len()]>,
 }
 
 impl Traffic {
-    /// The traffic of a kind so far.
+    /// Returns the traffic of a kind since the start.
     pub fn count(&self, kind: TrafficKind) -> TrafficCount {
         self.counts[kind as usize].get()
     }
 
-    /// Counts what was sent.
+    /// Adds sent messages and bytes to the counts of a kind.
     pub(super) fn record_sent(&self, kind: TrafficKind, messages: u64, bytes: u64) {
         self.update(kind, |count| {
             count.messages_sent += messages;
@@ -75,7 +75,7 @@
         });
     }
 
-    /// Counts what was received.
+    /// Adds received messages and bytes to the counts of a kind.
     pub(super) fn record_received(&self, kind: TrafficKind, messages: u64, bytes: u64) {
         self.update(kind, |count| {
             count.messages_received += messages;
@@ -91,19 +91,19 @@
     }
 }
 
-/// The kind under which a connection's bytes are counted, which changes with the call that it carries.
+/// Meter of a connection's bytes, which counts them under the kind of the call in progress.
 pub(super) struct StreamMeter {
     kind: Cell<TrafficKind>,
     traffic: Traffic,
 }
 
 impl StreamMeter {
-    /// Counts under `kind` first.
+    /// Creates a meter that counts under `kind`.
     pub(super) fn new(kind: TrafficKind, traffic: Traffic) -> Rc<Self> {
         Rc::new(StreamMeter { kind: Cell::new(kind), traffic })
     }
 
-    /// Counts under another kind from now on.
+    /// Sets the kind under which subsequent bytes are counted.
     pub(super) fn set_kind(&self, kind: TrafficKind) {
         self.kind.set(kind);
     }
@@ -119,14 +119,14 @@
     }
 }
 
-/// A connection that counts its bytes.
+/// TCP stream that counts its bytes.
 pub(super) struct MeteredStream {
     stream: TcpStream,
     meter: Rc<StreamMeter>,
 }
 
 impl MeteredStream {
-    /// Counts the bytes of `stream` by `meter`.
+    /// Wraps `stream` so that `meter` counts its bytes.
     pub(super) fn new(stream: TcpStream, meter: Rc<StreamMeter>) -> Self {
         MeteredStream { stream, meter }
     }
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -69,7 +69,7 @@
     let agent = Agent::on(place.listen(64).expect("it listens"), vec![a.endpoint_entry("SERVING")]);
     // How soon it is asked, `paused::returns` judges on the program's own clock: no call may fail in another way first.
     agent.held().await;
-    let log = proxy.log_until("answers, the whole list anew").await;
+    let log = proxy.log_until("answers after failed calls; received the full list").await;
     assert!(log.iter().all(|line| !line.contains("discovery") || line.contains("answers")), "{log:?}");
     assert!(proxy.descriptors() <= allowed);
     // A caller that is there already is served; it may have been closed to make room, and then comes again.
--- a/tests/routes_proxy.rs
+++ b/tests/routes_proxy.rs
@@ -163,7 +163,7 @@
     let report = tables.report(|r| r["revision"] == 4).await;
     assert!(report["number"].as_u64() > Some(last as u64 + 1), "the lost ones are missing: {report}");
     assert!(report["window_ms"].as_u64() < Some(600), "and are in no later one: {report}");
-    let lost = "reports are taken again";
+    let lost = "accepts reports again";
     until(&scene.proxy, |page| page["reports"]["error"].is_null()).await;
     let mut proxy = scene.proxy;
     proxy.wait_for_log(lost).await;
