--- a/benches/scale/run/scenario/region.rs
+++ b/benches/scale/run/scenario/region.rs
@@ -20,7 +20,7 @@
     let region = numbers.filter(|number| stage.fleet.in_region(*number)).count();
     row.add("cut off", "", region as f64);
     let before = calls(stage);
-    stage.fleet.region.iter().for_each(|relay| relay.lead_to(silent));
+    stage.fleet.region.iter().for_each(|relay| relay.set_target(silent));
     for _ in 0..CHANGES {
         let service = stage.some_service();
         stage.change(&service).await?;
@@ -31,7 +31,7 @@
     row.add("list calls of a proxy that is cut off", "/s", tries);
     let window = Window::open(&stage.fleet).await?;
     let healed = now_us();
-    stage.fleet.region.iter().for_each(|relay| relay.lead_to(registry));
+    stage.fleet.region.iter().for_each(|relay| relay.set_target(registry));
     let times = stage.fleet.list_times().await?;
     let theirs = times.into_iter().filter(|(number, _)| stage.fleet.in_region(*number));
     tell(row, "the truth after the heal", Spread::after(healed, theirs.map(|(_, at)| at).collect()));
@@ -44,8 +44,5 @@
 
 /// Calls for the list through the region's relay so far.
 fn calls(stage: &Stage) -> usize {
-    stage.fleet.region.as_ref().map_or(0, |relay| {
-        let (whole, watches) = relay.calls();
-        whole + watches
-    })
+    stage.fleet.region.as_ref().map_or(0, |relay| relay.full_list_calls() + relay.watch_calls())
 }
--- a/tests/agent_rig/mod.rs
+++ b/tests/agent_rig/mod.rs
@@ -1,10 +1,10 @@
-//! Discovery's agent as a script on plain sockets: it answers as told, call by call, and notes every call. While it is
-//! down it never answers, and a call that it got then stays without an answer for ever.
+//! Discovery's agent on plain sockets, which handles each call as a test has queued and records all calls. While it is
+//! down it answers no call, and calls pending at that time are never answered.
 #![allow(dead_code)]
 
-mod say;
+mod action;
 
-pub use say::Say;
+pub use action::CallAction;
 
 use super::rig::within_deadline;
 use serde_json::{Value, json};
@@ -18,25 +18,29 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// A call for the list.
+/// Recorded call for the endpoint list.
 #[derive(Debug, Clone)]
 pub struct Call {
     pub at: Instant,
-    /// The version that the caller holds.
+    /// Version after which the caller watches; `None` for a call for the full list.
     pub after: Option<u64>,
 }
 
+/// State of the agent, shared with its connections.
 struct Shared {
+    /// Version and entries of the list.
     list: watch::Sender<(u64, Vec<Value>)>,
-    next: Mutex<VecDeque<Say>>,
-    /// What every watch is told now, while calls for the whole list get no answer.
-    instead: Mutex<Option<String>>,
+    next_actions: Mutex<VecDeque<CallAction>>,
+    /// Body that answers every watch, while calls for the full list are not answered.
+    watch_answer: Mutex<Option<String>>,
     calls: watch::Sender<Vec<Call>>,
-    /// Odd while it is down; calls of another count are never answered.
-    outages: watch::Sender<usize>,
-    open: AtomicUsize,
+    /// Number of times that the agent went down or came back; odd while it is down. A call that arrived at another
+    /// number is never answered.
+    outage_toggles: watch::Sender<usize>,
+    open_connections: AtomicUsize,
 }
 
+/// Handle of an agent that serves an endpoint list on loopback.
 #[derive(Clone)]
 pub struct Agent {
     pub addr: SocketAddr,
@@ -44,137 +48,142 @@
 }
 
 impl Agent {
-    pub async fn start(hosts: Vec<Value>) -> Agent {
-        Agent::on(TcpListener::bind("127.0.0.1:0").await.expect("a port"), hosts)
+    /// Starts an agent on port 0 with these entries in its list.
+    pub async fn start(entries: Vec<Value>) -> Agent {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds a loopback port");
+        Agent::from_listener(listener, entries)
     }
 
-    pub fn on(listener: TcpListener, hosts: Vec<Value>) -> Agent {
+    /// Starts an agent on a bound listener with these entries in its list.
+    pub fn from_listener(listener: TcpListener, entries: Vec<Value>) -> Agent {
         let shared = Arc::new(Shared {
-            list: watch::Sender::new((1, hosts)),
-            next: Mutex::default(),
-            instead: Mutex::default(),
+            list: watch::Sender::new((1, entries)),
+            next_actions: Mutex::default(),
+            watch_answer: Mutex::default(),
             calls: watch::Sender::default(),
-            outages: watch::Sender::default(),
-            open: AtomicUsize::new(0),
+            outage_toggles: watch::Sender::default(),
+            open_connections: AtomicUsize::new(0),
         });
-        let agent = Agent { addr: listener.local_addr().expect("bound"), shared };
+        let agent = Agent { addr: listener.local_addr().expect("bound listener has an address"), shared };
         let shared = agent.shared.clone();
         tokio::spawn(async move {
             loop {
-                let (stream, _) = listener.accept().await.expect("a connection");
+                let (stream, _) = listener.accept().await.expect("accepts a connection");
                 let shared = shared.clone();
                 tokio::spawn(async move {
-                    shared.open.fetch_add(1, SeqCst);
+                    shared.open_connections.fetch_add(1, SeqCst);
                     serve(stream, &shared).await;
-                    shared.open.fetch_sub(1, SeqCst);
+                    shared.open_connections.fetch_sub(1, SeqCst);
                 });
             }
         });
         agent
     }
 
-    /// A proxy's configuration that asks here.
-    pub fn config(&self, settings: Value) -> Value {
+    /// Returns a proxy's configuration with this agent as its discovery.
+    pub fn proxy_config(&self, settings: Value) -> Value {
         json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": self.addr.to_string(), "seed": "8c1f30d27a5be964",
                "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}, "settings": settings})
     }
 
-    /// What becomes of the next calls.
-    pub fn give(&self, orders: impl IntoIterator<Item = Say>) {
-        self.shared.next.lock().expect("sound").extend(orders);
+    /// Appends actions for the next calls.
+    pub fn enqueue(&self, actions: impl IntoIterator<Item = CallAction>) {
+        self.shared.next_actions.lock().expect("lock is not poisoned").extend(actions);
     }
 
-    /// The whole list as it is now.
-    pub fn page(&self) -> String {
-        page(&self.shared)
+    /// Answers every watch at once with this body and no call for the full list, or with `None` all calls as usual.
+    pub fn override_watch_answers(&self, body: Option<String>) {
+        *self.shared.watch_answer.lock().expect("lock is not poisoned") = body;
     }
 
-    /// From now on every watch is told this at once, and calls for the whole list get no answer; or all is as ever.
-    pub fn tell_instead(&self, text: Option<String>) {
-        *self.shared.instead.lock().expect("sound") = text;
-    }
-
-    /// Waits until a call after the first `begun` is for what is behind this version, and says for which one.
-    pub async fn asked_behind(&self, begun: usize, version: u64) -> Option<u64> {
-        let behind = |call: &&Call| call.after.is_none_or(|after| after > version);
+    /// Waits for a call, after the first `skipped`, that requests the full list or watches after a version above
+    /// `version`; returns the version that it watches after.
+    pub async fn wait_for_call_after_version(&self, skipped: usize, version: u64) -> Option<u64> {
+        let is_after = |call: &&Call| call.after.is_none_or(|after| after > version);
         let mut calls = self.shared.calls.subscribe();
-        let came = |calls: &Vec<Call>| calls[begun..].iter().any(|call| behind(&call));
-        let calls = within_deadline(calls.wait_for(came)).await.expect("open");
-        calls[begun..].iter().find(behind).expect("it came").after
+        let has_arrived = |calls: &Vec<Call>| calls[skipped..].iter().any(|call| is_after(&call));
+        let calls = within_deadline(calls.wait_for(has_arrived)).await.expect("watch sender is alive");
+        calls[skipped..].iter().find(is_after).expect("the awaited call has arrived").after
     }
 
-    /// How many orders no call has taken yet.
-    pub fn left(&self) -> usize {
-        self.shared.next.lock().expect("sound").len()
+    /// Returns the number of queued actions that no call has taken yet.
+    pub fn queued_actions(&self) -> usize {
+        self.shared.next_actions.lock().expect("lock is not poisoned").len()
     }
 
-    /// Changes the list, from now on.
-    pub fn change(&self, hosts: Vec<Value>) {
-        self.shared.list.send_modify(|(seq, list)| (*seq, *list) = (*seq + 1, hosts));
+    /// Replaces the list's entries, under the next version.
+    pub fn set_list(&self, entries: Vec<Value>) {
+        self.shared.list.send_modify(|(version, list)| (*version, *list) = (*version + 1, entries));
     }
 
-    /// Goes down, or comes back.
-    pub fn turn(&self) {
-        self.shared.outages.send_modify(|n| *n += 1);
+    /// Takes the agent down if it is up, and brings it back otherwise.
+    pub fn toggle_outage(&self) {
+        self.shared.outage_toggles.send_modify(|toggles| *toggles += 1);
     }
 
-    /// Connections that are open now.
-    pub fn open(&self) -> usize {
-        self.shared.open.load(SeqCst)
+    /// Returns the number of open connections.
+    pub fn open_connections(&self) -> usize {
+        self.shared.open_connections.load(SeqCst)
     }
 
+    /// Returns all calls so far.
     pub fn calls(&self) -> Vec<Call> {
         self.shared.calls.borrow().clone()
     }
 
-    /// Waits until so many calls have come.
-    pub async fn called(&self, n: usize) {
+    /// Waits until at least `n` calls have arrived.
+    pub async fn wait_for_calls(&self, n: usize) {
         within_deadline(self.shared.calls.subscribe().wait_for(|calls| calls.len() >= n))
             .await
-            .expect("open");
+            .expect("watch sender is alive");
     }
 
-    /// Waits until a caller holds the present list.
-    pub async fn held(&self) {
-        let now = self.shared.list.borrow().0;
-        let holds = |calls: &Vec<Call>| calls.iter().any(|c| c.after.is_some_and(|after| after >= now));
-        within_deadline(self.shared.calls.subscribe().wait_for(holds)).await.expect("open");
+    /// Waits until a caller watches after the list's current version, so that it holds the current list.
+    pub async fn wait_until_list_held(&self) {
+        let current = self.shared.list.borrow().0;
+        let is_held =
+            |calls: &Vec<Call>| calls.iter().any(|call| call.after.is_some_and(|after| after >= current));
+        within_deadline(self.shared.calls.subscribe().wait_for(is_held))
+            .await
+            .expect("watch sender is alive");
     }
 }
 
+/// Serves the calls of one connection until it ends.
 async fn serve(mut stream: TcpStream, shared: &Shared) {
-    while let Some(path) = call(&mut stream).await {
-        let of =
+    while let Some(path) = read_call_path(&mut stream).await {
+        let parameter =
             |key: &str| path.split(['?', '&']).find_map(|part| part.strip_prefix(key)?.parse::<u64>().ok());
-        let (after, wait) = (of("after="), Duration::from_millis(of("wait_ms=").unwrap_or(0)));
-        let order = match (shared.instead.lock().expect("sound").clone(), after) {
-            (None, _) => shared.next.lock().expect("sound").pop_front(),
-            (Some(text), Some(_)) => Some(Say::Text(text)),
-            (Some(_), None) => Some(Say::Nothing),
+        let (after, wait) = (parameter("after="), Duration::from_millis(parameter("wait_ms=").unwrap_or(0)));
+        let watch_answer = shared.watch_answer.lock().expect("lock is not poisoned").clone();
+        let action = match (watch_answer, after) {
+            (None, _) => shared.next_actions.lock().expect("lock is not poisoned").pop_front(),
+            (Some(body), Some(_)) => Some(CallAction::Body(body)),
+            (Some(_), None) => Some(CallAction::NoAnswer),
         };
-        let outage = *shared.outages.borrow();
+        let toggles_at_call = *shared.outage_toggles.borrow();
         shared.calls.send_modify(|calls| calls.push(Call { at: Instant::now(), after }));
-        let down = async {
-            let mut outages = shared.outages.subscribe();
-            let _ = outages.wait_for(|n| *n != outage || n % 2 == 1).await;
+        let outage = async {
+            let mut toggles = shared.outage_toggles.subscribe();
+            let _ = toggles.wait_for(|n| *n != toggles_at_call || n % 2 == 1).await;
         };
         tokio::select! {
             biased;
-            () = down => {
-                // Its caller may leave it; nothing more is written.
+            () = outage => {
+                // Waits until the caller closes the connection; nothing more is written.
                 let _ = stream.read(&mut [0; 64]).await;
                 return;
             }
-            answered = answer(&mut stream, shared, order, after, wait) => if answered.is_none() {
-                // It ends here, and with it the connection.
+            answered = answer(&mut stream, shared, action, after, wait) => if answered.is_none() {
+                // Returning closes the connection.
                 return;
             }
         }
     }
 }
 
-/// The path of the next call.
-async fn call(stream: &mut TcpStream) -> Option<String> {
+/// Reads the head of the next call and returns its path, or `None` if the connection ends.
+async fn read_call_path(stream: &mut TcpStream) -> Option<String> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         head.push(stream.read_u8().await.ok()?);
@@ -182,69 +191,74 @@
     String::from_utf8(head).ok()?.split(' ').nth(1).map(str::to_string)
 }
 
-/// The whole list.
-fn page(shared: &Shared) -> String {
-    let (seq, hosts) = shared.list.borrow().clone();
-    json!({"seq": seq, "whole": true, "hosts": hosts}).to_string()
+/// Returns the body of an answer with the full list.
+fn full_list(shared: &Shared) -> String {
+    let (version, entries) = shared.list.borrow().clone();
+    json!({"seq": version, "whole": true, "hosts": entries}).to_string()
 }
 
-fn http(text: &str) -> Vec<u8> {
-    format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{text}", text.len()).into_bytes()
+/// Returns an HTTP answer with this body.
+fn http_answer(body: &str) -> Vec<u8> {
+    format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-/// Nothing where the connection is over.
+/// Handles one call. Returns `None` if the connection must be closed.
 async fn answer(
     stream: &mut TcpStream,
     shared: &Shared,
-    order: Option<Say>,
+    action: Option<CallAction>,
     after: Option<u64>,
     wait: Duration,
 ) -> Option<()> {
-    let page = || page(shared);
-    let text = match order {
+    let full_list = || full_list(shared);
+    let body = match action {
         None => {
             let mut list = shared.list.subscribe();
-            let news = after.is_none_or(|after| list.borrow_and_update().0 > after)
+            let has_changed = after.is_none_or(|after| list.borrow_and_update().0 > after)
                 || matches!(timeout(wait, list.changed()).await, Ok(Ok(())));
-            if news { page() } else { json!({"seq": after, "whole": false, "hosts": []}).to_string() }
+            if has_changed {
+                full_list()
+            } else {
+                json!({"seq": after, "whole": false, "hosts": []}).to_string()
+            }
         }
-        Some(Say::Text(text)) => text,
-        Some(Say::EndAtNews) => {
+        Some(CallAction::Body(body)) => body,
+        Some(CallAction::CloseAtChange) => {
             let _ = shared.list.subscribe().changed().await;
             return None;
         }
-        Some(Say::Bytes(answer)) => {
+        Some(CallAction::RawAnswer(answer)) => {
             stream.set_nodelay(true).ok()?;
-            let answer_ends = answer.contains("Connection: close");
+            let closes = answer.contains("Connection: close");
             for byte in answer.into_bytes() {
                 stream.write_all(&[byte]).await.ok()?;
             }
-            return (!answer_ends).then_some(());
+            return (!closes).then_some(());
         }
-        Some(Say::Late(release)) => {
-            let mut over = [0];
+        Some(CallAction::AnswerAfter(release)) => {
+            let mut buffer = [0];
             tokio::select! {
-                () = release.notified() => page(),
-                _ = stream.read(&mut over) => return None,
+                () = release.notified() => full_list(),
+                _ = stream.read(&mut buffer) => return None,
             }
         }
-        Some(Say::Reset) => {
-            stream.set_zero_linger().expect("open");
+        Some(CallAction::Reset) => {
+            stream.set_zero_linger().expect("the socket accepts the linger option");
             return None;
         }
-        Some(Say::Half) => {
-            let whole = http(&page());
-            stream.write_all(&whole[..whole.len() / 2]).await.ok()?;
+        Some(CallAction::HalfAnswer) => {
+            let answer = http_answer(&full_list());
+            stream.write_all(&answer[..answer.len() / 2]).await.ok()?;
             return None;
         }
-        Some(Say::Trickle) => {
-            for byte in http(&page()) {
+        Some(CallAction::SlowAnswer) => {
+            for byte in http_answer(&full_list()) {
                 stream.write_all(&[byte]).await.ok()?;
                 sleep(Duration::from_millis(100)).await;
             }
             return None;
         }
-        Some(Say::Nothing) => return stream.read(&mut [0; 64]).await.map_or(None, |_| None),
+        Some(CallAction::NoAnswer) => return stream.read(&mut [0; 64]).await.map_or(None, |_| None),
     };
-    stream.write_all(&http(&text)).await.ok()
+    stream.write_all(&http_answer(&body)).await.ok()
 }
--- a/tests/client_rig/mod.rs
+++ b/tests/client_rig/mod.rs
@@ -1,4 +1,4 @@
-//! Clients of the control plane without a data path: the very code by which `proxy` follows the list of backends,
+//! Clients of the control plane without a data path. They run the code with which a proxy watches the endpoint list,
 //! many of them in the test's own process.
 #![allow(dead_code)]
 
@@ -13,37 +13,37 @@
 use tokio::sync::{Notify, oneshot, watch};
 use tokio::task::{JoinHandle, spawn_local};
 
-/// The list as a client holds it.
+/// Endpoint list that a client holds, and how it came about.
 #[derive(Default)]
-struct Held {
-    /// Its version; of another history it may be lower.
+struct HeldList {
+    /// Version of the list; a full list of another history may lower it.
     version: u64,
     serving: BTreeMap<String, SocketAddr>,
-    whole_lists: usize,
-    /// Whether each version of changes was above the one before.
-    went_back: bool,
+    full_lists: usize,
+    /// Whether an update had a version that was not above the held one.
+    version_went_back: bool,
 }
 
-/// Takes the list in, and tells that it changed.
-struct Holder {
-    held: Rc<RefCell<Held>>,
+/// Listener that applies each list to the held one and notifies the client.
+struct ListRecorder {
+    held: Rc<RefCell<HeldList>>,
     changed: Rc<Notify>,
 }
 
-impl EndpointListener for Holder {
-    fn apply(&self, kind: ListKind, version: u64, hosts: Vec<EndpointEntry>) {
+impl EndpointListener for ListRecorder {
+    fn apply(&self, kind: ListKind, version: u64, entries: Vec<EndpointEntry>) {
         let held = &mut *self.held.borrow_mut();
         if kind == ListKind::Full {
             held.serving.clear();
-            held.whole_lists += 1;
+            held.full_lists += 1;
         } else {
-            held.went_back |= version <= held.version;
+            held.version_went_back |= version <= held.version;
         }
         held.version = version;
-        for EndpointEntry { name: host, address: dial, health, .. } in hosts {
-            match dial.filter(|_| health == Health::Serving) {
-                Some(dial) => drop(held.serving.insert(host, dial)),
-                None => drop(held.serving.remove(&host)),
+        for EndpointEntry { name, address, health, .. } in entries {
+            match address.filter(|_| health == Health::Serving) {
+                Some(address) => drop(held.serving.insert(name, address)),
+                None => drop(held.serving.remove(&name)),
             }
         }
         self.changed.notify_one();
@@ -56,55 +56,55 @@
     }
 }
 
-/// One client. It must be started inside a `LocalSet`.
+/// Client that watches the endpoint list; it must be started inside a `LocalSet`.
 pub struct Client {
-    held: Rc<RefCell<Held>>,
+    held: Rc<RefCell<HeldList>>,
     changed: Rc<Notify>,
     traffic: Traffic,
     task: JoinHandle<()>,
-    // The task goes on as long as these are held.
+    // Kept so that the channels of the task stay open.
     _addresses: watch::Sender<Vec<SocketAddr>>,
-    _wanted: watch::Sender<bool>,
-    _listed: oneshot::Receiver<()>,
+    _on_demand: watch::Sender<bool>,
+    _first_list: oneshot::Receiver<()>,
 }
 
 impl Client {
-    /// Follows the list at a registry; the settings' traffic is its own.
+    /// Starts a client that watches the list at a registry and counts its calls in the settings' traffic.
     pub fn start(registry: SocketAddr, settings: Settings) -> Client {
-        let (held, changed) = (Rc::<RefCell<Held>>::default(), Rc::new(Notify::new()));
-        let holder = Holder { held: held.clone(), changed: changed.clone() };
-        let (addresses, at) = watch::channel(vec![registry]);
-        let (wanted, wants) = watch::channel(true);
-        let (tell, listed) = oneshot::channel();
+        let (held, changed) = (Rc::<RefCell<HeldList>>::default(), Rc::new(Notify::new()));
+        let listener = ListRecorder { held: held.clone(), changed: changed.clone() };
+        let (_addresses, addresses) = watch::channel(vec![registry]);
+        let (_on_demand, on_demand) = watch::channel(true);
+        let (first_list, _first_list) = oneshot::channel();
         let traffic = settings.traffic.clone();
-        let task = spawn_local(run_watch(holder, at, settings, wants, tell));
-        Client { held, changed, traffic, task, _addresses: addresses, _wanted: wanted, _listed: listed }
+        let task = spawn_local(run_watch(listener, addresses, settings, on_demand, first_list));
+        Client { held, changed, traffic, task, _addresses, _on_demand, _first_list }
     }
 
-    /// Waits until it holds just these backends as serving.
-    pub async fn holds(&self, names: &[&str]) {
-        while !self.has(names) {
+    /// Waits until the serving backends of the held list are exactly these.
+    pub async fn wait_for_backends(&self, names: &[&str]) {
+        while !self.has_backends(names) {
             self.changed.notified().await;
         }
     }
 
-    /// Whether it holds just these backends as serving.
-    pub fn has(&self, names: &[&str]) -> bool {
+    /// Returns whether the serving backends of the held list are exactly these.
+    pub fn has_backends(&self, names: &[&str]) -> bool {
         self.held.borrow().serving.keys().eq(names.iter())
     }
 
-    /// How many whole lists it has been given.
-    pub fn whole_lists(&self) -> usize {
-        self.held.borrow().whole_lists
+    /// Returns the number of full lists received.
+    pub fn full_list_count(&self) -> usize {
+        self.held.borrow().full_lists
     }
 
-    /// Whether changes came in another order than that of their versions.
-    pub fn went_back(&self) -> bool {
-        self.held.borrow().went_back
+    /// Returns whether an update had a version that was not above the held one.
+    pub fn version_went_back(&self) -> bool {
+        self.held.borrow().version_went_back
     }
 
-    /// Calls for the list that it has sent.
-    pub fn calls(&self) -> u64 {
+    /// Returns the number of calls sent for the list.
+    pub fn call_count(&self) -> u64 {
         [TrafficKind::FullList, TrafficKind::ListWatch]
             .map(|kind| self.traffic.count(kind).messages_sent)
             .iter()
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -38,7 +38,7 @@
     let orders = Arc::new(BackendControl::default());
     let a = TestBackend::start("a", &orders).await;
     let (place, there) = refusing_address();
-    let mut config = Agent::start(Vec::new()).await.config(settings());
+    let mut config = Agent::start(Vec::new()).await.proxy_config(settings());
     config["discovery"] = there.to_string().into();
     config["limits"]["sockets"] = sockets.into();
     let mut proxy =
@@ -66,9 +66,10 @@
     let held = proxy.descriptors();
     assert!((allowed / 2..=allowed - allowed / 8 - DISCOVERY).contains(&held), "{held} descriptors");
     let back = Instant::now();
-    let agent = Agent::on(place.listen(64).expect("it listens"), vec![a.endpoint_entry("SERVING")]);
+    let agent =
+        Agent::from_listener(place.listen(64).expect("it listens"), vec![a.endpoint_entry("SERVING")]);
     // How soon it is asked, `paused::returns` judges on the program's own clock: no call may fail in another way first.
-    agent.held().await;
+    agent.wait_until_list_held().await;
     let log = proxy.log_until("answers after failed calls; received the full list").await;
     assert!(log.iter().all(|line| !line.contains("discovery") || line.contains("answers")), "{log:?}");
     assert!(proxy.descriptors() <= allowed);
--- a/tests/entries.rs
+++ b/tests/entries.rs
@@ -1,5 +1,5 @@
-//! Entries of a list that cannot be read, or say what cannot be: what the others say is heard, and that a backend takes
-//! nothing new is heard whatever else its entry says.
+//! Entries of a list that do not parse or have impossible values: the other entries are applied, and the health of a
+//! draining or deleted backend is applied whatever the rest of its entry.
 
 mod agent_rig;
 mod rig;
@@ -11,36 +11,39 @@
 use serde_json::json;
 use std::sync::Arc;
 
-struct Told {
-    orders: Arc<BackendControl>,
+/// Proxy that holds the list of two backends and has received an update to it.
+struct UpdateFixture {
+    control: Arc<BackendControl>,
     a: TestBackend,
     b: TestBackend,
     agent: Agent,
     proxy: ProxyProcess,
 }
 
-/// A proxy that holds the list of two backends and is told changes to it, as text, and nothing else.
-async fn told(changes: impl FnOnce(&TestBackend, &TestBackend) -> String) -> Told {
-    let orders = Arc::new(BackendControl::default());
-    let (a, b) = (TestBackend::start("a", &orders).await, TestBackend::start("b", &orders).await);
+/// Starts a proxy that holds the list of two backends, and answers all its watches with an update whose entries are
+/// this text; calls for the full list are not answered.
+async fn start_with_update(update: impl FnOnce(&TestBackend, &TestBackend) -> String) -> UpdateFixture {
+    let control = Arc::new(BackendControl::default());
+    let (a, b) = (TestBackend::start("a", &control).await, TestBackend::start("b", &control).await);
     let agent = Agent::start(vec![a.endpoint_entry("SERVING"), b.endpoint_entry("SERVING")]).await;
-    let proxy = ProxyProcess::start_with_command(&agent.config(settings()), "exec \"$0\"").await;
-    agent.held().await;
-    let begun = agent.calls().len();
-    let text = format!("{{\"seq\": 2, \"whole\": false, \"hosts\": [{}]}}", changes(&a, &b));
-    agent.tell_instead(Some(text));
-    // The call behind the changes: a watch from their version, or for the whole list.
-    agent.asked_behind(begun, 1).await;
-    Told { orders, a, b, agent, proxy }
+    let proxy = ProxyProcess::start_with_command(&agent.proxy_config(settings()), "exec \"$0\"").await;
+    agent.wait_until_list_held().await;
+    let calls_before = agent.calls().len();
+    let body = format!("{{\"seq\": 2, \"whole\": false, \"hosts\": [{}]}}", update(&a, &b));
+    agent.override_watch_answers(Some(body));
+    // The call that follows the update: a watch after its version, or a call for the full list.
+    agent.wait_for_call_after_version(calls_before, 1).await;
+    UpdateFixture { control, a, b, agent, proxy }
 }
 
-async fn only(proxy: &ProxyProcess, name: &str) {
+/// Asserts that six calls in a row are all served by the named backend.
+async fn assert_only_serving(proxy: &ProxyProcess, name: &str) {
     for _ in 0..6 {
         assert_eq!(proxy.call("look").await, (200, name.into()));
     }
 }
 
-/// A drain is told among changes of which others cannot be read.
+/// An update has the entry of a draining backend between entries that cannot be applied.
 #[rstest]
 #[case::no_object("7")]
 #[case::no_name(r#"{"dial": "127.0.0.1:1", "site": "a", "health": "SERVING"}"#)]
@@ -54,71 +57,72 @@
 #[case::twice(r#"{"host": "b", "site": "a", "health": "SERVING", "dial": null}"#)]
 #[case::unknown_gone(r#"{"host": "x", "health": "DELETED"}"#)]
 #[tokio::test]
-async fn a_drain_is_heard_whatever_the_entries_beside_it(#[case] odd: &str) {
-    let s = told(|a, _| format!("{odd}, {}, {odd}", a.endpoint_entry("DRAINING"))).await;
-    only(&s.proxy, "b").await;
+async fn a_drain_is_applied_whatever_the_other_entries_of_the_update(#[case] invalid: &str) {
+    let fixture =
+        start_with_update(|a, _| format!("{invalid}, {}, {invalid}", a.endpoint_entry("DRAINING"))).await;
+    assert_only_serving(&fixture.proxy, "b").await;
 }
 
-/// Its own entry is spoilt.
+/// The entry of the draining or deleted backend itself has missing or invalid fields.
 #[rstest]
 #[case::no_address(r#"{"host": "a", "site": "a", "health": "DRAINING"}"#)]
-#[case::spoilt_address(r#"{"host": "a", "dial": "a:http", "site": "a", "health": "DRAINING"}"#)]
+#[case::invalid_address(r#"{"host": "a", "dial": "a:http", "site": "a", "health": "DRAINING"}"#)]
 #[case::no_zone(r#"{"host": "a", "health": "DRAINING"}"#)]
-#[case::spoilt_figures(
+#[case::invalid_numbers(
     r#"{"host": "a", "site": "a", "block": -1, "share": "?", "born_ms": 1e999, "health": "DRAINING"}"#
 )]
-#[case::gone(r#"{"host": "a", "dial": 5, "health": "DELETED"}"#)]
+#[case::deleted(r#"{"host": "a", "dial": 5, "health": "DELETED"}"#)]
 #[tokio::test]
-async fn that_a_backend_takes_nothing_new_is_heard_whatever_else_its_entry_says(#[case] entry: &str) {
-    let s = told(|_, _| entry.to_string()).await;
-    only(&s.proxy, "b").await;
+async fn the_health_of_a_draining_backend_is_applied_whatever_the_rest_of_its_entry(#[case] entry: &str) {
+    let fixture = start_with_update(|_, _| entry.to_string()).await;
+    assert_only_serving(&fixture.proxy, "b").await;
 }
 
-/// Changes of which one cannot be read are told by nobody again: the whole list is asked for.
+/// The registry does not send an entry of an update again, so after one that does not parse the full list is polled.
 #[tokio::test]
-async fn what_cannot_be_read_among_changes_is_asked_for_anew() {
-    let s = told(|_, _| "{\"host\": 5}".to_string()).await;
-    let calls = s.agent.calls();
-    assert!(calls[1..].iter().any(|call| call.after.is_none()), "the whole list is asked for");
-    s.agent.tell_instead(None);
-    s.agent.change(vec![s.a.endpoint_entry("SERVING"), s.b.endpoint_entry("DRAINING")]);
-    s.agent.held().await;
-    only(&s.proxy, "a").await;
+async fn an_update_with_an_entry_that_does_not_parse_causes_a_resync() {
+    let fixture = start_with_update(|_, _| "{\"host\": 5}".to_string()).await;
+    let calls = fixture.agent.calls();
+    assert!(calls[1..].iter().any(|call| call.after.is_none()), "the full list is polled");
+    fixture.agent.override_watch_answers(None);
+    fixture.agent.set_list(vec![fixture.a.endpoint_entry("SERVING"), fixture.b.endpoint_entry("DRAINING")]);
+    fixture.agent.wait_until_list_held().await;
+    assert_only_serving(&fixture.proxy, "a").await;
 }
 
-/// A number that is too large for any machine stands in the list for good: it costs its entry and no other.
+/// An entry with a number out of the range of a 64-bit float stays in the list; the other entries are applied.
 #[tokio::test]
-async fn a_number_that_no_machine_holds_spoils_no_other_entry() {
-    let s = told(|a, _| a.endpoint_entry("SERVING").to_string()).await;
-    let odd = r#"{"host": "x", "dial": "127.0.0.1:1", "site": "a", "health": "SERVING", "share": 1e999}"#;
-    let (a, b) = (s.a.endpoint_entry("DRAINING"), s.b.endpoint_entry("SERVING"));
-    let whole = format!("{{\"seq\": 3, \"whole\": true, \"hosts\": [{odd}, {a}, {b}]}}");
-    let begun = s.agent.calls().len();
-    s.agent.tell_instead(Some(whole));
-    let held = s.agent.asked_behind(begun, 2).await;
-    assert_eq!(held, Some(3), "the list is held");
-    only(&s.proxy, "b").await;
+async fn an_entry_with_a_number_out_of_range_does_not_affect_other_entries() {
+    let fixture = start_with_update(|a, _| a.endpoint_entry("SERVING").to_string()).await;
+    let invalid = r#"{"host": "x", "dial": "127.0.0.1:1", "site": "a", "health": "SERVING", "share": 1e999}"#;
+    let (a, b) = (fixture.a.endpoint_entry("DRAINING"), fixture.b.endpoint_entry("SERVING"));
+    let full_list = format!("{{\"seq\": 3, \"whole\": true, \"hosts\": [{invalid}, {a}, {b}]}}");
+    let calls_before = fixture.agent.calls().len();
+    fixture.agent.override_watch_answers(Some(full_list));
+    let held_version = fixture.agent.wait_for_call_after_version(calls_before, 2).await;
+    assert_eq!(held_version, Some(3), "the list is held");
+    assert_only_serving(&fixture.proxy, "b").await;
 }
 
-/// A backend that is back among the changes, at another address, is sent to where it is now; shares whose sum no machine
-/// holds keep nobody out.
+/// An update lists a backend as draining and then as serving at another address: calls go to the new address. Weights
+/// whose sum overflows exclude no backend.
 #[tokio::test]
-async fn a_backend_that_drains_and_is_back_in_the_same_changes_serves_where_it_is_now() {
-    let s = told(|a, b| {
-        let (mut back, mut huge, mut other) =
+async fn a_backend_that_drains_and_returns_in_the_same_update_is_called_at_its_new_address() {
+    let fixture = start_with_update(|a, b| {
+        let (mut returned, mut huge, mut other) =
             (a.endpoint_entry("SERVING"), a.endpoint_entry("SERVING"), b.endpoint_entry("SERVING"));
-        (back["dial"], back["born_ms"]) = (b.addr.to_string().into(), json!(5.0));
+        (returned["dial"], returned["born_ms"]) = (b.addr.to_string().into(), json!(5.0));
         (huge["host"], huge["share"]) = ("c".into(), json!(1e308));
         (other["host"], other["share"]) = ("d".into(), json!(1e308));
-        [a.endpoint_entry("DRAINING"), back, b.endpoint_entry("DRAINING"), huge, other]
-            .map(|line| line.to_string())
+        [a.endpoint_entry("DRAINING"), returned, b.endpoint_entry("DRAINING"), huge, other]
+            .map(|entry| entry.to_string())
             .join(", ")
     })
     .await;
-    s.agent.tell_instead(None);
+    fixture.agent.override_watch_answers(None);
     for _ in 0..40 {
-        assert_eq!(s.proxy.call("look").await.0, 200);
+        assert_eq!(fixture.proxy.call("look").await.0, 200);
     }
-    let (a, b) = (s.orders.request_count("a"), s.orders.request_count("b"));
+    let (a, b) = (fixture.control.request_count("a"), fixture.control.request_count("b"));
     assert!(a > 10 && b > 10, "{a} and {b} calls");
 }
--- a/tests/fault_relay/mod.rs
+++ b/tests/fault_relay/mod.rs
@@ -1,5 +1,5 @@
-//! Relays for faults: a fixed address in front of a process that may be cut off or replaced by another, and links
-//! between processes that may be cut one by one or lose datagrams.
+//! Relays that inject faults: a TCP relay at a fixed address whose target can be replaced, and UDP links between
+//! processes that can be cut one by one or lose datagrams.
 #![allow(dead_code)]
 
 use std::collections::HashSet;
@@ -10,33 +10,38 @@
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::sync::watch;
 
-/// Passes connections on to its target. It counts the calls for lists that go through.
+/// TCP relay to a replaceable target, which counts the forwarded calls for the endpoint list.
 pub struct Relay {
     pub address: SocketAddr,
     target: Arc<watch::Sender<SocketAddr>>,
-    /// Calls for the whole list.
-    pub whole: Arc<AtomicUsize>,
-    /// Watches from a version on.
-    pub watches: Arc<AtomicUsize>,
+    call_counts: Arc<CallCounts>,
+}
+
+/// Counts of the calls for the endpoint list that a relay has forwarded.
+#[derive(Default)]
+struct CallCounts {
+    full_list: AtomicUsize,
+    watch: AtomicUsize,
 }
 
 impl Relay {
+    /// Starts a relay to this target on port 0.
     pub async fn start(target: SocketAddr) -> Relay {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds a loopback port");
+        let address = listener.local_addr().expect("bound listener has an address");
         let target = Arc::new(watch::Sender::new(target));
-        let relay = Relay { address, target, whole: Arc::default(), watches: Arc::default() };
-        let (target, whole, watches) = (relay.target.clone(), relay.whole.clone(), relay.watches.clone());
+        let relay = Relay { address, target, call_counts: Arc::default() };
+        let (target, call_counts) = (relay.target.clone(), relay.call_counts.clone());
         tokio::spawn(async move {
             while let Ok((caller, _)) = listener.accept().await {
-                let (mut moved, whole, watches) = (target.subscribe(), whole.clone(), watches.clone());
-                let to = *moved.borrow_and_update();
+                let (mut target, call_counts) = (target.subscribe(), call_counts.clone());
+                let target_address = *target.borrow_and_update();
                 tokio::spawn(async move {
-                    // A target that refuses shows to the caller as a connection that ends at once.
-                    let Ok(callee) = TcpStream::connect(to).await else { return };
+                    // If the target refuses, the caller sees a connection that closes at once.
+                    let Ok(callee) = TcpStream::connect(target_address).await else { return };
                     tokio::select! {
-                        () = pass(caller, callee, &whole, &watches) => {}
-                        _ = moved.changed() => {}
+                        () = forward(caller, callee, &call_counts) => {}
+                        _ = target.changed() => {}
                     }
                 });
             }
@@ -44,73 +49,92 @@
         relay
     }
 
-    /// Leads to another target from now on; connections to the old one are cut.
-    pub fn lead_to(&self, target: SocketAddr) {
+    /// Replaces the target; connections to the previous one are closed.
+    pub fn set_target(&self, target: SocketAddr) {
         self.target.send_replace(target);
     }
 
-    /// Calls for the whole list, and watches, so far.
-    pub fn calls(&self) -> (usize, usize) {
-        (self.whole.load(SeqCst), self.watches.load(SeqCst))
+    /// Returns the number of calls for the full list so far.
+    pub fn full_list_calls(&self) -> usize {
+        self.call_counts.full_list.load(SeqCst)
+    }
+
+    /// Returns the number of watches after a version so far.
+    pub fn watch_calls(&self) -> usize {
+        self.call_counts.watch.load(SeqCst)
     }
 }
 
-async fn pass(caller: TcpStream, callee: TcpStream, whole: &AtomicUsize, watches: &AtomicUsize) {
-    let ((mut from, mut to), (mut back_from, mut back_to)) = (caller.into_split(), callee.into_split());
-    let there = async {
-        let mut part = [0; 4096];
-        // A call's head is a single small write.
-        while let Ok(n @ 1..) = from.read(&mut part).await {
-            let has = |what: &[u8]| part[..n].windows(what.len()).any(|w| w == what);
-            whole.fetch_add(usize::from(has(b"GET /registry/instances HTTP")), SeqCst);
-            watches.fetch_add(usize::from(has(b"GET /registry/instances?after=")), SeqCst);
-            if back_to.write_all(&part[..n]).await.is_err() {
+/// Forwards both directions until one of them ends.
+async fn forward(caller: TcpStream, callee: TcpStream, call_counts: &CallCounts) {
+    let (mut from_caller, mut to_caller) = caller.into_split();
+    let (mut from_callee, mut to_callee) = callee.into_split();
+    let requests = async {
+        let mut buffer = [0; 4096];
+        // The head of a call arrives in a single read: it is one small write.
+        while let Ok(n @ 1..) = from_caller.read(&mut buffer).await {
+            let contains = |text: &[u8]| buffer[..n].windows(text.len()).any(|window| window == text);
+            let is_full_list = contains(b"GET /registry/instances HTTP");
+            let is_watch = contains(b"GET /registry/instances?after=");
+            call_counts.full_list.fetch_add(usize::from(is_full_list), SeqCst);
+            call_counts.watch.fetch_add(usize::from(is_watch), SeqCst);
+            if to_callee.write_all(&buffer[..n]).await.is_err() {
                 return;
             }
         }
     };
-    let back = async {
-        let _ = copy(&mut back_from, &mut to).await;
+    let answers = async {
+        let _ = copy(&mut from_callee, &mut to_caller).await;
     };
     tokio::select! {
-        () = there => {}
-        () = back => {}
+        () = requests => {}
+        () = answers => {}
     }
 }
 
-/// UDP between processes of which each is reached at an address of the relay's. Each way of each pair is a link of its
-/// own, which may be cut; all links may lose a part of what they carry, by a seeded chance.
+/// UDP links between processes, each of which is reached at an address of the relay. Each direction between two
+/// processes is a separate link that can be cut; all links can lose a fraction of their datagrams, chosen by a seeded
+/// random number generator.
 pub struct Links {
-    /// Where each process is reached.
+    /// Address at which each process is reached through the relay.
     pub addresses: Vec<SocketAddr>,
-    rules: Arc<Mutex<Rules>>,
+    state: Arc<Mutex<LinkState>>,
 }
 
-struct Rules {
-    /// Where each process really is.
-    places: Vec<Option<SocketAddr>>,
+struct LinkState {
+    /// Own address of each process.
+    process_addresses: Vec<Option<SocketAddr>>,
+    /// Links that are cut, as sender and receiver.
     cut: HashSet<(usize, usize)>,
+    /// Fraction of the datagrams that are lost.
     loss: f64,
-    chance: fastrand::Rng,
-    passed: usize,
+    rng: fastrand::Rng,
+    /// Number of datagrams forwarded.
+    forwarded: usize,
 }
 
 impl Links {
+    /// Starts the links between this number of processes.
     pub async fn start(processes: usize) -> Links {
-        let chance = fastrand::Rng::with_seed(7);
-        let rules =
-            Rules { places: vec![None; processes], cut: HashSet::new(), loss: 0.0, chance, passed: 0 };
-        let mut links = Links { addresses: Vec::new(), rules: Arc::new(Mutex::new(rules)) };
-        for to in 0..processes {
-            let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
-            links.addresses.push(socket.local_addr().expect("bound"));
-            let rules = links.rules.clone();
+        let state = LinkState {
+            process_addresses: vec![None; processes],
+            cut: HashSet::new(),
+            loss: 0.0,
+            rng: fastrand::Rng::with_seed(7),
+            forwarded: 0,
+        };
+        let mut links = Links { addresses: Vec::new(), state: Arc::new(Mutex::new(state)) };
+        for receiver in 0..processes {
+            let socket = UdpSocket::bind("127.0.0.1:0").await.expect("binds a loopback port");
+            links.addresses.push(socket.local_addr().expect("bound socket has an address"));
+            let state = links.state.clone();
             tokio::spawn(async move {
                 let mut datagram = [0; 2048];
-                while let Ok((n, source)) = socket.recv_from(&mut datagram).await {
-                    let place = rules.lock().expect("sound").passes(source, to);
-                    if let Some(place) = place {
-                        let _ = socket.send_to(&datagram[..n], place).await;
+                while let Ok((length, source)) = socket.recv_from(&mut datagram).await {
+                    let destination =
+                        state.lock().expect("lock is not poisoned").destination(source, receiver);
+                    if let Some(destination) = destination {
+                        let _ = socket.send_to(&datagram[..length], destination).await;
                     }
                 }
             });
@@ -118,38 +142,39 @@
         links
     }
 
-    /// Says where a process really is.
-    pub fn place(&self, process: usize, at: SocketAddr) {
-        self.rules.lock().expect("sound").places[process] = Some(at);
+    /// Sets the own address of a process.
+    pub fn set_process_address(&self, process: usize, address: SocketAddr) {
+        self.state.lock().expect("lock is not poisoned").process_addresses[process] = Some(address);
     }
 
-    /// Nothing passes from one to the other any more.
+    /// Cuts the link from one process to another, in this direction only.
     pub fn cut(&self, from: usize, to: usize) {
-        self.rules.lock().expect("sound").cut.insert((from, to));
+        self.state.lock().expect("lock is not poisoned").cut.insert((from, to));
     }
 
-    /// All links pass again.
+    /// Restores all links that were cut.
     pub fn heal(&self) {
-        self.rules.lock().expect("sound").cut.clear();
+        self.state.lock().expect("lock is not poisoned").cut.clear();
     }
 
-    /// Every link loses this share of its datagrams.
-    pub fn lose(&self, share: f64) {
-        self.rules.lock().expect("sound").loss = share;
+    /// Sets the fraction of datagrams that every link loses.
+    pub fn set_loss(&self, fraction: f64) {
+        self.state.lock().expect("lock is not poisoned").loss = fraction;
     }
 
-    /// Datagrams that have passed.
-    pub fn passed(&self) -> usize {
-        self.rules.lock().expect("sound").passed
+    /// Returns the number of datagrams forwarded so far.
+    pub fn forwarded(&self) -> usize {
+        self.state.lock().expect("lock is not poisoned").forwarded
     }
 }
 
-impl Rules {
-    fn passes(&mut self, source: SocketAddr, to: usize) -> Option<SocketAddr> {
-        let from = self.places.iter().position(|p| *p == Some(source))?;
-        let lost = self.cut.contains(&(from, to)) || self.chance.f64() < self.loss;
-        let place = self.places[to].filter(|_| !lost)?;
-        self.passed += 1;
-        Some(place)
+impl LinkState {
+    /// Returns the address to which a datagram is forwarded, or `None` if it is lost.
+    fn destination(&mut self, source: SocketAddr, to: usize) -> Option<SocketAddr> {
+        let from = self.process_addresses.iter().position(|address| *address == Some(source))?;
+        let is_lost = self.cut.contains(&(from, to)) || self.rng.f64() < self.loss;
+        let destination = self.process_addresses[to].filter(|_| !is_lost)?;
+        self.forwarded += 1;
+        Some(destination)
     }
 }
--- a/tests/fleet/fixture.rs
+++ b/tests/fleet/fixture.rs
@@ -87,7 +87,7 @@
                 }
                 let fleet = processes::start(program, configs).await;
                 for (n, process) in fleet.iter().enumerate() {
-                    relayed.place(n, process.membership_addr.expect("the proxy is a member"));
+                    relayed.set_process_address(n, process.membership_addr.expect("the proxy is a member"));
                 }
                 processes::wait_for_members(&fleet, PROXIES).await;
                 links = Some(relayed);
--- a/tests/fleet_rig/mod.rs
+++ b/tests/fleet_rig/mod.rs
@@ -87,7 +87,7 @@
         for n in 0..plan.proxies {
             let relay = Relay::start(registry.address).await;
             let mut proxy = ProxyProcess::spawn(&config(&plan, n, &relay, &links), "exec \"$0\"");
-            links.place(n, proxy.wait_for_address("membership on ").await);
+            links.set_process_address(n, proxy.wait_for_address("membership on ").await);
             proxy.ops = Some(proxy.wait_for_address("ops on ").await);
             proxy.addr = proxy.wait_for_address("listening on ").await;
             relays.push(relay);
@@ -183,11 +183,11 @@
             .expect("binds a loopback port")
             .local_addr()
             .expect("listener has a local address");
-        self.relays[n].lead_to(closed_port);
+        self.relays[n].set_target(closed_port);
     }
 
     pub fn reconnect_registry(&self, n: usize) {
-        self.relays[n].lead_to(self.registry.address);
+        self.relays[n].set_target(self.registry.address);
     }
 
     /// Returns the share of each backend in the next `calls` calls.
--- a/tests/membership/main.rs
+++ b/tests/membership/main.rs
@@ -1,4 +1,4 @@
-//! Membership among several proxy processes, with faults on the links between them.
+//! Tests of membership among several proxy processes, with faults on the UDP links between them.
 
 #[path = "../fault_relay/mod.rs"]
 mod fault_relay;
@@ -20,47 +20,60 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-const PROBE: u64 = 200;
+/// Interval between probes in [`short_timing`], ms.
+const PROBE_MS: u64 = 200;
 
-const SUSPICION: u64 = 1500;
+/// Time to refute a suspicion in [`short_timing`], ms.
+const SUSPICION_MS: u64 = 1500;
 
-/// How often views are read.
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval at which the proxies' membership pages are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Proxies that are each other's members.
+/// Proxies that are members of one tier, with UDP links between them.
 struct Fleet {
     links: Links,
     discovery: TestDiscovery,
-    orders: Arc<BackendControl>,
+    control: Arc<BackendControl>,
     _backend: TestBackend,
     proxies: Vec<ProxyProcess>,
-    places: Vec<SocketAddr>,
+    /// Own UDP address of each proxy, as opposed to the address of its link.
+    process_addresses: Vec<SocketAddr>,
     timing: Value,
     registry: Option<SocketAddr>,
 }
 
 impl Fleet {
+    /// Starts `size` proxies that find each other by seeds.
     async fn start(size: usize, timing: Value) -> Fleet {
-        Fleet::found_by(size, timing, None).await
+        Fleet::start_with_registry(size, timing, None).await
     }
 
-    /// They find each other by a registry, or else by seeds.
-    async fn found_by(size: usize, timing: Value, registry: Option<SocketAddr>) -> Fleet {
-        let orders = Arc::new(BackendControl::default());
-        let backend = TestBackend::start("a", &orders).await;
+    /// Starts `size` proxies that find each other by a registry if there is one, and otherwise by seeds.
+    async fn start_with_registry(size: usize, timing: Value, registry: Option<SocketAddr>) -> Fleet {
+        let control = Arc::new(BackendControl::default());
+        let backend = TestBackend::start("a", &control).await;
         let discovery = TestDiscovery::start(vec![backend.endpoint_entry("SERVING")]).await;
         let links = Links::start(size).await;
-        let (proxies, places) = (Vec::new(), Vec::new());
-        let mut fleet =
-            Fleet { links, discovery, orders, _backend: backend, proxies, places, timing, registry };
+        let (proxies, process_addresses) = (Vec::new(), Vec::new());
+        let mut fleet = Fleet {
+            links,
+            discovery,
+            control,
+            _backend: backend,
+            proxies,
+            process_addresses,
+            timing,
+            registry,
+        };
         for n in 0..size {
-            let (proxy, place) = fleet.spawn(n, "tier").await;
+            let (proxy, address) = fleet.spawn(n, "tier").await;
             fleet.proxies.push(proxy);
-            fleet.places.push(place);
+            fleet.process_addresses.push(address);
         }
         fleet
     }
 
+    /// Starts proxy `n` in this cluster; returns it with its own UDP address.
     async fn spawn(&self, n: usize, cluster: &str) -> (ProxyProcess, SocketAddr) {
         let mut config = self.discovery.proxy_config(settings());
         let seeds: Vec<String> = self.links.addresses.iter().take(2).map(ToString::to_string).collect();
@@ -73,86 +86,101 @@
             config["membership"]["registries"] = json!([registry.to_string()]);
         }
         let mut proxy = ProxyProcess::spawn(&config, "exec \"$0\"");
-        let place = proxy.wait_for_address("membership on ").await;
-        self.links.place(n, place);
+        let address = proxy.wait_for_address("membership on ").await;
+        self.links.set_process_address(n, address);
         proxy.ops = Some(proxy.wait_for_address("ops on ").await);
         proxy.addr = proxy.wait_for_address("listening on ").await;
-        (proxy, place)
+        (proxy, address)
     }
 
-    /// Waits until the proxies of `of` see the others as told, and says how long that took.
-    async fn until(
+    /// Waits until the views of all `observers` satisfy a condition, and returns the time that this took. Panics with
+    /// `description` after the deadline.
+    async fn wait_until(
         &self,
-        of: &[usize],
-        within: Duration,
-        what: &str,
-        seen: impl Fn(&View) -> bool,
+        observers: &[usize],
+        deadline: Duration,
+        description: &str,
+        condition: impl Fn(&MembershipView) -> bool,
     ) -> Duration {
-        let begun = Instant::now();
-        let all = async {
-            for n in of {
-                while !seen(&view(&self.proxies[*n]).await) {
-                    sleep(LOOK).await;
+        let started = Instant::now();
+        let all_satisfied = async {
+            for n in observers {
+                while !condition(&membership_view(&self.proxies[*n]).await) {
+                    sleep(POLL_INTERVAL).await;
                 }
             }
         };
-        if timeout(within, all).await.is_err() {
+        if timeout(deadline, all_satisfied).await.is_err() {
             let mut views = Vec::new();
-            for n in of {
-                views.push(view(&self.proxies[*n]).await.standings);
+            for n in observers {
+                views.push(membership_view(&self.proxies[*n]).await.states);
             }
-            panic!("{what}: not within {within:?}: {views:?}");
+            panic!("{description}: not within {deadline:?}: {views:?}");
         }
-        begun.elapsed()
+        started.elapsed()
     }
 
-    async fn until_all_alive(&self, within: Duration) -> Duration {
+    /// Waits until every proxy sees all others alive, and returns the time that this took.
+    async fn wait_until_all_alive(&self, deadline: Duration) -> Duration {
         let (all, size) = (Vec::from_iter(0..self.proxies.len()), self.proxies.len());
-        self.until(&all, within, "all alive", |v| v.count(&["alive"]) == size - 1 && v.alive == size as u64)
-            .await
+        self.wait_until(&all, deadline, "all alive", |v| {
+            v.count(&["alive"]) == size - 1 && v.alive == size as u64
+        })
+        .await
     }
 }
 
-struct View {
-    standings: BTreeMap<String, String>,
+/// Membership page of one proxy.
+struct MembershipView {
+    /// State of each other member, by name.
+    states: BTreeMap<String, String>,
     generations: BTreeMap<String, u64>,
     alive: u64,
     share: f64,
     traffic: Value,
 }
 
-impl View {
-    fn count(&self, standings: &[&str]) -> usize {
-        self.standings.values().filter(|s| standings.contains(&s.as_str())).count()
+impl MembershipView {
+    /// Returns the number of other members in one of these states.
+    fn count(&self, states: &[&str]) -> usize {
+        self.states.values().filter(|state| states.contains(&state.as_str())).count()
     }
-    fn is(&self, name: &str, standing: &str) -> bool {
-        self.standings.get(name).is_some_and(|s| s == standing)
+    /// Returns whether the named member is in this state.
+    fn has_state(&self, name: &str, state: &str) -> bool {
+        self.states.get(name).is_some_and(|s| s == state)
     }
 }
 
-async fn view(proxy: &ProxyProcess) -> View {
+/// Reads the membership page of a proxy.
+async fn membership_view(proxy: &ProxyProcess) -> MembershipView {
     let page = proxy.ops_call("members").await;
-    let page: Value = serde_json::from_str(page.lines().next().expect("a page")).expect("JSON");
-    let members = page["members"].as_array().expect("members");
-    let name = |m: &Value| m["name"].as_str().expect("a name").to_string();
-    View {
-        standings: members.iter().map(|m| (name(m), m["standing"].as_str().expect("text").into())).collect(),
-        generations: members.iter().map(|m| (name(m), m["generation"].as_u64().expect("a number"))).collect(),
-        alive: page["alive"].as_u64().expect("a number"),
-        share: page["share"].as_f64().expect("a number"),
+    let page: Value =
+        serde_json::from_str(page.lines().next().expect("the answer has a line")).expect("the page is JSON");
+    let members = page["members"].as_array().expect("the page lists members");
+    let name = |member: &Value| member["name"].as_str().expect("a member has a name").to_string();
+    let state = |member: &Value| member["standing"].as_str().expect("a member has a state").to_string();
+    let generation = |member: &Value| member["generation"].as_u64().expect("a member has a generation");
+    MembershipView {
+        states: members.iter().map(|member| (name(member), state(member))).collect(),
+        generations: members.iter().map(|member| (name(member), generation(member))).collect(),
+        alive: page["alive"].as_u64().expect("the page counts the live members"),
+        share: page["share"].as_f64().expect("the page has a share"),
         traffic: page["traffic"].clone(),
     }
 }
 
-fn quick() -> Value {
-    json!({"probe_ms": PROBE, "rtt_ms": 60, "suspicion_ms": SUSPICION, "forget_ms": 600_000})
+/// Returns a timing with short intervals, for fast tests.
+fn short_timing() -> Value {
+    json!({"probe_ms": PROBE_MS, "rtt_ms": 60, "suspicion_ms": SUSPICION_MS, "forget_ms": 600_000})
 }
 
-/// Long enough to join, or to find each other again, however unlucky.
-const JOINED: Duration = Duration::from_secs(15);
+/// Deadline for proxies to join, also after a partition; long enough for the worst random choices.
+const JOIN_DEADLINE: Duration = Duration::from_secs(15);
 
-/// From a death to its being known to all: a member is probed once in every round of the others, its place in it by
-/// chance (2n - 1 periods at most); the probe fails; it may refute; and the news spreads by gossip every half period.
-fn detected_within(others: u64) -> Duration {
-    Duration::from_millis((2 * others - 1) * PROBE + PROBE + SUSPICION + 10 * PROBE)
+/// Returns the bound on the time from a member's death until all `others` see it as gone. Each of them probes every
+/// member once per round in random order, so the next probe follows after at most 2n - 1 periods. Then the probe fails,
+/// the suspicion expires, and the change spreads by gossip at every fifth of a period, well within the last 10 periods
+/// of the bound.
+fn detection_bound(others: u64) -> Duration {
+    Duration::from_millis((2 * others - 1) * PROBE_MS + PROBE_MS + SUSPICION_MS + 10 * PROBE_MS)
 }
--- a/tests/registry_return/empty_disk.rs
+++ b/tests/registry_return/empty_disk.rs
@@ -54,10 +54,10 @@
     all_serve(&proxies).await;
 
     let registry = Registry::start(&data_dir("disk-after"), &[]).await;
-    relay.lead_to(registry.address);
+    relay.set_target(registry.address);
     // The clients have no guard: they hold what the registry says.
     returns_spread(&clients, &[]).await;
-    assert!(clients.iter().all(|client| client.whole_lists() == 2), "one whole list more for each");
+    assert!(clients.iter().all(|client| client.full_list_count() == 2), "one whole list more for each");
     for proxy in &mut proxies {
         proxy.wait_for_log("2 of 2 backends stay in service though the list lacks them").await;
     }
@@ -68,7 +68,7 @@
 
     registry.put(TTL, vec![a.endpoint_entry("SERVING"), b.endpoint_entry("SERVING")]).await;
     all_hold(&clients, &["a", "b"]).await;
-    assert!(clients.iter().all(|client| client.whole_lists() == 2 && !client.went_back()));
+    assert!(clients.iter().all(|client| client.full_list_count() == 2 && !client.version_went_back()));
     for proxy in &mut proxies {
         proxy.wait_for_log("the list is believed again, 2 backends").await;
     }
--- a/tests/registry_return/main.rs
+++ b/tests/registry_return/main.rs
@@ -49,6 +49,6 @@
 /// Waits until all clients hold just these backends.
 async fn all_hold(clients: &[client_rig::Client], names: &[&str]) {
     for client in clients {
-        within_deadline(client.holds(names)).await;
+        within_deadline(client.wait_for_backends(names)).await;
     }
 }
--- a/tests/registry_return/outage.rs
+++ b/tests/registry_return/outage.rs
@@ -25,13 +25,13 @@
 impl Outage {
     /// Begins now: the registry has ended. Some clients may have failed already, and have longer pauses then.
     pub fn begin(clients: &[Client]) -> Outage {
-        Outage { begun: Instant::now(), calls: clients.iter().map(Client::calls).collect() }
+        Outage { begun: Instant::now(), calls: clients.iter().map(Client::call_count).collect() }
     }
 
     /// Waits until it has lasted for some seconds, and each client has failed so often that its pauses are the longest.
     pub async fn has_lasted(&self, clients: &[Client]) {
         within_deadline(async {
-            let often = |(client, before): (&Client, &u64)| client.calls() >= before + CALLS;
+            let often = |(client, before): (&Client, &u64)| client.call_count() >= before + CALLS;
             while self.begun.elapsed() < LASTS || !clients.iter().zip(&self.calls).all(often) {
                 sleep(LOOK).await;
             }
@@ -45,7 +45,7 @@
             most_in(FIRST_PAUSE, self.begun.elapsed()) + most_in(FIRST_HEDGE, self.begun.elapsed());
         for (client, before) in clients.iter().zip(&self.calls) {
             // One may be about to go out, and one just beside it.
-            let made = client.calls() - before;
+            let made = client.call_count() - before;
             assert!(made <= 2 + most, "{made} calls in {:?}, at most {most}", self.begun.elapsed());
         }
     }
@@ -71,13 +71,13 @@
 
 impl Look {
     fn now(clients: &[Client], names: &[&str]) -> Look {
-        let away = clients.iter().map(|client| !client.has(names)).collect();
-        Look { at: Instant::now(), calls: clients.iter().map(Client::calls).collect(), away }
+        let away = clients.iter().map(|client| !client.has_backends(names)).collect();
+        Look { at: Instant::now(), calls: clients.iter().map(Client::call_count).collect(), away }
     }
 
     /// How many of those that were away then have called since.
     fn called_since(&self, clients: &[Client]) -> usize {
-        let called = |n: &usize| self.away[*n] && clients[*n].calls() > self.calls[*n];
+        let called = |n: &usize| self.away[*n] && clients[*n].call_count() > self.calls[*n];
         (0..clients.len()).filter(called).count()
     }
 }
--- a/tests/registry_return/storm.rs
+++ b/tests/registry_return/storm.rs
@@ -25,7 +25,7 @@
     let clients = clients(CLIENTS, relay.address);
     let proxies = [proxy(relay.address).await, proxy(relay.address).await];
     all_hold(&clients, &["a"]).await;
-    let whole = relay.calls().0;
+    let whole = relay.full_list_calls();
     assert_eq!(whole, clients.len() + proxies.len(), "one whole list each");
 
     registry.kill().await;
@@ -38,11 +38,11 @@
 
     let registry = Registry::start(&data, &[]).await;
     registry.put(TTL, vec![b.endpoint_entry("SERVING")]).await;
-    relay.lead_to(registry.address);
+    relay.set_target(registry.address);
     returns_spread(&clients, &["a", "b"]).await;
     for proxy in &proxies {
         within_deadline(async { while proxy.call("look").await != (200, "b".into()) {} }).await;
     }
-    assert_eq!(relay.calls().0, whole, "everybody went on from the version that it held");
-    assert!(clients.iter().all(|client| client.whole_lists() == 1 && !client.went_back()));
+    assert_eq!(relay.full_list_calls(), whole, "everybody went on from the version that it held");
+    assert!(clients.iter().all(|client| client.full_list_count() == 1 && !client.version_went_back()));
 }
--- a/tests/reloads.rs
+++ b/tests/reloads.rs
@@ -4,7 +4,7 @@
 mod rig;
 mod waits;
 
-use agent_rig::{Agent, Say};
+use agent_rig::{Agent, CallAction};
 use rig::{BackendControl, ProxyProcess, TestBackend, refusing_address, settings, within_deadline};
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -31,8 +31,8 @@
         Agent::start(vec![a.endpoint_entry("SERVING")]).await,
         Agent::start(vec![b.endpoint_entry("SERVING")]).await,
     );
-    let proxy = ProxyProcess::start_with_command(&old.config(formed(form)), "exec \"$0\"").await;
-    old.held().await;
+    let proxy = ProxyProcess::start_with_command(&old.proxy_config(formed(form)), "exec \"$0\"").await;
+    old.wait_until_list_held().await;
     Moving { a, b, old, new, proxy }
 }
 
@@ -47,16 +47,16 @@
     /// Sends SIGHUP; the new list is held in time, whatever the old address says from now on, and that is left.
     async fn moves(&mut self, late: Option<Arc<Notify>>) {
         let signalled = Instant::now();
-        let text = self.new.config(Value::Null).to_string();
+        let text = self.new.proxy_config(Value::Null).to_string();
         self.proxy.reload(&text, "reloaded").await;
-        self.new.held().await;
+        self.new.wait_until_list_held().await;
         assert!(signalled.elapsed() < TOLD, "held only after {:?}", signalled.elapsed());
-        self.old.change(vec![self.a.endpoint_entry("SERVING"), self.b.endpoint_entry("DRAINING")]);
+        self.old.set_list(vec![self.a.endpoint_entry("SERVING"), self.b.endpoint_entry("DRAINING")]);
         if let Some(late) = late {
             late.notify_one();
         }
         within_deadline(async {
-            while self.old.open() > 0 {
+            while self.old.open_connections() > 0 {
                 tokio::task::yield_now().await;
             }
         })
@@ -68,7 +68,7 @@
             assert_eq!(self.proxy.call("look").await, (200, "b".into()));
         }
         // The new one is asked on and on, the old one never.
-        self.new.called(self.new.calls().len() + 2).await;
+        self.new.wait_for_calls(self.new.calls().len() + 2).await;
         assert_eq!(self.old.calls().len(), said, "the old address is asked");
         assert_eq!(self.proxy.call("look").await, (200, "b".into()));
     }
@@ -81,8 +81,8 @@
 ) {
     let mut s = moving(form).await;
     let (before, late) = (s.old.calls().len(), Arc::new(Notify::new()));
-    s.old.give([Say::Late(late.clone())]);
-    s.old.called(before + 1).await;
+    s.old.enqueue([CallAction::AnswerAfter(late.clone())]);
+    s.old.wait_for_calls(before + 1).await;
     s.moves(Some(late)).await;
 }
 
@@ -92,8 +92,8 @@
 async fn a_reload_during_a_pause_asks_the_new_address(#[values("automatic", "subscribe")] form: &str) {
     let mut s = moving(form).await;
     let before = s.old.calls().len();
-    s.old.give(vec![Say::Reset; 100]);
-    s.old.called(before + 4).await;
+    s.old.enqueue(vec![CallAction::Reset; 100]);
+    s.old.wait_for_calls(before + 4).await;
     s.moves(None).await;
 }
 
@@ -101,8 +101,8 @@
 #[tokio::test]
 async fn a_reload_during_an_outage_asks_the_new_address(#[values("automatic", "subscribe")] form: &str) {
     let mut s = moving(form).await;
-    s.old.turn();
-    s.old.called(s.old.calls().len() + 2).await;
+    s.old.toggle_outage();
+    s.old.wait_for_calls(s.old.calls().len() + 2).await;
     s.moves(None).await;
 }
 
@@ -110,7 +110,7 @@
 #[tokio::test]
 async fn a_file_that_cannot_be_read_leaves_all_as_it_is_and_the_next_is_heard() {
     let mut s = moving("automatic").await;
-    let whole = s.new.config(settings()).to_string();
+    let whole = s.new.proxy_config(settings()).to_string();
     let many = json!({"discovery": vec!["127.0.0.1:1"; 17]}).to_string();
     for text in [
         "",
@@ -133,24 +133,24 @@
     let mut s = moving("automatic").await;
     let between = Agent::start(vec![s.a.endpoint_entry("SERVING")]).await;
     for _ in 0..5 {
-        s.proxy.replace_config(&between.config(Value::Null).to_string());
+        s.proxy.replace_config(&between.proxy_config(Value::Null).to_string());
         s.proxy.send_signal("-HUP");
-        s.proxy.replace_config(&s.new.config(Value::Null).to_string());
+        s.proxy.replace_config(&s.new.proxy_config(Value::Null).to_string());
         s.proxy.send_signal("-HUP");
     }
     s.moves_on().await;
-    assert_eq!(between.open(), 0, "it is left");
+    assert_eq!(between.open_connections(), 0, "it is left");
 }
 
 impl Moving {
     async fn moves_on(&mut self) {
-        self.new.held().await;
+        self.new.wait_until_list_held().await;
         // The same file once more is no news, and nothing is disturbed by it.
         self.proxy.send_signal("-HUP");
-        self.new.called(self.new.calls().len() + 2).await;
+        self.new.wait_for_calls(self.new.calls().len() + 2).await;
         assert_eq!(self.proxy.call("look").await, (200, "b".into()));
         within_deadline(async {
-            while self.old.open() > 0 {
+            while self.old.open_connections() > 0 {
                 tokio::task::yield_now().await;
             }
         })
@@ -166,8 +166,9 @@
     s.proxy.reload(&json!({"discovery": there.to_string()}).to_string(), "reloaded").await;
     s.proxy.wait_for_log("Connection refused").await;
     let up = Instant::now();
-    let late = Agent::on(place.listen(64).expect("it listens"), vec![s.b.endpoint_entry("SERVING")]);
-    timeout(Duration::from_millis(550), late.held()).await.expect("asked within the grace");
+    let late =
+        Agent::from_listener(place.listen(64).expect("it listens"), vec![s.b.endpoint_entry("SERVING")]);
+    timeout(Duration::from_millis(550), late.wait_until_list_held()).await.expect("asked within the grace");
     assert!(up.elapsed() < TOLD);
     assert_eq!(s.proxy.call("look").await, (200, "b".into()));
 }
--- a/tests/routes_proxy.rs
+++ b/tests/routes_proxy.rs
@@ -150,7 +150,7 @@
     let relay = Relay::start(tables.address).await;
     let scene = watching(relay.address).await;
     until(&scene.proxy, |page| page["revision"] == 3).await;
-    relay.lead_to(closed().await);
+    relay.set_target(closed().await);
     until(&scene.proxy, |page| page["error"].is_string()).await;
     tables.give(table(4, &[("b", 0.25)]));
     let held = until(&scene.proxy, |page| page["reports"]["lost"].as_u64() >= Some(3)).await;
@@ -158,7 +158,7 @@
     assert!(held["error"].is_string() && held["reports"]["error"].is_string());
     assert_eq!(scene.proxy.call("look").await.0, 200);
     let last = tables.reports().len();
-    relay.lead_to(tables.address);
+    relay.set_target(tables.address);
     until(&scene.proxy, |page| page["revision"] == 4 && page["error"].is_null()).await;
     let report = tables.report(|r| r["revision"] == 4).await;
     assert!(report["number"].as_u64() > Some(last as u64 + 1), "the lost ones are missing: {report}");
--- a/tests/spread.rs
+++ b/tests/spread.rs
@@ -141,7 +141,7 @@
     let relay = Relay::start(NOWHERE.parse().expect("an address")).await;
     let scene = FleetFixture::start("spread-split", MembershipMode::Relayed, |n, config, registry| {
         if n >= half {
-            relay.lead_to(registry);
+            relay.set_target(registry);
             config["discovery"] = relay.address.to_string().into();
         }
     })
@@ -152,13 +152,13 @@
         links.cut(a, b);
         links.cut(b, a);
     }
-    relay.lead_to(NOWHERE.parse().expect("an address"));
+    relay.set_target(NOWHERE.parse().expect("an address"));
     wait_for_members(&scene.fleet, half).await;
     scene.assert_no_herd("while the fleet splits");
     for (when, heals) in [("split", false), ("healed", true)] {
         if heals {
             links.heal();
-            relay.lead_to(scene.registry.address);
+            relay.set_target(scene.registry.address);
             wait_for_members(&scene.fleet, PROXIES).await;
         }
         scene.reset_counts();
@@ -178,11 +178,11 @@
     let load = scene.start_load(0..PROXIES, PER_S, 0);
     seconds(2).await;
     let links = scene.links.as_ref().expect("relayed");
-    links.lose(1.0);
+    links.set_loss(1.0);
     scene.registry.send_signal("STOP");
     seconds(10).await;
     scene.assert_no_herd("in silence");
-    links.lose(0.0);
+    links.set_loss(0.0);
     scene.registry.send_signal("CONT");
     // All that has changed in the meantime, in one answer to each of the proxies.
     let mut lines = Vec::new();
--- a/tests/standing.rs
+++ b/tests/standing.rs
@@ -116,7 +116,7 @@
         .and_then(|a| a.parse().ok())
         .expect("set");
     let nobody = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    relay.lead_to(nobody.local_addr().expect("bound"));
+    relay.set_target(nobody.local_addr().expect("bound"));
     // The pauses have grown to their longest after 3 s.
     let (begun, mut last, mut longest) = (Instant::now(), Instant::now(), Duration::ZERO);
     while begun.elapsed() < Duration::from_secs(5) {
@@ -127,7 +127,7 @@
     assert!(longest < GRACE, "it was not asked for {longest:?}");
     let news = s.discovery.publish(vec![s.a.endpoint_entry("DRAINING"), s.b.endpoint_entry("SERVING")]);
     let back = Instant::now();
-    relay.lead_to(there);
+    relay.set_target(there);
     news.await;
     assert!(back.elapsed() < GRACE, "known only {:?} after the agent was back", back.elapsed());
 }
--- a/tests/unit/client/discovery/poll.rs
+++ b/tests/unit/client/discovery/poll.rs
@@ -1,10 +1,10 @@
-//! Unit tests of `src/client/discovery/poll.rs`, which names this file.
+//! Unit tests of `src/client/discovery/poll.rs`, which includes this file as a module.
 
 use super::*;
 
 #[test]
-fn a_service_stands_behind_the_paths_that_are_as_before_without_one() {
-    let service: ServiceName = "search.eu".parse().expect("a name");
+fn the_service_is_appended_to_paths_that_are_unchanged_without_one() {
+    let service: ServiceName = "search.eu".parse().expect("the service name is valid");
     let second = Duration::from_secs(1);
     assert_eq!(path(None, Duration::ZERO, None), "/registry/instances");
     assert_eq!(path(Some(7), second, None), "/registry/instances?after=7&wait_ms=1000");
--- a/tests/unit/client/discovery/watch_state.rs
+++ b/tests/unit/client/discovery/watch_state.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `src/client/discovery/watch_state.rs`, which names this file.
+//! Unit tests of `src/client/discovery/watch_state.rs`, which includes this file as a module.
 
 use super::*;
 
@@ -11,19 +11,19 @@
 }
 
 #[test]
-fn a_version_is_used_only_where_it_came_from_and_never_across_histories() {
+fn a_version_is_resumed_only_at_the_registry_that_sent_it_and_within_its_history() {
     let backoff = BackoffBounds { min: Duration::from_millis(33), max: Duration::from_millis(133) };
     let mut state = WatchState::new(addresses(), backoff);
-    assert!(state.accept(&page(7, false)).is_err(), "changes to a list that is not held");
-    state.accept(&page(7, true)).expect("a whole list");
+    assert!(state.accept(&page(7, false)).is_err(), "an update to a list that is not held");
+    state.accept(&page(7, true)).expect("a full list is accepted");
     assert_eq!(state.resume_version(), Some(7));
-    assert!(state.accept(&page(6, false)).is_err(), "changes of another history");
-    assert_eq!(state.resume_version(), None, "the whole list is asked for next");
-    state.accept(&page(6, true)).expect("the other history's whole list");
-    state.accept(&page(5, true)).expect("one more history, told at once as a whole");
+    assert!(state.accept(&page(6, false)).is_err(), "an update of another history");
+    assert_eq!(state.resume_version(), None, "the full list is polled next");
+    state.accept(&page(6, true)).expect("a full list of the other history is accepted");
+    state.accept(&page(5, true)).expect("a full list at a lower version is accepted");
     assert_eq!(state.resume_version(), Some(5));
     state.record_failure(&CallError::TimedOut);
-    assert_eq!(state.resume_version(), None, "at another registry the version means nothing");
+    assert_eq!(state.resume_version(), None, "the version is not valid at another registry");
     state.record_failure(&CallError::TimedOut);
-    assert_eq!(state.resume_version(), Some(5), "back where it came from it does");
+    assert_eq!(state.resume_version(), Some(5), "the version is valid at the registry that sent it");
 }
--- a/tests/unit/client/route_table/table.rs
+++ b/tests/unit/client/route_table/table.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `src/client/route_table/table.rs`, which names this file.
+//! Unit tests of `src/client/route_table/table.rs`, which includes this file as a module.
 
 use super::*;
 
@@ -9,32 +9,32 @@
 }
 
 #[test]
-fn a_table_is_taken_once_and_never_one_that_is_spoilt_or_goes_back() {
+fn a_table_is_new_only_once_and_invalid_or_older_ones_are_rejected() {
     let mut current = CurrentTable::default();
     let first = response(3, &[("s1", 0.5)]);
     assert_eq!(first.is_new(&current), Ok(true));
     current.set(&first);
-    assert_eq!(first.is_new(&current), Ok(false), "it is held");
+    assert_eq!(first.is_new(&current), Ok(false), "the table is already in force");
     assert_eq!(response(2, &[]).is_new(&current), Err(TableError::Behind { revision: 2, current: 3 }));
     assert_eq!(response(3, &[("s1", 0.6)]).is_new(&current), Err(TableError::Conflict { current: 3 }));
     assert!(matches!(response(4, &[("s1", -1.0)]).is_new(&current), Err(TableError::Weight { .. })));
     assert!(matches!(response(4, &[("s1", f64::INFINITY)]).is_new(&current), Err(TableError::Weight { .. })));
-    let torn = TableResponse { digest: "00".repeat(8), ..response(4, &[("s1", 0.6)]) };
-    assert!(matches!(torn.is_new(&current), Err(TableError::Digest { revision: 4, .. })));
-    let many: Vec<String> = (0..=MAX_WEIGHTS).map(|n| format!("s{n}")).collect();
-    let many: Vec<(&str, f64)> = many.iter().map(|name| (name.as_str(), 1.0)).collect();
-    assert!(matches!(response(4, &many).is_new(&current), Err(TableError::Size { .. })));
+    let wrong_digest = TableResponse { digest: "00".repeat(8), ..response(4, &[("s1", 0.6)]) };
+    assert!(matches!(wrong_digest.is_new(&current), Err(TableError::Digest { revision: 4, .. })));
+    let names: Vec<String> = (0..=MAX_WEIGHTS).map(|n| format!("s{n}")).collect();
+    let too_many: Vec<(&str, f64)> = names.iter().map(|name| (name.as_str(), 1.0)).collect();
+    assert!(matches!(response(4, &too_many).is_new(&current), Err(TableError::Size { .. })));
     assert_eq!(response(4, &[("s1", 0.6)]).is_new(&current), Ok(true));
 }
 
 #[test]
-fn a_table_keeps_its_digest_on_the_way_whatever_its_weights() {
-    let mut chance = fastrand::Rng::with_seed(5);
+fn the_digest_is_unchanged_by_encoding_and_decoding_random_weights() {
+    let mut rng = fastrand::Rng::with_seed(5);
     for n in 0..10_000 {
-        let sent = response(n, &[("s1", chance.f64() * 10.0), ("s2", chance.f64())]);
+        let sent = response(n, &[("s1", rng.f64() * 10.0), ("s2", rng.f64())]);
         let text =
             serde_json::json!({"revision": n, "weights": sent.weights, "digest": sent.digest}).to_string();
-        let came: TableResponse = serde_json::from_str(&text).expect("JSON");
-        assert_eq!(came.is_new(&CurrentTable::default()), Ok(true), "{text}");
+        let received: TableResponse = serde_json::from_str(&text).expect("the table parses");
+        assert_eq!(received.is_new(&CurrentTable::default()), Ok(true), "{text}");
     }
 }
--- a/tests/unit/proxy/paused/returns.rs
+++ b/tests/unit/proxy/paused/returns.rs
@@ -18,17 +18,17 @@
         let orders = Arc::new(BackendControl::default());
         let (a, b) = (TestBackend::start("a", &orders).await, TestBackend::start("b", &orders).await);
         let agent = Agent::start(vec![a.endpoint_entry("SERVING"), b.endpoint_entry("SERVING")]).await;
-        let program = Program::start(&agent.config(settings())).await;
-        flowing(agent.held()).await;
+        let program = Program::start(&agent.proxy_config(settings())).await;
+        flowing(agent.wait_until_list_held()).await;
         for (drains, serves) in [(&a, &b), (&b, &a)].into_iter().cycle().take(8) {
-            agent.turn();
+            agent.toggle_outage();
             let before = agent.calls().len();
             // The third call of the outage has just begun: its time is before it.
-            flowing(agent.called(before + 3)).await;
-            agent.turn();
+            flowing(agent.wait_for_calls(before + 3)).await;
+            agent.toggle_outage();
             let back = Instant::now();
-            agent.change(vec![drains.endpoint_entry("DRAINING"), serves.endpoint_entry("SERVING")]);
-            flowing(agent.held()).await;
+            agent.set_list(vec![drains.endpoint_entry("DRAINING"), serves.endpoint_entry("SERVING")]);
+            flowing(agent.wait_until_list_held()).await;
             assert!(back.elapsed() < GRACE, "known only {:?} after the return", back.elapsed());
             assert_eq!(flowing(program.call("look")).await, (200, serves.name.into()));
         }
@@ -44,13 +44,16 @@
             let orders = Arc::new(BackendControl::default());
             let a = TestBackend::start("a", &orders).await;
             let (place, there) = refusing_address();
-            let mut config = Agent::start(Vec::new()).await.config(settings());
+            let mut config = Agent::start(Vec::new()).await.proxy_config(settings());
             config["discovery"] = there.to_string().into();
             let program = Program::start(&config).await;
             flowing(sleep(Duration::from_millis(outage_ms))).await;
             let back = Instant::now();
-            let agent = Agent::on(place.listen(64).expect("it listens"), vec![a.endpoint_entry("SERVING")]);
-            flowing(within_deadline(agent.held())).await;
+            let agent = Agent::from_listener(
+                place.listen(64).expect("it listens"),
+                vec![a.endpoint_entry("SERVING")],
+            );
+            flowing(within_deadline(agent.wait_until_list_held())).await;
             assert!(back.elapsed() < GRACE, "held only {:?} after the return", back.elapsed());
             assert_eq!(flowing(program.call("look")).await, (200, "a".into()));
         })
