--- a/tests/registry_return/empty_disk.rs
+++ b/tests/registry_return/empty_disk.rs
@@ -56,11 +56,11 @@
     check_all_serve(&proxies).await;
 
     let registry = Registry::start(&data_dir("disk-after"), &[]).await;
-    relay.lead_to(registry.address);
+    relay.set_target(registry.address);
     // The clients have no list guard: they apply the registry's empty list.
     wait_for_spread_return(&clients, &[]).await;
     assert!(
-        clients.iter().all(|client| client.whole_lists() == 2),
+        clients.iter().all(|client| client.full_list_count() == 2),
         "each client must read one more full list"
     );
     for proxy in &mut proxies {
@@ -73,7 +73,7 @@
 
     registry.put(TTL, vec![a.endpoint_entry("SERVING"), b.endpoint_entry("SERVING")]).await;
     wait_for_lists(&clients, &["a", "b"]).await;
-    assert!(clients.iter().all(|client| client.whole_lists() == 2 && !client.went_back()));
+    assert!(clients.iter().all(|client| client.full_list_count() == 2 && !client.version_went_back()));
     for proxy in &mut proxies {
         proxy.wait_for_log("the list is believed again, 2 backends").await;
     }
--- a/tests/registry_return/main.rs
+++ b/tests/registry_return/main.rs
@@ -51,6 +51,6 @@
 /// Waits until every client's list has exactly these backends.
 async fn wait_for_lists(clients: &[client_rig::Client], names: &[&str]) {
     for client in clients {
-        within_deadline(client.holds(names)).await;
+        within_deadline(client.wait_for_backends(names)).await;
     }
 }
--- a/tests/registry_return/outage.rs
+++ b/tests/registry_return/outage.rs
@@ -28,14 +28,14 @@
     /// Starts the measurement after the registry has ended. Calls of some clients may have failed before this, so that
     /// their backoff is longer.
     pub fn begin(clients: &[Client]) -> Outage {
-        Outage { start: Instant::now(), calls_before: clients.iter().map(Client::calls).collect() }
+        Outage { start: Instant::now(), calls_before: clients.iter().map(Client::call_count).collect() }
     }
 
     /// Waits until the outage has lasted for [`MIN_OUTAGE`] and each client has reached its maximum backoff.
     pub async fn wait_for_max_backoff(&self, clients: &[Client]) {
         within_deadline(async {
             let has_max_backoff =
-                |(client, before): (&Client, &u64)| client.calls() >= before + CALLS_TO_MAX_BACKOFF;
+                |(client, before): (&Client, &u64)| client.call_count() >= before + CALLS_TO_MAX_BACKOFF;
             while self.start.elapsed() < MIN_OUTAGE
                 || !clients.iter().zip(&self.calls_before).all(has_max_backoff)
             {
@@ -52,7 +52,7 @@
             + max_delays_in(MIN_HEDGE_DELAY, self.start.elapsed());
         for (client, before) in clients.iter().zip(&self.calls_before) {
             // Two more calls are allowed: one that was due at the start, and its hedged call.
-            let calls = client.calls() - before;
+            let calls = client.call_count() - before;
             assert!(
                 calls <= 2 + max_calls,
                 "{calls} calls in {:?}, at most 2 + {max_calls} are allowed",
@@ -85,13 +85,17 @@
 
 impl Sample {
     fn take(clients: &[Client], expected: &[&str]) -> Sample {
-        let is_outdated = clients.iter().map(|client| !client.has(expected)).collect();
-        Sample { taken_at: Instant::now(), calls: clients.iter().map(Client::calls).collect(), is_outdated }
+        let is_outdated = clients.iter().map(|client| !client.has_backends(expected)).collect();
+        Sample {
+            taken_at: Instant::now(),
+            calls: clients.iter().map(Client::call_count).collect(),
+            is_outdated,
+        }
     }
 
     /// Returns the number of clients that were outdated in this sample and have made a call since.
     fn called_since(&self, clients: &[Client]) -> usize {
-        let called = |n: &usize| self.is_outdated[*n] && clients[*n].calls() > self.calls[*n];
+        let called = |n: &usize| self.is_outdated[*n] && clients[*n].call_count() > self.calls[*n];
         (0..clients.len()).filter(called).count()
     }
 }
--- a/tests/registry_return/storm.rs
+++ b/tests/registry_return/storm.rs
@@ -25,7 +25,7 @@
     let clients = start_clients(CLIENTS, relay.address);
     let proxies = [start_proxy(relay.address).await, start_proxy(relay.address).await];
     wait_for_lists(&clients, &["a"]).await;
-    let full_lists = relay.calls().0;
+    let full_lists = relay.full_list_calls();
     assert_eq!(full_lists, clients.len() + proxies.len(), "each client and proxy must read one full list");
 
     registry.kill().await;
@@ -38,11 +38,11 @@
 
     let registry = Registry::start(&data, &[]).await;
     registry.put(TTL, vec![b.endpoint_entry("SERVING")]).await;
-    relay.lead_to(registry.address);
+    relay.set_target(registry.address);
     wait_for_spread_return(&clients, &["a", "b"]).await;
     for proxy in &proxies {
         within_deadline(async { while proxy.call("look").await != (200, "b".into()) {} }).await;
     }
-    assert_eq!(relay.calls().0, full_lists, "each client and proxy must resume from its version");
-    assert!(clients.iter().all(|client| client.whole_lists() == 1 && !client.went_back()));
+    assert_eq!(relay.full_list_calls(), full_lists, "each client and proxy must resume from its version");
+    assert!(clients.iter().all(|client| client.full_list_count() == 1 && !client.version_went_back()));
 }
--- a/tests/routes_proxy.rs
+++ b/tests/routes_proxy.rs
@@ -155,7 +155,7 @@
     let relay = Relay::start(registry.address).await;
     let scene = start_proxy(relay.address).await;
     wait_for_page(&scene.proxy, |page| page["revision"] == 3).await;
-    relay.lead_to(unused_address().await);
+    relay.set_target(unused_address().await);
     wait_for_page(&scene.proxy, |page| page["error"].is_string()).await;
     registry.serve(table_page(4, &[("b", 0.25)]));
     let state = wait_for_page(&scene.proxy, |page| page["reports"]["lost"].as_u64() >= Some(3)).await;
@@ -163,7 +163,7 @@
     assert!(state["error"].is_string() && state["reports"]["error"].is_string());
     assert_eq!(scene.proxy.call("look").await.0, 200);
     let last = registry.reports().len();
-    relay.lead_to(registry.address);
+    relay.set_target(registry.address);
     wait_for_page(&scene.proxy, |page| page["revision"] == 4 && page["error"].is_null()).await;
     let report = registry.wait_for_report(|r| r["revision"] == 4).await;
     assert!(
@@ -176,7 +176,7 @@
     );
     wait_for_page(&scene.proxy, |page| page["reports"]["error"].is_null()).await;
     let mut proxy = scene.proxy;
-    proxy.wait_for_log("reports are taken again").await;
+    proxy.wait_for_log("accepts reports again").await;
 }
 
 /// An address on which no process listens.
--- a/tests/unit/proxy/paused/returns.rs
+++ b/tests/unit/proxy/paused/returns.rs
@@ -20,17 +20,17 @@
         let control = Arc::new(BackendControl::default());
         let (a, b) = (TestBackend::start("a", &control).await, TestBackend::start("b", &control).await);
         let agent = Agent::start(vec![a.endpoint_entry("SERVING"), b.endpoint_entry("SERVING")]).await;
-        let proxy = InProcessProxy::start(&agent.config(settings())).await;
-        advance_until(agent.held()).await;
+        let proxy = InProcessProxy::start(&agent.proxy_config(settings())).await;
+        advance_until(agent.wait_until_list_held()).await;
         for (drains, serves) in [(&a, &b), (&b, &a)].into_iter().cycle().take(8) {
-            agent.turn();
+            agent.toggle_outage();
             let before = agent.calls().len();
             // The third call of the outage has just begun, so that its whole timeout is still ahead.
-            advance_until(agent.called(before + 3)).await;
-            agent.turn();
+            advance_until(agent.wait_for_calls(before + 3)).await;
+            agent.toggle_outage();
             let available_at = Instant::now();
-            agent.change(vec![drains.endpoint_entry("DRAINING"), serves.endpoint_entry("SERVING")]);
-            advance_until(agent.held()).await;
+            agent.set_list(vec![drains.endpoint_entry("DRAINING"), serves.endpoint_entry("SERVING")]);
+            advance_until(agent.wait_until_list_held()).await;
             assert!(
                 available_at.elapsed() < GRACE,
                 "list applied {:?} after the agent was available",
@@ -50,16 +50,16 @@
             let control = Arc::new(BackendControl::default());
             let a = TestBackend::start("a", &control).await;
             let (reserved, agent_addr) = refusing_address();
-            let mut config = Agent::start(Vec::new()).await.config(settings());
+            let mut config = Agent::start(Vec::new()).await.proxy_config(settings());
             config["discovery"] = agent_addr.to_string().into();
             let proxy = InProcessProxy::start(&config).await;
             advance_until(sleep(Duration::from_millis(outage_ms))).await;
             let available_at = Instant::now();
-            let agent = Agent::on(
+            let agent = Agent::from_listener(
                 reserved.listen(64).expect("listen on the reserved port"),
                 vec![a.endpoint_entry("SERVING")],
             );
-            advance_until(within_deadline(agent.held())).await;
+            advance_until(within_deadline(agent.wait_until_list_held())).await;
             assert!(
                 available_at.elapsed() < GRACE,
                 "watch began {:?} after the agent was available",
