--- a/benches/replay.rs
+++ b/benches/replay.rs
@@ -1,76 +1,88 @@
-//! The what-if replay's figures: `cargo bench --bench replay`, or with a number of proxies after `--`.
+//! Benchmark of the what-if replay: `cargo bench --bench replay`, with an optional number of proxies after `--`.
 //!
-//! 1. Requests replayed a second of one core, by proxies and requests; the whole verdict, model included.
-//! 2. Bytes of a recorded request, on the wire and on disk.
-//! 3. Predicted against measured after three proposals, on a fleet whose backends are queues before slots.
-//! 4. What the recorder takes of a request, beside a loop that records nothing.
+//! 1. Requests replayed per CPU second, by number of proxies and of requests, for a whole evaluation with its model fit.
+//! 2. Encoded bytes per recorded request, on the wire and on disk.
+//! 3. Errors of the predictions for three proposals, against a simulated fleet whose backends are queues in front of slots.
+//! 4. CPU time of the recorder per request, compared with a loop that records nothing.
 
 #[path = "../tests/replay_rig/mod.rs"]
 mod replay_rig;
 
 use load_balancer::interface::Arrival;
-use load_balancer::replay::{About, Ending, Job, Recorder, Reply, judge};
+use load_balancer::replay::{AttemptOutcome, Ending, Job, Recorder, RecorderConfig, judge};
 use replay_rig::{START, World, weights};
 use std::hint::black_box;
 
 const SEEDS: usize = 3;
-const FLEET_RATE: f64 = 600.0; // requests a second of all proxies
-const PASSES: u64 = 1_000_000;
+/// Requests per second of all proxies together.
+const FLEET_RATE: f64 = 600.0;
+/// Requests in each measurement of the recorder.
+const RECORDER_REQUESTS: u64 = 1_000_000;
 
 fn main() {
     println!("proxies requests/s-each recorded bytes/request verdict-s replayed/s-of-one-core");
-    let only: Option<usize> = std::env::args().find_map(|a| a.parse().ok());
-    for proxies in [10, 100, 300].into_iter().filter(|p| only.is_none_or(|o| o == *p)) {
-        for (busier, seconds) in [(1.0, 30.0), (1.0, 120.0), (5.0, 120.0)] {
-            replayed(proxies, busier * FLEET_RATE / proxies as f64, seconds);
+    let only_proxies: Option<usize> = std::env::args().find_map(|a| a.parse().ok());
+    for proxies in [10, 100, 300].into_iter().filter(|p| only_proxies.is_none_or(|only| only == *p)) {
+        for (load_factor, seconds) in [(1.0, 30.0), (1.0, 120.0), (5.0, 120.0)] {
+            bench_evaluation(proxies, load_factor * FLEET_RATE / proxies as f64, seconds);
         }
     }
-    if only.is_none() {
-        predicted();
+    if only_proxies.is_none() {
+        bench_prediction_errors();
     }
-    recorder();
+    bench_recorder();
 }
 
-/// Other arrivals, other luck: the fleet again, under the proposal.
-fn predicted() {
+/// Compares predictions with a run of the fleet under the proposal, with another seed.
+fn bench_prediction_errors() {
     println!("proposal: decision; error of the share (mean, most), p50 and p99, per cent");
     let world = World { rate: 90.0, slots: 6, seconds: 60.0, ..World::default() };
     let (segments, _) = world.run();
     for proposal in
         [&[("s1", 1.1), ("s2", 0.8)][..], &[("s0", 0.5), ("s1", 0.9)], &[("s3", 0.7), ("s4", 0.7)]]
     {
-        let verdict =
-            judge(&world.job(weights(proposal)), &segments, &|_| (), &|| false).expect("not cancelled");
-        let Some(said) = verdict.proposed else {
+        let verdict = judge(&world.job(weights(proposal)), &segments, &|_| (), &|| false)
+            .expect("the evaluation is not cancelled");
+        let Some(prediction) = verdict.proposed else {
             println!("{proposal:?}: {:?}", verdict.decision);
             continue;
         };
-        let (after, sent) = World { weights: weights(proposal), seed: 99, ..world.clone() }.run();
-        let all: u64 = sent.iter().sum();
-        let error = |said: f64, is: f64| 100.0 * (said - is).abs() / is;
+        let (after, calls) = World { weights: weights(proposal), seed: 99, ..world.clone() }.run();
+        let all: u64 = calls.iter().sum();
+        let error = |predicted: f64, measured: f64| 100.0 * (predicted - measured).abs() / measured;
         let shares: Vec<f64> = (0..world.backends)
-            .map(|b| error(said.backends[&format!("s{b}")].share.mean, sent[b] as f64 / all as f64))
+            .map(|b| error(prediction.backends[&format!("s{b}")].share.mean, calls[b] as f64 / all as f64))
             .collect();
-        let (mean, most) =
-            (shares.iter().sum::<f64>() / shares.len() as f64, shares.iter().fold(0.0, |a, b| b.max(a)));
-        let warm = START + 15_000.0;
-        let late = after.iter().flat_map(|s| &s.traces).filter(|t| t.class == 0 && t.at_ms > warm);
-        let mut took: Vec<f64> = late.map(|t| t.took_ms).collect();
-        took.sort_by(f64::total_cmp);
-        let [p50, p99] = [(0.5, said.classes["look"].p50_ms), (0.99, said.classes["look"].p99_ms)]
-            .map(|(u, range)| error(range.mean, took[(u * took.len() as f64) as usize]));
-        let decision = serde_json::to_value(&verdict.decision).expect("JSON")["decision"].to_string();
-        println!("{proposal:?}: {decision}; {mean:.1} {most:.1} {p50:.1} {p99:.1}");
+        let mean = shares.iter().sum::<f64>() / shares.len() as f64;
+        let max = shares.iter().fold(0.0, |a, b| b.max(a));
+        let warm_up_end = START + 15_000.0;
+        let measured = after.iter().flat_map(|s| &s.traces).filter(|t| t.class == 0 && t.at_ms > warm_up_end);
+        let mut latencies_ms: Vec<f64> = measured.map(|t| t.took_ms).collect();
+        latencies_ms.sort_by(f64::total_cmp);
+        let [p50, p99] =
+            [(0.5, prediction.classes["look"].p50_ms), (0.99, prediction.classes["look"].p99_ms)].map(
+                |(quantile, range)| {
+                    error(range.mean, latencies_ms[(quantile * latencies_ms.len() as f64) as usize])
+                },
+            );
+        let decision = serde_json::to_value(&verdict.decision).expect("a decision is valid JSON")["decision"]
+            .to_string();
+        println!("{proposal:?}: {decision}; {mean:.1} {max:.1} {p50:.1} {p99:.1}");
     }
 }
 
-/// Time that this thread has had a core, as the kernel counts it: other work on the machine takes nothing from it.
+/// CPU time of this thread as the kernel counts it, which does not depend on other work on the machine.
 fn cpu_seconds() -> f64 {
-    let text = std::fs::read_to_string("/proc/thread-self/schedstat").expect("a kernel that counts");
-    text.split(' ').next().and_then(|ns| ns.parse::<f64>().ok()).expect("nanoseconds") / 1e9
+    let text =
+        std::fs::read_to_string("/proc/thread-self/schedstat").expect("the kernel has scheduler statistics");
+    text.split(' ')
+        .next()
+        .and_then(|ns| ns.parse::<f64>().ok())
+        .expect("the first field is the CPU time in nanoseconds")
+        / 1e9
 }
 
-fn replayed(proxies: usize, rate: f64, seconds: f64) {
+fn bench_evaluation(proxies: usize, rate: f64, seconds: f64) {
     let (backends, slots) = (60, 16);
     let world = World { proxies, backends, slots, rate, seconds, ..World::default() };
     let (segments, _) = world.run();
@@ -78,7 +90,7 @@
     let bytes: usize = segments.iter().map(|s| s.encode().len()).sum();
     let job = Job { threads: 1, seeds: SEEDS, ..world.job(weights(&[("s1", 1.1)])) };
     let started = cpu_seconds();
-    let verdict = judge(&job, &segments, &|_| (), &|| false).expect("not cancelled");
+    let verdict = judge(&job, &segments, &|_| (), &|| false).expect("the evaluation is not cancelled");
     let took = cpu_seconds() - started;
     let tables = 1 + usize::from(verdict.proposed.is_some());
     println!(
@@ -88,42 +100,42 @@
     );
 }
 
-fn recorder() {
-    let about = |sampled| About {
+fn bench_recorder() {
+    let config = |sampled| RecorderConfig {
         name: "p".into(),
         generation: 1,
         zone: "a".into(),
         settings: String::new(),
         sampled,
-        traces: 50_000,
-        span_ms: 5000.0,
+        max_traces: 50_000,
+        max_span_ms: 5000.0,
     };
     let arrival =
         |request| Arrival { request, key: 0, class: 0, tenant: 0, deadline_ms: 0.0, body_pending: false };
     let id = |i: u64| (i.wrapping_mul(0x9e37_79b9_7f4a_7c15)).to_le_bytes();
-    let each = |label: &str, pass: &mut dyn FnMut(u64)| {
+    let measure = |label: &str, pass: &mut dyn FnMut(u64)| {
         let started = cpu_seconds();
-        (0..PASSES).for_each(pass);
-        let ns = (cpu_seconds() - started) * 1e9 / PASSES as f64;
+        (0..RECORDER_REQUESTS).for_each(pass);
+        let ns = (cpu_seconds() - started) * 1e9 / RECORDER_REQUESTS as f64;
         println!("{label}: {ns:.1} ns a request");
         ns
     };
-    let none = each("no recorder", &mut |i| {
+    let baseline_ns = measure("no recorder", &mut |i| {
         black_box((id(i), arrival(i)));
     });
     for sampled in [1, 655, 65_536] {
-        let mut recorder = Recorder::new(about(sampled), START);
-        recorder.list(START, 1, World::default().listed().into_iter().zip(0..).map(|(l, b)| (b, l)));
-        let with = each(&format!("{sampled} in 65,536 sampled"), &mut |i| {
+        let mut recorder = Recorder::new(config(sampled), START);
+        recorder.set_list(START, 1, World::default().listed().into_iter().zip(0..).map(|(l, b)| (b, l)));
+        let with_ns = measure(&format!("{sampled} in 65,536 sampled"), &mut |i| {
             let (id, arrival, now) = black_box((id(i), arrival(i), START + i as f64));
             if let Some(hash) = recorder.sampled(&id) {
-                recorder.arrived(now, hash, &arrival, 1000.0);
-                recorder.sent(now, i, (i % 8) as u32, 3);
-                recorder.ended(now + 50.0, i, Ending::Served);
-                recorder.closed(now + 50.0, i, 0, Reply::Ok);
+                recorder.request_arrived(now, hash, &arrival, 1000.0);
+                recorder.attempt_sent(now, i, (i % 8) as u32, 3);
+                recorder.request_ended(now + 50.0, i, Ending::Served);
+                recorder.attempt_ended(now + 50.0, i, 0, AttemptOutcome::Ok);
             }
-            black_box(recorder.cut(now));
+            black_box(recorder.cut_if_due(now));
         });
-        println!("  beside none: {:.1} ns more", with - none);
+        println!("  beside none: {:.1} ns more", with_ns - baseline_ns);
     }
 }
--- a/src/bin/proxy/recorder/mod.rs
+++ b/src/bin/proxy/recorder/mod.rs
@@ -1,4 +1,4 @@
-//! Hosts the library's recorder: gives it the clock, and sends its segments to a registry.
+//! Hosts the library's recorder: passes it the time and sends its segments to a registry.
 //!
 //! Acts where `record` is configured: at each sampled request, and on a timer that cuts segments. Owns the recorder and the
 //! segments that wait for a registry. No request waits for it: segments are encoded on a thread of their own, and the
@@ -12,7 +12,9 @@
 use load_balancer::client::route_table::Identity;
 use load_balancer::client::traffic::Traffic;
 use load_balancer::interface::{Arrival, AttemptNo, BackendId, Outcome, RequestId};
-use load_balancer::replay::{About, Ending, Listed, MAX_BACKENDS, Recorder, Reply, SAMPLED_OF, Segment};
+use load_balancer::replay::{
+    AttemptOutcome, Ending, Listed, MAX_BACKENDS, Recorder, RecorderConfig, SAMPLED_OF, Segment,
+};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -22,98 +24,107 @@
 use tokio::time::sleep;
 use tracing::warn;
 
-/// How often it is checked whether a segment is due.
+/// Interval between two checks whether a segment is due.
 const CUT_INTERVAL: Duration = Duration::from_millis(250);
-/// Most segments that wait for a registry. One more, and the oldest is dropped.
+/// Maximum number of segments that wait for a registry; a further one replaces the oldest.
 const MAX_WAITING: usize = 4;
 
-/// What became of the segments.
+/// Counts of the segments by what became of them.
 #[derive(Default, Clone, Copy)]
-struct Shipped {
+struct ShippingCounts {
+    /// Segments that a registry accepted.
     segments: u64,
+    /// Encoded size of the accepted segments.
     bytes: u64,
-    /// Dropped for want of a registry, or rejected there: gaps in the segments' numbers show it to their readers.
+    /// Segments dropped as no registry was reachable, or rejected by one. Gaps in the segments' numbers show them to the
+    /// evaluation.
     lost: u64,
 }
 
-/// The recorder, and the segments that wait for a registry.
+/// The recorder of this proxy and its segments that wait for a registry.
 pub struct Recording {
     recorder: RefCell<Recorder>,
     waiting: RefCell<VecDeque<Segment>>,
     ready: Notify,
-    shipped: Cell<Shipped>,
+    counts: Cell<ShippingCounts>,
     traffic: Traffic,
 }
 
 impl Recording {
-    /// Records from Unix time `now_ms` on; `text` are the settings in the platform's form.
-    pub fn new(settings: &Settings, who: &Identity, text: String, now_ms: f64, traffic: Traffic) -> Rc<Self> {
-        let about = About {
-            name: who.name().to_string(),
-            generation: who.generation(),
-            zone: who.zone.clone(),
-            settings: text,
+    /// Starts recording at Unix time `now_ms`; `platform_settings` are the proxy's settings in the platform's form.
+    pub fn new(
+        settings: &Settings,
+        identity: &Identity,
+        platform_settings: String,
+        now_ms: f64,
+        traffic: Traffic,
+    ) -> Rc<Self> {
+        let config = RecorderConfig {
+            name: identity.name().to_string(),
+            generation: identity.generation(),
+            zone: identity.zone.clone(),
+            settings: platform_settings,
             sampled: (settings.sampled * f64::from(SAMPLED_OF)).round() as u32,
-            traces: settings.traces,
-            span_ms: settings.segment_ms as f64,
+            max_traces: settings.traces,
+            max_span_ms: settings.segment_ms as f64,
         };
-        let recorder = RefCell::new(Recorder::new(about, now_ms));
+        let recorder = RefCell::new(Recorder::new(config, now_ms));
         Rc::new(Recording {
             recorder,
             waiting: RefCell::default(),
             ready: Notify::new(),
-            shipped: Cell::default(),
+            counts: Cell::default(),
             traffic,
         })
     }
 
-    /// A request was admitted.
+    /// Records an admitted request if it is sampled.
     pub fn request_arrived(&self, now_ms: f64, id: &[u8], arrival: &Arrival, client_timeout: Duration) {
         let recorder = &mut *self.recorder.borrow_mut();
         if let Some(hash) = recorder.sampled(id) {
-            recorder.arrived(now_ms, hash, arrival, client_timeout.as_secs_f64() * 1000.0);
+            recorder.request_arrived(now_ms, hash, arrival, client_timeout.as_secs_f64() * 1000.0);
         }
     }
 
-    /// An attempt starts while so many others are in flight to its backend.
+    /// Records the start of an attempt while `others` of this proxy's calls are in flight at its backend.
     pub fn attempt_sent(&self, now_ms: f64, request: RequestId, backend: BackendId, others: u32) {
-        self.recorder.borrow_mut().sent(now_ms, request, backend, others);
+        self.recorder.borrow_mut().attempt_sent(now_ms, request, backend, others);
     }
 
-    /// An attempt has ended.
+    /// Records the end of an attempt.
     pub fn attempt_ended(&self, now_ms: f64, request: RequestId, number: AttemptNo, outcome: Outcome) {
-        self.recorder.borrow_mut().closed(now_ms, request, number, recorded(outcome));
+        self.recorder.borrow_mut().attempt_ended(now_ms, request, number, recorded_outcome(outcome));
     }
 
-    /// A request has ended for its client.
+    /// Records the end of a request for its client.
     pub fn request_ended(&self, now_ms: f64, request: RequestId, ending: Ending) {
-        self.recorder.borrow_mut().ended(now_ms, request, ending);
+        self.recorder.borrow_mut().request_ended(now_ms, request, ending);
     }
 
-    /// A new table is in force.
+    /// Records that a route table came into force.
     pub fn table_applied(&self, now_ms: f64, revision: u64) {
-        let cut = self.recorder.borrow_mut().table(now_ms, revision);
+        let cut = self.recorder.borrow_mut().set_table(now_ms, revision);
         self.enqueue(cut);
     }
 
-    /// A new list is in use.
+    /// Records that an endpoint list came into use.
     pub fn list_applied(&self, now_ms: f64, version: u64, listed: impl Iterator<Item = (BackendId, Listed)>) {
         let recorder = &mut *self.recorder.borrow_mut();
-        let before = recorder.left_out();
-        let cut = recorder.list(now_ms, version, listed);
-        let left_out = recorder.left_out();
-        if left_out > 0 && before == 0 {
+        let omitted_before = recorder.omitted_backends();
+        let cut = recorder.set_list(now_ms, version, listed);
+        let omitted = recorder.omitted_backends();
+        if omitted > 0 && omitted_before == 0 {
             warn!(
-                "record: {left_out} backends are more than the {MAX_BACKENDS} of a segment, requests to them are counted \
+                "record: {omitted} backends are more than the {MAX_BACKENDS} of a segment, requests to them are counted \
                  as dropped; have this proxy's discovery list its own service only"
             );
         }
         self.enqueue(cut);
     }
 
-    /// What became of the segments, for operators.
+    /// Counts of the segments for the operators' page.
     pub fn page(&self) -> Value {
-        let Shipped { segments, bytes, lost } = self.shipped.get();
+        let ShippingCounts { segments, bytes, lost } = self.counts.get();
         json!({"segments": segments, "bytes": bytes, "lost": lost, "waiting": self.waiting.borrow().len()})
     }
 
@@ -122,39 +133,39 @@
         let waiting = &mut *self.waiting.borrow_mut();
         if waiting.len() >= MAX_WAITING {
             waiting.pop_front();
-            self.count(|s| s.lost += 1);
+            self.count(|counts| counts.lost += 1);
         }
         waiting.push_back(segment);
         self.ready.notify_one();
     }
 
-    fn count(&self, change: impl FnOnce(&mut Shipped)) {
-        let mut shipped = self.shipped.get();
-        change(&mut shipped);
-        self.shipped.set(shipped);
+    fn count(&self, change: impl FnOnce(&mut ShippingCounts)) {
+        let mut counts = self.counts.get();
+        change(&mut counts);
+        self.counts.set(counts);
     }
 
-    /// Cuts segments for as long as the process runs.
+    /// Checks periodically whether a segment is due and cuts it, as long as the process runs.
     pub async fn cut_segments(self: Rc<Self>, now: impl Fn() -> f64) {
         loop {
             sleep(CUT_INTERVAL).await;
-            let cut = self.recorder.borrow_mut().cut(now());
+            let cut = self.recorder.borrow_mut().cut_if_due(now());
             self.enqueue(cut);
         }
     }
 }
 
-/// An outcome as the recorder knows it.
-fn recorded(outcome: Outcome) -> Reply {
+/// The recorder's form of an outcome.
+fn recorded_outcome(outcome: Outcome) -> AttemptOutcome {
     match outcome {
-        Outcome::Ok => Reply::Ok,
-        Outcome::Error => Reply::Error,
-        Outcome::Malformed => Reply::Malformed,
-        Outcome::Rejected => Reply::Full,
-        Outcome::Timeout => Reply::Timeout,
-        Outcome::ConnectFailed => Reply::ConnectFailed,
-        Outcome::Reset => Reply::Reset,
-        Outcome::Cancelled => Reply::Cancelled,
-        Outcome::NotSent => Reply::Moot,
+        Outcome::Ok => AttemptOutcome::Ok,
+        Outcome::Error => AttemptOutcome::Error,
+        Outcome::Malformed => AttemptOutcome::Malformed,
+        Outcome::Rejected => AttemptOutcome::Rejected,
+        Outcome::Timeout => AttemptOutcome::Timeout,
+        Outcome::ConnectFailed => AttemptOutcome::ConnectFailed,
+        Outcome::Reset => AttemptOutcome::Reset,
+        Outcome::Cancelled => AttemptOutcome::Cancelled,
+        Outcome::NotSent => AttemptOutcome::NotSent,
     }
 }
--- a/src/bin/proxy/recorder/shipping.rs
+++ b/src/bin/proxy/recorder/shipping.rs
@@ -15,28 +15,28 @@
 use tokio::time::sleep;
 use tracing::{info, warn};
 
-/// Longest answer to a segment, bytes.
+/// Maximum length of a registry's answer to a segment, in bytes.
 const MAX_ANSWER_BYTES: usize = 64 << 10;
 
-/// The registry that segments go to.
+/// The registry that segments are sent to.
 struct Destination {
     registries: EndpointFailover,
     connection: Option<Connection>,
 }
 
 impl Recording {
-    /// Sends segments to a registry for as long as the process runs, also when the registries' addresses change.
+    /// Sends segments to a registry as long as the process runs, and reconnects when the registries' addresses change.
     pub async fn ship_segments(self: Rc<Self>, mut registries: watch::Receiver<Vec<SocketAddr>>) {
         loop {
             let addresses = registries.borrow_and_update().clone();
             tokio::select! {
-                () = self.ship_to(addresses) => return,
+                () = self.ship_to_registries(addresses) => return,
                 Ok(()) = registries.changed() => {}
             }
         }
     }
 
-    async fn ship_to(&self, addresses: Vec<SocketAddr>) {
+    async fn ship_to_registries(&self, addresses: Vec<SocketAddr>) {
         let registries = EndpointFailover::new("record", addresses, DEFAULT_BACKOFF);
         let mut destination = Destination { registries, connection: None };
         loop {
@@ -45,7 +45,7 @@
                 continue;
             };
             let number = segment.number;
-            // Off this thread: encoding takes milliseconds, and requests are served here.
+            // Encoding takes milliseconds, and this thread serves requests.
             let Ok(bytes) = spawn_blocking(move || segment.encode()).await.map(Bytes::from) else {
                 continue;
             };
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Sends a segment once; whether it is done with, accepted or lost.
+    /// Sends a segment once. Returns whether it is settled: accepted, rejected for good or dropped.
     async fn send_segment(&self, destination: &mut Destination, number: u64, bytes: &Bytes) -> bool {
         let Destination { registries, connection } = destination;
         let put = Call {
@@ -69,24 +69,24 @@
                 if registries.record_success() {
                     info!("record: {} takes segments, on from {number}", registries.address());
                 }
-                self.count(|shipped| {
-                    shipped.segments += 1;
-                    shipped.bytes += bytes.len() as u64;
+                self.count(|counts| {
+                    counts.segments += 1;
+                    counts.bytes += bytes.len() as u64;
                 });
                 true
             }
             Err(CallError::Status { status, why }) if is_final(status) => {
                 warn!("record: segment {number} lost: {} answered {status}{why}", registries.address());
-                self.count(|shipped| shipped.lost += 1);
+                self.count(|counts| counts.lost += 1);
                 true
             }
             Err(error) => {
                 *connection = None;
                 sleep(registries.record_failure(&error)).await;
-                // Guards against segments that pile up while no registry can be reached: newer ones are more useful.
+                // While no registry is reachable, drops this segment once the queue is full: newer ones are more useful.
                 let is_full = self.waiting.borrow().len() >= MAX_WAITING;
                 if is_full {
-                    self.count(|shipped| shipped.lost += 1);
+                    self.count(|counts| counts.lost += 1);
                 }
                 is_full
             }
@@ -94,7 +94,7 @@
     }
 }
 
-/// Whether a registry that answers so would answer the same again.
+/// Whether a registry would answer a retry with the same status.
 fn is_final(status: StatusCode) -> bool {
     status.is_client_error()
         && status != StatusCode::TOO_MANY_REQUESTS
--- a/src/bin/registry/http/route_table.rs
+++ b/src/bin/registry/http/route_table.rs
@@ -166,7 +166,9 @@
 
 fn segment_error_status(error: &SegmentError) -> StatusCode {
     match error {
-        SegmentError::Bad(BadSegment::TooLong { .. } | BadSegment::Swells) => StatusCode::PAYLOAD_TOO_LARGE,
+        SegmentError::Bad(BadSegment::TooLong { .. } | BadSegment::UnpackedTooLong) => {
+            StatusCode::PAYLOAD_TOO_LARGE
+        }
         SegmentError::Storage(_) => StatusCode::SERVICE_UNAVAILABLE,
         SegmentError::Bad(_) | SegmentError::Ahead(_) => StatusCode::BAD_REQUEST,
     }
--- a/src/bin/registry/route_table/trace_ring.rs
+++ b/src/bin/registry/route_table/trace_ring.rs
@@ -143,7 +143,7 @@
     fn count_bad(&self, bad: &BadSegment) {
         let counts = &mut self.index().counts;
         match bad {
-            BadSegment::Invalid { .. } | BadSegment::TooLong { .. } | BadSegment::Swells => {
+            BadSegment::Invalid { .. } | BadSegment::TooLong { .. } | BadSegment::UnpackedTooLong => {
                 counts.invalid += 1;
             }
             _ => counts.torn += 1,
--- a/src/replay/backtest.rs
+++ b/src/replay/backtest.rs
@@ -1,72 +1,110 @@
-//! The back-test: the table in force, replayed, must give back what was recorded.
+//! The back-test: a replay of the table in force must reproduce the recorded figures.
 
 use super::recorded_traffic::RecordedTraffic;
-use super::tally::Tally;
-use super::{Bounds, Unsure};
+use super::statistics::TrafficStatistics;
+use super::{Bounds, CannotTellReason};
 
-const CHANCE: f64 = 3.0; // standard deviations of a count that are chance
-const UNEVEN: f64 = 2.0; // variance of calls over that of independent picks
-const LEAST: usize = 100; // answers that a class's quantiles need
+/// Standard deviations of a number of calls that count as random variation.
+const CHANCE_Z_SCORE: f64 = 3.0;
+/// Variance of a backend's number of calls, relative to that of independent random picks.
+const CALL_DISPERSION: f64 = 2.0;
+/// Served requests without which the latency quantiles of a class are not compared.
+const MIN_SERVED_REQUESTS: usize = 100;
 
-/// By what part of each figure the replay missed the record.
-pub(super) struct Errors {
+/// Relative errors of the replay of the table in force, each 0 to 1.
+pub(super) struct RelativeErrors {
+    /// Errors of the shares of calls, by backend.
     pub shares: Vec<f64>,
+    /// Errors of the median latencies, by class.
     pub p50: Vec<f64>,
+    /// Errors of the 99th percentiles of latency, by class.
     pub p99: Vec<f64>,
-    /// Recorded calls.
-    pub calls: f64,
+    /// Number of recorded calls, not scaled up for the sampling.
+    pub recorded_calls: f64,
 }
 
-fn mean(runs: &[Tally], of: impl Fn(&Tally) -> f64) -> f64 {
-    runs.iter().map(of).sum::<f64>() / runs.len().max(1) as f64
+/// A recorded figure and its replay.
+struct Comparison {
+    figure: String,
+    recorded: f64,
+    replayed: f64,
+    /// Maximum difference between both.
+    allowed: f64,
 }
 
-impl Errors {
-    pub fn of(recorded: &Tally, runs: &[Tally]) -> Errors {
-        let off = |was: f64, now: f64| if was > 0.0 { ((now - was) / was).abs().min(1.0) } else { 0.0 };
-        let quantile = |u: f64| -> Vec<f64> {
-            let classes = recorded.classes.iter().enumerate();
-            classes.map(|(c, of)| off(of.at(u), mean(runs, |t| t.classes[c].at(u)))).collect()
+impl Comparison {
+    /// The difference as a multiple of the allowed one.
+    fn excess(&self) -> f64 {
+        (self.replayed - self.recorded).abs() / self.allowed.max(1e-9)
+    }
+}
+
+fn mean(runs: &[TrafficStatistics], figure: impl Fn(&TrafficStatistics) -> f64) -> f64 {
+    runs.iter().map(figure).sum::<f64>() / runs.len().max(1) as f64
+}
+
+fn relative_error(recorded: f64, replayed: f64) -> f64 {
+    if recorded > 0.0 { ((replayed - recorded) / recorded).abs().min(1.0) } else { 0.0 }
+}
+
+impl RelativeErrors {
+    pub fn of(recorded: &TrafficStatistics, runs: &[TrafficStatistics]) -> RelativeErrors {
+        let share_error =
+            |backend| relative_error(recorded.share(backend), mean(runs, |run| run.share(backend)));
+        let latency_errors = |quantile: f64| -> Vec<f64> {
+            let error = |class: usize| {
+                let replayed_ms = mean(runs, |run| run.classes[class].latency_ms(quantile));
+                relative_error(recorded.classes[class].latency_ms(quantile), replayed_ms)
+            };
+            (0..recorded.classes.len()).map(error).collect()
         };
-        Errors {
-            shares: (0..recorded.calls.len())
-                .map(|b| off(recorded.share(b), mean(runs, |t| t.share(b))))
-                .collect(),
-            p50: quantile(0.5),
-            p99: quantile(0.99),
-            calls: recorded.counted as f64,
+        RelativeErrors {
+            shares: (0..recorded.calls.len()).map(share_error).collect(),
+            p50: latency_errors(0.5),
+            p99: latency_errors(0.99),
+            recorded_calls: recorded.unscaled_calls as f64,
         }
     }
 }
 
-/// The figure that is furthest outside of its bound, if one is.
-pub(super) fn fails(
+/// Checks the replay of the table in force against the records. Returns the figure with the largest deviation relative
+/// to what is allowed, if any deviates by more.
+pub(super) fn failure(
     bounds: &Bounds,
-    r: &RecordedTraffic,
-    recorded: &Tally,
-    runs: &[Tally],
-) -> Option<Unsure> {
-    let mut figures = Vec::new();
-    for (b, listed) in r.backends.iter().enumerate() {
-        let (was, now) = (recorded.share(b), mean(runs, |t| t.share(b)));
-        let chance = CHANCE * (UNEVEN * was.max(now) / (recorded.counted as f64).max(1.0)).sqrt();
-        figures.push((format!("share of {}", listed.host), was, now, bounds.share * was + chance));
+    records: &RecordedTraffic,
+    recorded: &TrafficStatistics,
+    runs: &[TrafficStatistics],
+) -> Option<CannotTellReason> {
+    let mut comparisons = Vec::new();
+    for (index, backend) in records.backends.iter().enumerate() {
+        let recorded_share = recorded.share(index);
+        let replayed_share = mean(runs, |run| run.share(index));
+        let variance =
+            CALL_DISPERSION * recorded_share.max(replayed_share) / (recorded.unscaled_calls as f64).max(1.0);
+        comparisons.push(Comparison {
+            figure: format!("share of {}", backend.host),
+            recorded: recorded_share,
+            replayed: replayed_share,
+            allowed: bounds.share * recorded_share + CHANCE_Z_SCORE * variance.sqrt(),
+        });
     }
-    for (c, name) in r.classes.iter().enumerate() {
-        let of = &recorded.classes[c];
-        for (label, u, part) in [("p50", 0.5, bounds.p50), ("p99", 0.99, bounds.p99)] {
-            if of.served() >= LEAST {
-                let (was, now) = (of.at(u), mean(runs, |t| t.classes[c].at(u)));
-                figures.push((format!("{label} of {name}, ms"), was, now, part * was + of.chance(u)));
-            }
+    for (index, name) in records.classes.iter().enumerate() {
+        let class = &recorded.classes[index];
+        if class.served() < MIN_SERVED_REQUESTS {
+            continue;
+        }
+        for (label, quantile, bound) in [("p50", 0.5, bounds.p50), ("p99", 0.99, bounds.p99)] {
+            let recorded_ms = class.latency_ms(quantile);
+            comparisons.push(Comparison {
+                figure: format!("{label} of {name}, ms"),
+                recorded: recorded_ms,
+                replayed: mean(runs, |run| run.classes[index].latency_ms(quantile)),
+                allowed: bound * recorded_ms + class.latency_error_ms(quantile),
+            });
         }
     }
-    let over = |f: &(String, f64, f64, f64)| (f.2 - f.1).abs() / f.3.max(1e-9);
-    let worst = figures.into_iter().filter(|f| over(f) > 1.0).max_by(|a, b| over(a).total_cmp(&over(b)));
-    worst.map(|(figure, recorded, replayed, allowed)| Unsure::BackTest {
-        figure,
-        recorded,
-        replayed,
-        allowed,
-    })
+    let exceeded = comparisons.into_iter().filter(|comparison| comparison.excess() > 1.0);
+    let worst = exceeded.max_by(|a, b| a.excess().total_cmp(&b.excess()))?;
+    let Comparison { figure, recorded, replayed, allowed } = worst;
+    Some(CannotTellReason::BackTest { figure, recorded, replayed, allowed })
 }
--- a/src/replay/clock_offsets.rs
+++ b/src/replay/clock_offsets.rs
@@ -70,7 +70,7 @@
 /// By how much the clock of `inner` is behind that of `outer`. The attempt that held the inner request is taken to be
 /// the shortest one that is long enough.
 fn bounds(outer: &Trace, inner: &Trace) -> Option<OffsetBounds> {
-    let long_enough = outer.tries.iter().filter(|attempt| attempt.wait_ms >= inner.took_ms);
+    let long_enough = outer.attempts.iter().filter(|attempt| attempt.wait_ms >= inner.took_ms);
     let attempt = long_enough.min_by(|a, b| a.wait_ms.total_cmp(&b.wait_ms))?;
     let sent_ms = outer.at_ms + attempt.after_ms;
     Some(OffsetBounds {
--- a/src/replay/columns.rs
+++ b/src/replay/columns.rs
@@ -1,112 +1,147 @@
-//! A segment's traces by columns, since like beside like packs best. Times are in whole microseconds.
+//! The columnar layout of a segment: each column holds one field of all traces or attempts, as similar values next to
+//! each other compress best. Times are in whole microseconds.
 
-use super::{BadSegment, Ending, Reply, Segment, Trace, Try};
+use super::{AttemptOutcome, AttemptTrace, BadSegment, Ending, Segment, Trace};
 use serde::{Deserialize, Serialize};
 
-/// A segment without its traces, then these by columns.
+/// Maximum number of attempts of a trace; further ones are not encoded.
+const MAX_ATTEMPTS_OF_TRACE: usize = u8::MAX as usize;
+
+/// A segment without its traces, and the traces as columns. The order of the fields is the encoding.
 #[derive(Serialize, Deserialize)]
 pub(super) struct Columns {
-    head: Segment,
+    /// The segment without its traces.
+    #[serde(rename = "head")]
+    segment: Segment,
+    // One value for each trace.
     ids: Vec<[u8; 8]>,
-    gaps: Vec<i64>,
+    /// Time from the trace before.
+    #[serde(rename = "gaps")]
+    arrival_deltas: Vec<i64>,
     classes: Vec<u16>,
     tenants: Vec<u16>,
     keys: Vec<u64>,
-    patience: Vec<u64>,
+    #[serde(rename = "patience")]
+    client_timeouts: Vec<u64>,
     endings: Vec<Ending>,
-    took: Vec<u64>,
-    counts: Vec<u8>,
+    #[serde(rename = "took")]
+    durations: Vec<u64>,
+    #[serde(rename = "counts")]
+    attempt_counts: Vec<u8>,
+    // One value for each attempt.
     backends: Vec<u32>,
-    after: Vec<u64>,
+    /// Time from the arrival of the request to the send.
+    #[serde(rename = "after")]
+    send_delays: Vec<u64>,
     waits: Vec<u64>,
-    replies: Vec<Reply>,
+    #[serde(rename = "replies")]
+    outcomes: Vec<AttemptOutcome>,
     in_flight: Vec<u32>,
 }
 
-fn micros(ms: f64) -> u64 {
+fn to_micros(ms: f64) -> u64 {
     (ms * 1000.0).round() as u64
 }
 
-fn millis(us: u64) -> f64 {
+fn to_millis(us: u64) -> f64 {
     us as f64 / 1000.0
 }
 
-/// All but the traces.
-fn head(s: &Segment) -> Segment {
+/// Copies a segment without its traces.
+fn without_traces(segment: &Segment) -> Segment {
     Segment {
-        name: s.name.clone(),
-        zone: s.zone.clone(),
-        settings: s.settings.clone(),
-        backends: s.backends.clone(),
+        name: segment.name.clone(),
+        zone: segment.zone.clone(),
+        settings: segment.settings.clone(),
+        backends: segment.backends.clone(),
         traces: Vec::new(),
-        ..*s
+        ..*segment
     }
 }
 
 impl Columns {
-    pub fn of(s: &Segment) -> Columns {
-        let (mut last, t) = (0, &s.traces);
-        let tries = || t.iter().flat_map(|t| t.tries.iter().take(usize::from(u8::MAX)));
+    pub fn from_segment(segment: &Segment) -> Columns {
+        let traces = &segment.traces;
+        let mut last_arrival = 0;
+        let arrival_delta = |trace: &Trace| {
+            let arrival = to_micros(trace.at_ms) as i64;
+            arrival.wrapping_sub(std::mem::replace(&mut last_arrival, arrival))
+        };
+        let attempts = || traces.iter().flat_map(|trace| trace.attempts.iter().take(MAX_ATTEMPTS_OF_TRACE));
+        let attempt_count = |trace: &Trace| trace.attempts.len().min(MAX_ATTEMPTS_OF_TRACE) as u8;
         Columns {
-            head: Segment { traces: Vec::new(), ..head(s) },
-            ids: t.iter().map(|t| t.id.to_le_bytes()).collect(),
-            gaps: t
-                .iter()
-                .map(|t| {
-                    let at = micros(t.at_ms) as i64;
-                    at.wrapping_sub(std::mem::replace(&mut last, at))
-                })
-                .collect(),
-            classes: t.iter().map(|t| t.class).collect(),
-            tenants: t.iter().map(|t| t.tenant).collect(),
-            keys: t.iter().map(|t| t.key).collect(),
-            patience: t.iter().map(|t| micros(t.patience_ms)).collect(),
-            endings: t.iter().map(|t| t.ending).collect(),
-            took: t.iter().map(|t| micros(t.took_ms)).collect(),
-            counts: t.iter().map(|t| t.tries.len().min(usize::from(u8::MAX)) as u8).collect(),
-            backends: tries().map(|a| a.backend).collect(),
-            after: tries().map(|a| micros(a.after_ms)).collect(),
-            waits: tries().map(|a| micros(a.wait_ms)).collect(),
-            replies: tries().map(|a| a.reply).collect(),
-            in_flight: tries().map(|a| a.in_flight).collect(),
+            segment: without_traces(segment),
+            ids: traces.iter().map(|trace| trace.id.to_le_bytes()).collect(),
+            arrival_deltas: traces.iter().map(arrival_delta).collect(),
+            classes: traces.iter().map(|trace| trace.class).collect(),
+            tenants: traces.iter().map(|trace| trace.tenant).collect(),
+            keys: traces.iter().map(|trace| trace.key).collect(),
+            client_timeouts: traces.iter().map(|trace| to_micros(trace.client_timeout_ms)).collect(),
+            endings: traces.iter().map(|trace| trace.ending).collect(),
+            durations: traces.iter().map(|trace| to_micros(trace.took_ms)).collect(),
+            attempt_counts: traces.iter().map(attempt_count).collect(),
+            backends: attempts().map(|attempt| attempt.backend).collect(),
+            send_delays: attempts().map(|attempt| to_micros(attempt.after_ms)).collect(),
+            waits: attempts().map(|attempt| to_micros(attempt.wait_ms)).collect(),
+            outcomes: attempts().map(|attempt| attempt.outcome).collect(),
+            in_flight: attempts().map(|attempt| attempt.in_flight).collect(),
         }
     }
 
-    /// Back to rows.
-    pub fn rows(self) -> Result<Segment, BadSegment> {
-        let Columns { mut head, .. } = self;
-        let n = self.ids.len();
-        let tries: usize = self.counts.iter().map(|&c| usize::from(c)).sum();
-        let rows = [self.gaps.len(), self.classes.len(), self.tenants.len(), self.keys.len()];
-        let more = [self.patience.len(), self.endings.len(), self.took.len(), self.counts.len()];
-        let of_tries = [self.backends.len(), self.after.len(), self.waits.len(), self.replies.len()];
-        let same = rows.iter().chain(&more).all(|&len| len == n);
-        if !same || of_tries.iter().chain([&self.in_flight.len()]).any(|&len| len != tries) {
-            return Err(BadSegment::Garbled("columns of unequal length".into()));
+    /// Converts the columns back to a segment; fails if their lengths contradict each other.
+    pub fn into_segment(self) -> Result<Segment, BadSegment> {
+        if !self.has_consistent_lengths() {
+            return Err(BadSegment::Undecodable("columns of unequal length".into()));
         }
-        let (mut at, mut next) = (0_i64, 0..tries);
-        let row = |i: usize| {
-            at = at.wrapping_add(self.gaps[i]);
-            let attempt = |k: usize| Try {
-                backend: self.backends[k],
-                after_ms: millis(self.after[k]),
-                wait_ms: millis(self.waits[k]),
-                reply: self.replies[k],
-                in_flight: self.in_flight[k],
-            };
+        let Columns { mut segment, .. } = self;
+        let attempt_count: usize = self.attempt_counts.iter().map(|&count| usize::from(count)).sum();
+        let mut attempts = (0..attempt_count).map(|index| AttemptTrace {
+            backend: self.backends[index],
+            after_ms: to_millis(self.send_delays[index]),
+            wait_ms: to_millis(self.waits[index]),
+            outcome: self.outcomes[index],
+            in_flight: self.in_flight[index],
+        });
+        let mut arrival = 0_i64;
+        let trace = |index: usize| {
+            arrival = arrival.wrapping_add(self.arrival_deltas[index]);
             Trace {
-                id: u64::from_le_bytes(self.ids[i]),
-                at_ms: at as f64 / 1000.0,
-                class: self.classes[i],
-                tenant: self.tenants[i],
-                key: self.keys[i],
-                patience_ms: millis(self.patience[i]),
-                ending: self.endings[i],
-                took_ms: millis(self.took[i]),
-                tries: next.by_ref().take(usize::from(self.counts[i])).map(attempt).collect(),
+                id: u64::from_le_bytes(self.ids[index]),
+                at_ms: arrival as f64 / 1000.0,
+                class: self.classes[index],
+                tenant: self.tenants[index],
+                key: self.keys[index],
+                client_timeout_ms: to_millis(self.client_timeouts[index]),
+                ending: self.endings[index],
+                took_ms: to_millis(self.durations[index]),
+                attempts: attempts.by_ref().take(usize::from(self.attempt_counts[index])).collect(),
             }
         };
-        head.traces = (0..n).map(row).collect();
-        Ok(head)
+        segment.traces = (0..self.ids.len()).map(trace).collect();
+        Ok(segment)
+    }
+
+    /// Whether there is one value for each trace, or for each attempt, in every column.
+    fn has_consistent_lengths(&self) -> bool {
+        let attempt_count: usize = self.attempt_counts.iter().map(|&count| usize::from(count)).sum();
+        let of_traces = [
+            self.arrival_deltas.len(),
+            self.classes.len(),
+            self.tenants.len(),
+            self.keys.len(),
+            self.client_timeouts.len(),
+            self.endings.len(),
+            self.durations.len(),
+            self.attempt_counts.len(),
+        ];
+        let of_attempts = [
+            self.backends.len(),
+            self.send_delays.len(),
+            self.waits.len(),
+            self.outcomes.len(),
+            self.in_flight.len(),
+        ];
+        of_traces.iter().all(|&len| len == self.ids.len())
+            && of_attempts.iter().all(|&len| len == attempt_count)
     }
 }
--- a/src/replay/conditions.rs
+++ b/src/replay/conditions.rs
@@ -1,7 +1,7 @@
 //! Conditions of the backends: windows of time in which one was significantly slower, or failed significantly more
 //! often, than over the whole record. The simulation repeats them as they were, whatever the table.
 
-use super::Reply;
+use super::AttemptOutcome;
 use super::failure::FAILURES;
 use super::recorded_traffic::RecordedTraffic;
 
@@ -94,15 +94,17 @@
     let mut observations = vec![Observations::default(); records.backends.len() * windows];
     for (index, call) in records.calls.iter().enumerate() {
         // A call that timed out sooner than others of its class were answered may just have taken long.
-        if call.reply == Reply::Timeout && call.wait_ms < longest_answers_ms[usize::from(call.class)] {
+        if call.outcome == AttemptOutcome::Timeout
+            && call.wait_ms < longest_answers_ms[usize::from(call.class)]
+        {
             continue;
         }
         let place = call.backend as usize * windows + window(call.at_ms, windows);
         let observed = &mut observations[place];
-        if let Some(failure) = FAILURES.iter().position(|failure| *failure == call.reply) {
+        if let Some(failure) = FAILURES.iter().position(|failure| *failure == call.outcome) {
             observed.failures[failure] += 1.0;
             observed.calls += 1.0;
-        } else if call.reply == Reply::Ok {
+        } else if call.outcome == AttemptOutcome::Ok {
             let residual = residual(index);
             observed.answers += 1.0;
             observed.sum_of_residuals += residual;
@@ -116,7 +118,7 @@
 /// By class, the longest wait (ms) for an answer.
 fn longest_answers_ms(records: &RecordedTraffic) -> Vec<f64> {
     let mut longest = vec![0.0_f64; records.classes.len()];
-    for call in records.calls.iter().filter(|call| call.reply == Reply::Ok) {
+    for call in records.calls.iter().filter(|call| call.outcome == AttemptOutcome::Ok) {
         let of_class = &mut longest[usize::from(call.class)];
         *of_class = of_class.max(call.wait_ms);
     }
--- a/src/replay/evaluate.rs
+++ b/src/replay/evaluate.rs
@@ -8,13 +8,13 @@
 //! - the proposal brings a backend clearly more calls in flight than were ever observed there (`cannot_tell`);
 //! - none of these (`admit`).
 
-use super::backtest::{self, Errors};
+use super::backtest::{self, RelativeErrors};
 use super::model::Model;
 use super::predict::predict;
 use super::recorded_traffic::RecordedTraffic;
 use super::runs::Runs;
-use super::tally::Tally;
-use super::{Breach, ClassFigures, Decision, Job, Listed, Prediction, Segment, Unsure, Verdict};
+use super::statistics::TrafficStatistics;
+use super::{Breach, CannotTellReason, ClassFigures, Decision, Job, Listed, Prediction, Segment, Verdict};
 
 /// Share of the recorded time that is left out of all figures: the simulated proxies start without learned state.
 const WARM_UP_SHARE: f64 = 0.25;
@@ -48,17 +48,17 @@
         return None;
     }
     let model = Model::fit(&records);
-    let warm = (WARM_UP_SHARE * records.length_ms).min(MAX_WARM_UP_MS);
-    let runs = Runs { job, records: &records, model: &model, warm, progress, cancelled };
-    let in_force_runs = runs.all(&job.in_force, 0.0, PROGRESS_AFTER_IN_FORCE)?;
-    let recorded = Tally::recorded(&records, warm);
-    let errors = Errors::of(&recorded, &in_force_runs);
+    let warm_up_ms = (WARM_UP_SHARE * records.length_ms).min(MAX_WARM_UP_MS);
+    let runs = Runs { job, records: &records, model: &model, warm_up_ms, progress, cancelled };
+    let in_force_runs = runs.run(&job.in_force, 0.0, PROGRESS_AFTER_IN_FORCE)?;
+    let recorded = TrafficStatistics::of_records(&records, warm_up_ms);
+    let errors = RelativeErrors::of(&recorded, &in_force_runs);
     let in_force = predict(&records, &in_force_runs, &errors);
-    if let Some(reason) = backtest::fails(&job.bounds, &records, &recorded, &in_force_runs) {
+    if let Some(reason) = backtest::failure(&job.bounds, &records, &recorded, &in_force_runs) {
         return Some(verdict(job, &records, Decision::CannotTell(reason), Some(in_force), None));
     }
     let evaluation = Evaluation { runs: &runs, errors: &errors, in_force };
-    let proposal_runs = runs.all(&job.proposal, PROGRESS_AFTER_IN_FORCE, PROGRESS_AFTER_PROPOSAL)?;
+    let proposal_runs = runs.run(&job.proposal, PROGRESS_AFTER_IN_FORCE, PROGRESS_AFTER_PROPOSAL)?;
     let proposed = predict(&records, &proposal_runs, &errors);
     let decision = evaluation.decide(&proposed)?;
     progress(1.0);
@@ -84,17 +84,19 @@
 }
 
 /// Why the records do not suffice for a verdict, if they do not.
-fn insufficient_records(job: &Job, records: &RecordedTraffic) -> Option<Unsure> {
+fn insufficient_records(job: &Job, records: &RecordedTraffic) -> Option<CannotTellReason> {
     if !records.differing_backends.is_empty() {
-        return Some(Unsure::OtherList { differ: records.differing_backends.clone() });
+        return Some(CannotTellReason::ListMismatch {
+            differing_backends: records.differing_backends.clone(),
+        });
     }
     let needed = job.bounds.coverage;
     let covered = if records.requests.len() < MIN_REQUESTS { 0.0 } else { records.covered };
     if covered < needed || records.requests.is_empty() {
-        return Some(Unsure::Coverage { covered, needed });
+        return Some(CannotTellReason::Coverage { covered, needed });
     }
     if records.age_ms > job.bounds.age_ms {
-        return Some(Unsure::Old { age_ms: records.age_ms, most_ms: job.bounds.age_ms });
+        return Some(CannotTellReason::Stale { age_ms: records.age_ms, max_age_ms: job.bounds.age_ms });
     }
     None
 }
@@ -102,7 +104,7 @@
 /// Compares predictions for other tables with that for the table in force.
 struct Evaluation<'a> {
     runs: &'a Runs<'a>,
-    errors: &'a Errors,
+    errors: &'a RelativeErrors,
     /// Prediction for the table in force.
     in_force: Prediction,
 }
@@ -168,12 +170,16 @@
 
     /// A backend that would get more calls in flight than the replay can be relied on for. The allowance grows with
     /// the square root of the peak: small counts vary by chance.
-    fn extrapolated_backend(&self, proposed: &Prediction) -> Option<Unsure> {
+    fn extrapolated_backend(&self, proposed: &Prediction) -> Option<CannotTellReason> {
         self.runs.records.backends.iter().enumerate().find_map(|(index, backend)| {
             let predicted = proposed.backends.get(&backend.host)?.peak.mean;
-            let seen = self.observed_peak(index);
-            let allowed = self.runs.job.bounds.unseen * seen + seen.sqrt() + 1.0;
-            (predicted > allowed).then(|| Unsure::Unseen { backend: backend.host.clone(), predicted, seen })
+            let observed = self.observed_peak(index);
+            let allowed = self.runs.job.bounds.unseen * observed + observed.sqrt() + 1.0;
+            (predicted > allowed).then(|| CannotTellReason::Extrapolation {
+                backend: backend.host.clone(),
+                predicted,
+                observed,
+            })
         })
     }
 
@@ -193,8 +199,8 @@
         let mut rejected = 1.0;
         for step in 0..BISECTION_STEPS {
             let share = (admitted + rejected) / 2.0;
-            let weights = self.runs.job.step(share);
-            let runs = self.runs.all(&weights, progress(step), progress(step + 1))?;
+            let weights = self.runs.job.interpolate(share);
+            let runs = self.runs.run(&weights, progress(step), progress(step + 1))?;
             let proposed = predict(self.runs.records, &runs, self.errors);
             if self.worst_breach(&proposed).is_none() && self.extrapolated_backend(&proposed).is_none() {
                 admitted = share;
--- a/src/replay/failure.rs
+++ b/src/replay/failure.rs
@@ -1,7 +1,12 @@
-//! The ways in which a call fails that the replay tells apart.
+//! The outcomes of calls that count as failures.
 
-use super::Reply;
+use super::AttemptOutcome;
 
-/// Each of them once; figures by kind of failure are kept in this order.
-pub(super) const FAILURES: [Reply; 5] =
-    [Reply::Error, Reply::Full, Reply::ConnectFailed, Reply::Reset, Reply::Timeout];
+/// The kinds of failure that the model tells apart. Figures by kind of failure are in this order.
+pub(super) const FAILURES: [AttemptOutcome; 5] = [
+    AttemptOutcome::Error,
+    AttemptOutcome::Rejected,
+    AttemptOutcome::ConnectFailed,
+    AttemptOutcome::Reset,
+    AttemptOutcome::Timeout,
+];
--- a/src/replay/job.rs
+++ b/src/replay/job.rs
@@ -1,48 +1,48 @@
-//! What is asked of a verdict.
+//! The input of an evaluation: the tables, the endpoint list and the bounds.
 
 use super::Segment;
 use crate::route_table::{Revision, Weights};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A backend of the list in force.
+/// A backend of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listed {
-    /// Its name (`host` of the list).
+    /// Name of the backend (`host` in the list).
     pub host: String,
-    /// Its class of machine.
+    /// Machine class of the backend.
     pub class: String,
-    /// Its zone (`site` of the list).
+    /// Zone of the backend (`site` in the list).
     pub zone: String,
-    /// Its size beside the others' (`share` of the list).
+    /// Size of the backend relative to the others (`share` in the list).
     pub share: f64,
 }
 
-/// What a verdict must keep to.
+/// Bounds of an evaluation: what the records and the back-test must meet for a decision, and what a proposal may change.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
-    /// Share of the fleet's time in the window, less dropped traces, of which there must be records.
+    /// Minimum share of the fleet's time in the window, less dropped traces, that must have been recorded.
     pub coverage: f64,
-    /// Length of the records that are used, up to the newest, ms.
+    /// Length (ms) of the window of records that is used; it ends with the newest record.
     pub span_ms: f64,
-    /// Oldest that the newest record may be, ms.
+    /// Maximum age (ms) of the newest record.
     pub age_ms: f64,
-    /// Back-test: a backend's share may be off by this part of it, beside chance.
+    /// Back-test: maximum relative error of a backend's share of calls, besides chance.
     pub share: f64,
-    /// Back-test: a class's median may be off by this part of it.
+    /// Back-test: maximum relative error of a class's median latency, besides chance.
     pub p50: f64,
-    /// Back-test: a class's 99th percentile may be off by this part of it.
+    /// Back-test: maximum relative error of a class's 99th percentile of latency, besides chance.
     pub p99: f64,
-    /// A backend may get so many times the calls in flight that were seen there before the replay is extrapolation.
+    /// Multiple of the calls in flight observed at a backend above which a prediction counts as extrapolation.
     pub unseen: f64,
-    /// Calls in flight at a backend, over what it bears, that break the proposal.
+    /// Maximum peak of calls in flight at a backend, as a multiple of its capacity.
     pub peak: f64,
-    /// A class's 99th percentile may grow to so many times that under the table in force.
+    /// Maximum 99th percentile of a class's latency, as a multiple of that under the table in force.
     pub p99_growth: f64,
-    /// Share of a class's requests that may be refused beyond those under the table in force.
+    /// Maximum increase of the share of a class's requests that are refused, over the table in force.
     pub refused: f64,
-    /// The same for failed ones.
+    /// Maximum increase of the share of a class's requests that fail, over the table in force.
     pub failed: f64,
 }
 
@@ -64,61 +64,65 @@
     }
 }
 
-/// What is to be judged.
+/// A proposal to evaluate, with everything but the records that its evaluation depends on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Job {
     /// Revision of the table in force.
     pub from: Revision,
-    /// Its weights.
+    /// Weights of the table in force.
     pub in_force: Weights,
-    /// The weights proposed.
+    /// Weights of the proposed table.
     pub proposal: Weights,
-    /// Version of the list.
+    /// Version of the endpoint list.
     pub list_version: u64,
-    /// The backends of the list.
+    /// Backends of the endpoint list.
     pub listed: Vec<Listed>,
-    /// Proxies of the tier that should have recorded; 0 for as many as their settings say.
+    /// Number of proxies of the tier that should have recorded; 0 for the number in their settings.
     pub fleet: usize,
-    /// The tier, by its place in the settings: others' segments serve to set the clocks only. `None` where there is one.
+    /// Tier of the proxies, as in their settings. The segments of other tiers serve to align the clocks only. `None` where
+    /// there is only one tier.
     pub tier: Option<u32>,
-    /// Unix time in milliseconds.
+    /// Time of the evaluation, Unix time in milliseconds.
     pub now_ms: f64,
-    /// What the verdict must keep to.
+    /// Bounds that the records, the back-test and the proposal are checked against.
     pub bounds: Bounds,
-    /// The first seed; each replay takes the next one.
+    /// Seed of the first replay; each further replay takes the next one.
     pub seed: u64,
-    /// Replays of each table.
+    /// Number of replays of each table, each with its own seed.
     pub seeds: usize,
-    /// Threads that replay at once; the verdict is the same whatever their number.
+    /// Number of threads that replay in parallel. The verdict does not depend on it.
     pub threads: usize,
 }
 
-/// Names of backends that one of both lacks or has otherwise.
-pub(super) fn differ(segment: &Segment, listed: &BTreeMap<&str, &Listed>) -> BTreeSet<String> {
-    let same = |(host, class, zone, share): &&(String, String, String, f64)| {
+/// Names of the backends that the segment or the list lacks or that differ in class, zone or size.
+pub(super) fn differing_backends(segment: &Segment, listed: &BTreeMap<&str, &Listed>) -> BTreeSet<String> {
+    let is_listed = |(host, class, zone, share): &&(String, String, String, f64)| {
         listed.get(host.as_str()).is_some_and(|l| (&l.class, &l.zone, l.share) == (class, zone, *share))
     };
-    let ours: BTreeSet<&str> = segment.backends.iter().map(|b| b.0.as_str()).collect();
-    let strange = segment.backends.iter().filter(|b| !same(b)).map(|b| b.0.clone());
-    strange.chain(listed.keys().filter(|h| !ours.contains(**h)).map(|h| h.to_string())).collect()
+    let recorded: BTreeSet<&str> = segment.backends.iter().map(|b| b.0.as_str()).collect();
+    let unlisted = segment.backends.iter().filter(|b| !is_listed(b)).map(|b| b.0.clone());
+    unlisted.chain(listed.keys().filter(|h| !recorded.contains(**h)).map(|h| h.to_string())).collect()
 }
 
 impl Job {
+    /// Backends of the endpoint list by name.
     pub(super) fn by_name(&self) -> BTreeMap<&str, &Listed> {
         self.listed.iter().map(|l| (l.host.as_str(), l)).collect()
     }
 
-    /// The weights so far on the way from the table in force to the proposal, 0 to 1.
-    pub fn step(&self, part: f64) -> Weights {
-        let between = |from: &BTreeMap<String, f64>, to: &BTreeMap<String, f64>| {
-            let of = |map: &BTreeMap<String, f64>, key: &String| map.get(key).copied().unwrap_or(1.0);
-            let weight = |key: &String| (key.clone(), of(from, key) * (1.0 - part) + of(to, key) * part);
+    /// Interpolates linearly between the weights of the table in force (share 0) and of the proposal (share 1).
+    pub fn interpolate(&self, share: f64) -> Weights {
+        let interpolated = |from: &BTreeMap<String, f64>, to: &BTreeMap<String, f64>| {
+            let weight_in = |map: &BTreeMap<String, f64>, key: &String| map.get(key).copied().unwrap_or(1.0);
+            let weight = |key: &String| {
+                (key.clone(), weight_in(from, key) * (1.0 - share) + weight_in(to, key) * share)
+            };
             from.keys().chain(to.keys()).map(weight).collect()
         };
         Weights {
-            backends: between(&self.in_force.backends, &self.proposal.backends),
-            classes: between(&self.in_force.classes, &self.proposal.classes),
-            zones: between(&self.in_force.zones, &self.proposal.zones),
+            backends: interpolated(&self.in_force.backends, &self.proposal.backends),
+            classes: interpolated(&self.in_force.classes, &self.proposal.classes),
+            zones: interpolated(&self.in_force.zones, &self.proposal.zones),
         }
     }
 }
--- a/src/replay/mod.rs
+++ b/src/replay/mod.rs
@@ -1,5 +1,7 @@
-//! What-if replay: what the proxies recorded, played again through the decision module under a proposed route table.
-//! No I/O, no clock, no socket. The registry hosts it; `docs/replay.md` is for on-call staff.
+//! What-if replay: simulates recorded traffic with the decision module under a proposed route table and predicts the
+//! effect of the proposal.
+//!
+//! It does no I/O and reads no clock. The registry hosts it; `docs/replay.md` describes it for on-call staff.
 
 mod backtest;
 mod calls_in_flight;
@@ -19,13 +21,15 @@
 mod runs;
 mod segment;
 mod simulation;
-mod tally;
+mod statistics;
 mod trace;
 mod verdict;
 
 pub use evaluate::judge;
 pub use job::{Bounds, Job, Listed};
-pub use recorder::{About, Recorder};
+pub use recorder::{Recorder, RecorderConfig};
 pub use segment::{BadSegment, MAX_BACKENDS, MAX_ENCODED, MAX_TRACES, SAMPLED_OF};
-pub use trace::{Ending, Peers, Reply, Segment, Trace, Try};
-pub use verdict::{BackendFigures, Breach, ClassFigures, Decision, Prediction, Range, Unsure, Verdict};
+pub use trace::{AttemptOutcome, AttemptTrace, Ending, Peers, Segment, Trace};
+pub use verdict::{
+    BackendFigures, Breach, CannotTellReason, ClassFigures, Decision, Prediction, Range, Verdict,
+};
--- a/src/replay/model/fit.rs
+++ b/src/replay/model/fit.rs
@@ -3,7 +3,7 @@
 
 use super::zone_latency::zone_latency_ms;
 use super::{ClassLatency, Model};
-use crate::replay::Reply;
+use crate::replay::AttemptOutcome;
 use crate::replay::calls_in_flight::calls_in_flight;
 use crate::replay::conditions::Conditions;
 use crate::replay::failure::FAILURES;
@@ -20,7 +20,7 @@
 
 /// Whether a call's latency was recorded to its end.
 pub(super) fn is_answered(call: &RecordedCall) -> bool {
-    matches!(call.reply, Reply::Ok | Reply::Malformed)
+    matches!(call.outcome, AttemptOutcome::Ok | AttemptOutcome::Malformed)
 }
 
 /// A sum and the number of its terms.
@@ -205,8 +205,8 @@
 }
 
 fn failed_after_ms(records: &RecordedTraffic) -> Vec<Quantiles> {
-    let waits = |failure: Reply| {
-        records.calls.iter().filter(move |call| call.reply == failure).map(|call| call.wait_ms)
+    let waits = |failure: AttemptOutcome| {
+        records.calls.iter().filter(move |call| call.outcome == failure).map(|call| call.wait_ms)
     };
     FAILURES.iter().map(|&failure| Quantiles::of(waits(failure).collect())).collect()
 }
--- a/src/replay/model/load.rs
+++ b/src/replay/model/load.rs
@@ -1,7 +1,7 @@
 //! Fits what depends on the load of a backend: its load curve, and the load from which it rejects calls.
 
 use super::fit::{Fit, Sum};
-use crate::replay::Reply;
+use crate::replay::AttemptOutcome;
 use crate::replay::load_curve::{LoadCurve, LoadSample};
 use crate::replay::quantiles::{Quantiles, median};
 use std::collections::BTreeMap;
@@ -65,9 +65,9 @@
         let mut served = vec![Vec::new(); self.records.backends.len()];
         let mut rejected = vec![Vec::new(); self.records.backends.len()];
         for (call, &in_flight) in self.records.calls.iter().zip(&self.in_flight) {
-            match call.reply {
-                Reply::Full => rejected[call.backend as usize].push(in_flight),
-                Reply::Ok => served[call.backend as usize].push(in_flight),
+            match call.outcome {
+                AttemptOutcome::Rejected => rejected[call.backend as usize].push(in_flight),
+                AttemptOutcome::Ok => served[call.backend as usize].push(in_flight),
                 _ => {}
             }
         }
--- a/src/replay/model/mod.rs
+++ b/src/replay/model/mod.rs
@@ -7,15 +7,15 @@
 mod load;
 mod zone_latency;
 
-use super::Reply;
+use super::AttemptOutcome;
 use super::common_random_numbers::CommonRandomNumbers;
 use super::conditions::{Condition, Conditions};
 use super::failure::FAILURES;
 use super::load_curve::LoadCurve;
 use super::quantiles::Quantiles;
 
-/// Index of [`Reply::Full`] in [`FAILURES`].
-const FULL: usize = 1;
+/// Index of [`AttemptOutcome::Rejected`] in [`FAILURES`].
+const REJECTED: usize = 1;
 
 /// Latency of one class at one backend, without load.
 struct ClassLatency {
@@ -67,12 +67,19 @@
     }
 
     /// How a call ends, and after how long (ms); `Timeout` for one that is never answered.
-    pub(super) fn answer(&self, call: &SimulatedCall, random: &mut CommonRandomNumbers) -> (Reply, f64) {
+    pub(super) fn answer(
+        &self,
+        call: &SimulatedCall,
+        random: &mut CommonRandomNumbers,
+    ) -> (AttemptOutcome, f64) {
         let zone_latency_ms = self.zone_latency_ms[call.proxy * self.peak_in_flight.len() + call.backend];
         let failure_draw = random.next_uniform();
         let latency_draw = random.next_uniform();
         if call.in_flight > self.rejects_from[call.backend] {
-            return (Reply::Full, self.failed_after_ms[FULL].at(latency_draw).max(zone_latency_ms));
+            return (
+                AttemptOutcome::Rejected,
+                self.failed_after_ms[REJECTED].at(latency_draw).max(zone_latency_ms),
+            );
         }
         let condition: &Condition = self.conditions.at(call.backend, call.at_ms);
         if let Some(failure) =
@@ -84,6 +91,6 @@
         let latency = &self.latencies[call.backend * self.classes + call.class];
         let load = self.load_curves[call.backend].relative_latency(call.in_flight);
         let residual = self.residuals[latency.residuals].at(latency_draw);
-        (Reply::Ok, zone_latency_ms + latency.mean_ms * condition.relative_latency * load * residual)
+        (AttemptOutcome::Ok, zone_latency_ms + latency.mean_ms * condition.relative_latency * load * residual)
     }
 }
--- a/src/replay/recorded_traffic/merge.rs
+++ b/src/replay/recorded_traffic/merge.rs
@@ -3,7 +3,7 @@
 use super::{RecordedCall, RecordedProxy, RecordedRequest, RecordedTraffic};
 use crate::platform_settings;
 use crate::replay::quantiles::median;
-use crate::replay::{Job, Reply, SAMPLED_OF, Segment, Trace};
+use crate::replay::{AttemptOutcome, Job, SAMPLED_OF, Segment, Trace};
 use std::collections::{BTreeMap, HashMap};
 
 /// The time that the records cover, from the median start of the proxies to their median end: one clock that is off
@@ -115,7 +115,7 @@
         if !(0.0..=self.length_ms).contains(&at_ms) {
             return;
         }
-        let answer = trace.tries.iter().rfind(|attempt| attempt.reply == Reply::Ok);
+        let answer = trace.attempts.iter().rfind(|attempt| attempt.outcome == AttemptOutcome::Ok);
         self.requests.push(RecordedRequest {
             proxy,
             id: trace.id,
@@ -124,19 +124,19 @@
             proxy_class: trace.class,
             tenant: trace.tenant,
             key: trace.key,
-            client_timeout_ms: trace.patience_ms,
+            client_timeout_ms: trace.client_timeout_ms,
             ending: trace.ending,
             took_ms: trace.took_ms,
-            malformed: trace.tries.iter().any(|attempt| attempt.reply == Reply::Malformed),
+            malformed: trace.attempts.iter().any(|attempt| attempt.outcome == AttemptOutcome::Malformed),
             proxy_time_ms: answer.map(|attempt| trace.took_ms - attempt.after_ms - attempt.wait_ms),
         });
-        self.calls.extend(trace.tries.iter().map(|attempt| RecordedCall {
+        self.calls.extend(trace.attempts.iter().map(|attempt| RecordedCall {
             proxy,
             backend: backends.get(attempt.backend as usize).copied().unwrap_or(0),
             class,
             at_ms: at_ms + attempt.after_ms,
             wait_ms: attempt.wait_ms,
-            reply: attempt.reply,
+            outcome: attempt.outcome,
             proxy_in_flight: attempt.in_flight,
         }));
     }
--- a/src/replay/recorded_traffic/mod.rs
+++ b/src/replay/recorded_traffic/mod.rs
@@ -4,7 +4,7 @@
 mod merge;
 mod selection;
 
-use super::{Ending, Job, Listed, Peers, Reply, Segment, clock_offsets, segment};
+use super::{AttemptOutcome, Ending, Job, Listed, Peers, Segment, clock_offsets, segment};
 use crate::interface::Settings;
 use merge::Window;
 use selection::Selection;
@@ -61,7 +61,7 @@
     pub(super) at_ms: f64,
     /// Time (ms) until its end.
     pub(super) wait_ms: f64,
-    pub(super) reply: Reply,
+    pub(super) outcome: AttemptOutcome,
     /// Other calls of its proxy in flight at the backend when it was sent.
     pub(super) proxy_in_flight: u32,
 }
--- a/src/replay/recorded_traffic/selection.rs
+++ b/src/replay/recorded_traffic/selection.rs
@@ -29,7 +29,7 @@
             if job.tier.is_some_and(|wanted| wanted != *tier) || segment.revision != job.from {
                 continue;
             }
-            let differing = job::differ(segment, &listed);
+            let differing = job::differing_backends(segment, &listed);
             if differing.is_empty() {
                 selected.insert((&segment.name, segment.generation, segment.number), segment);
             } else {
--- a/src/replay/recorder.rs
+++ b/src/replay/recorder.rs
@@ -1,58 +1,67 @@
-//! The proxy's part: keeps the sampled requests of the engine's events until a segment is cut. Bounded, and beside a
-//! request's way: one that is not sampled costs a hash and a compare. Time is passed in.
+//! The recorder of a proxy: collects traces of sampled requests from the engine's events and cuts them into segments.
+//!
+//! Its memory is bounded. A request that is not sampled costs a hash and a comparison. Callers pass in the time.
 
 use super::segment::{MAX_BACKENDS, MAX_TRACES, SAMPLED_OF};
-use super::{Ending, Listed, Peers, Reply, Segment, Trace, Try};
+use super::{AttemptOutcome, AttemptTrace, Ending, Listed, Peers, Segment, Trace};
 use crate::interface::{Arrival, AttemptNo, BackendId, RequestId};
 use std::collections::{BTreeMap, HashMap};
 
-const MOST_TRIES: usize = 16; // of one request; more are not kept
+/// Maximum number of attempts recorded of a request; further ones are left out of its trace.
+const MAX_ATTEMPTS_OF_REQUEST: usize = 16;
 
-/// What a recorder is told once.
+/// Identity of the proxy and limits of its segments.
 #[derive(Clone, Debug, PartialEq)]
-pub struct About {
-    /// The proxy's name, as in its reports.
+pub struct RecorderConfig {
+    /// Name of the proxy, as in its reports.
     pub name: String,
-    /// Its generation, as in its reports.
+    /// Generation of the proxy, as in its reports.
     pub generation: u64,
-    /// Its zone.
+    /// Zone of the proxy.
     pub zone: String,
-    /// Its settings, JSON in the platform's form.
+    /// Settings of the proxy, JSON in the platform's form.
     pub settings: String,
-    /// So many in 65,536 requests are sampled.
+    /// Sampled requests of each 65,536.
     pub sampled: u32,
-    /// Most traces of a segment, and most sampled requests that are open at once.
-    pub traces: usize,
-    /// Longest time that a segment covers, ms.
-    pub span_ms: f64,
+    /// Maximum number of traces in a segment, and of sampled requests that are open at once.
+    pub max_traces: usize,
+    /// Time (ms) after which a segment is due.
+    pub max_span_ms: f64,
 }
 
-/// A sampled request whose end, or one of whose attempts' ends, is still to come.
-struct Open {
+/// A sampled request that has not ended, or one of whose attempts has not.
+struct OpenRequest {
     trace: Trace,
+    /// Backend of each attempt in the trace.
     backends: Vec<BackendId>,
-    out: usize,
+    attempts_in_flight: usize,
     ended: bool,
+    /// Revision of the route table in force at its arrival.
     revision: u64,
 }
 
-/// Keeps sampled requests. The events come as the engine has them; unknown requests are passed over.
+/// Collects traces of sampled requests. Events of requests that it does not know are ignored.
 pub struct Recorder {
-    about: About,
+    config: RecorderConfig,
+    /// Number of the next segment.
     number: u64,
-    since: f64,
+    /// Start of the current segment, Unix time in milliseconds.
+    since_ms: f64,
     revision: u64,
     peers: Option<Peers>,
     list_version: u64,
     listed: BTreeMap<BackendId, Listed>,
-    left_out: usize,
-    open: HashMap<RequestId, Open>, // looked up, never iterated but to drop
-    done: Vec<(Trace, Vec<BackendId>)>,
+    omitted_backends: usize,
+    /// Iterated only to be dropped, so that its order has no effect.
+    open: HashMap<RequestId, OpenRequest>,
+    /// Completed traces, each with the backends of its attempts.
+    completed: Vec<(Trace, Vec<BackendId>)>,
     seen: u64,
     dropped: u64,
 }
 
-/// FNV-1a, then a finish that stirs the low bits up: the same in every process and build.
+/// FNV-1a with a finalizer that mixes the low bits. It is the same in every process and build, so that all proxies sample
+/// the same requests.
 fn hash(bytes: &[u8]) -> u64 {
     let mix = bytes
         .iter()
@@ -62,37 +71,37 @@
 }
 
 impl Recorder {
-    /// Starts at Unix time `now_ms`.
-    pub fn new(about: About, now_ms: f64) -> Recorder {
-        let traces = about.traces.clamp(1, MAX_TRACES);
-        let sampled = about.sampled.clamp(1, SAMPLED_OF);
+    /// Creates a recorder whose first segment starts at Unix time `now_ms`.
+    pub fn new(config: RecorderConfig, now_ms: f64) -> Recorder {
+        let max_traces = config.max_traces.clamp(1, MAX_TRACES);
+        let sampled = config.sampled.clamp(1, SAMPLED_OF);
         Recorder {
-            about: About { traces, sampled, ..about },
+            config: RecorderConfig { max_traces, sampled, ..config },
             number: 1,
-            since: now_ms,
+            since_ms: now_ms,
             revision: 0,
             peers: None,
             list_version: 0,
             listed: BTreeMap::new(),
-            left_out: 0,
+            omitted_backends: 0,
             open: HashMap::new(),
-            done: Vec::new(),
+            completed: Vec::new(),
             seen: 0,
             dropped: 0,
         }
     }
 
-    /// Counts a request by its id, and gives the id's hash if the request is sampled.
+    /// Counts a request and returns the hash of its id if it is sampled.
     #[inline]
     pub fn sampled(&mut self, id: &[u8]) -> Option<u64> {
         self.seen += 1;
         let hash = hash(id);
-        ((hash & u64::from(SAMPLED_OF - 1)) < u64::from(self.about.sampled)).then_some(hash)
+        ((hash & u64::from(SAMPLED_OF - 1)) < u64::from(self.config.sampled)).then_some(hash)
     }
 
-    /// A sampled request arrived; `hash` is of [`sampled`](Self::sampled).
-    pub fn arrived(&mut self, now_ms: f64, hash: u64, arrival: &Arrival, patience_ms: f64) {
-        if self.open.len() >= self.about.traces {
+    /// Records the arrival of a sampled request; `hash` is what [`sampled`](Self::sampled) returned.
+    pub fn request_arrived(&mut self, now_ms: f64, hash: u64, arrival: &Arrival, client_timeout_ms: f64) {
+        if self.open.len() >= self.config.max_traces {
             self.dropped += 1;
             return;
         }
@@ -102,129 +111,155 @@
             class: arrival.class,
             tenant: arrival.tenant,
             key: arrival.key,
-            patience_ms,
+            client_timeout_ms,
             ending: Ending::Left,
             took_ms: 0.0,
-            tries: Vec::new(),
+            attempts: Vec::new(),
+        };
+        let open = OpenRequest {
+            trace,
+            backends: Vec::new(),
+            attempts_in_flight: 0,
+            ended: false,
+            revision: self.revision,
         };
-        let open = Open { trace, backends: Vec::new(), out: 0, ended: false, revision: self.revision };
         self.open.insert(arrival.request, open);
     }
 
-    /// An attempt was sent, its number the next one; `in_flight` are this proxy's other calls at the backend.
-    pub fn sent(&mut self, now_ms: f64, request: RequestId, backend: BackendId, in_flight: u32) {
-        let Some(open) = self.open.get_mut(&request).filter(|o| o.trace.tries.len() < MOST_TRIES) else {
+    /// Records the send of a request's next attempt; `in_flight` is the number of this proxy's other calls in flight at the
+    /// backend.
+    pub fn attempt_sent(&mut self, now_ms: f64, request: RequestId, backend: BackendId, in_flight: u32) {
+        let Some(open) = self.open.get_mut(&request) else { return };
+        if open.trace.attempts.len() >= MAX_ATTEMPTS_OF_REQUEST {
             return;
-        };
+        }
         let after_ms = (now_ms - open.trace.at_ms).max(0.0);
-        open.trace.tries.push(Try { backend: 0, after_ms, wait_ms: 0.0, reply: Reply::Moot, in_flight });
+        open.trace.attempts.push(AttemptTrace {
+            backend: 0, // set when the segment is cut
+            after_ms,
+            wait_ms: 0.0,
+            outcome: AttemptOutcome::NotSent,
+            in_flight,
+        });
         open.backends.push(backend);
-        open.out += 1;
+        open.attempts_in_flight += 1;
     }
 
-    /// An attempt ended.
-    pub fn closed(&mut self, now_ms: f64, request: RequestId, attempt: AttemptNo, reply: Reply) {
+    /// Records the end of an attempt.
+    pub fn attempt_ended(
+        &mut self,
+        now_ms: f64,
+        request: RequestId,
+        number: AttemptNo,
+        outcome: AttemptOutcome,
+    ) {
         let Some(open) = self.open.get_mut(&request) else { return };
-        let Some(a) = open.trace.tries.get_mut(usize::from(attempt)) else { return };
-        (a.wait_ms, a.reply) = ((now_ms - open.trace.at_ms - a.after_ms).max(0.0), reply);
-        open.out = open.out.saturating_sub(1);
-        self.settle(request);
+        let Some(attempt) = open.trace.attempts.get_mut(usize::from(number)) else { return };
+        attempt.wait_ms = (now_ms - open.trace.at_ms - attempt.after_ms).max(0.0);
+        attempt.outcome = outcome;
+        open.attempts_in_flight = open.attempts_in_flight.saturating_sub(1);
+        self.complete(request);
     }
 
-    /// The request ended for its client.
-    pub fn ended(&mut self, now_ms: f64, request: RequestId, ending: Ending) {
+    /// Records the end of a request for its client. Only the first end counts.
+    pub fn request_ended(&mut self, now_ms: f64, request: RequestId, ending: Ending) {
         let Some(open) = self.open.get_mut(&request).filter(|o| !o.ended) else { return };
-        (open.trace.took_ms, open.trace.ending) = ((now_ms - open.trace.at_ms).max(0.0), ending);
+        open.trace.took_ms = (now_ms - open.trace.at_ms).max(0.0);
+        open.trace.ending = ending;
         open.ended = true;
-        self.settle(request);
+        self.complete(request);
     }
 
-    /// Keeps a request that is over, unless it began under another table or there is no room.
-    fn settle(&mut self, request: RequestId) {
-        if !self.open.get(&request).is_some_and(|o| o.ended && o.out == 0) {
+    /// Keeps the trace of a request that ended along with all its attempts. It counts as dropped if it arrived under another
+    /// route table or the segment is full.
+    fn complete(&mut self, request: RequestId) {
+        if !self.open.get(&request).is_some_and(|open| open.ended && open.attempts_in_flight == 0) {
             return;
         }
         let Some(open) = self.open.remove(&request) else { return };
-        if open.revision == self.revision && self.done.len() < self.about.traces {
-            self.done.push((open.trace, open.backends));
+        if open.revision == self.revision && self.completed.len() < self.config.max_traces {
+            self.completed.push((open.trace, open.backends));
         } else {
             self.dropped += 1;
         }
     }
 
-    /// The table in force from now on; gives what was recorded under the one before.
-    pub fn table(&mut self, now_ms: f64, revision: u64) -> Option<Segment> {
-        let cut = if revision == self.revision { None } else { self.take(now_ms) };
+    /// Sets the revision of the route table in force. Returns the segment recorded under the previous one.
+    pub fn set_table(&mut self, now_ms: f64, revision: u64) -> Option<Segment> {
+        let cut = if revision == self.revision { None } else { self.cut(now_ms) };
         self.revision = revision;
         cut
     }
 
-    /// What membership tells the module from now on.
-    pub fn peers(&mut self, peers: Peers) {
+    /// Sets the membership that the decision module was told.
+    pub fn set_peers(&mut self, peers: Peers) {
         self.peers = Some(peers);
     }
 
-    /// The list from now on; gives what was recorded under the one before, if that had other backends.
-    pub fn list(
+    /// Sets the endpoint list. Returns the segment recorded under the previous one if its backends differ.
+    pub fn set_list(
         &mut self,
         now_ms: f64,
         version: u64,
         listed: impl IntoIterator<Item = (BackendId, Listed)>,
     ) -> Option<Segment> {
         let mut listed: BTreeMap<_, _> = listed.into_iter().collect();
-        self.left_out = listed.len().saturating_sub(MAX_BACKENDS);
-        (0..self.left_out).for_each(|_| drop(listed.pop_last()));
-        let cut = if listed == self.listed { None } else { self.take(now_ms) };
+        self.omitted_backends = listed.len().saturating_sub(MAX_BACKENDS);
+        (0..self.omitted_backends).for_each(|_| drop(listed.pop_last()));
+        let cut = if listed == self.listed { None } else { self.cut(now_ms) };
         (self.list_version, self.listed) = (version, listed);
         cut
     }
 
-    /// Backends of the list that a segment has no room for: what is sent there is counted as dropped.
-    pub fn left_out(&self) -> usize {
-        self.left_out
+    /// Number of backends of the list beyond [`MAX_BACKENDS`]. Requests with an attempt at one of them are counted as dropped.
+    pub fn omitted_backends(&self) -> usize {
+        self.omitted_backends
     }
 
-    /// Gives a segment once one is full or its time is up. To be asked from time to time.
-    pub fn cut(&mut self, now_ms: f64) -> Option<Segment> {
-        let due = self.done.len() >= self.about.traces || now_ms - self.since >= self.about.span_ms;
-        if due { self.take(now_ms) } else { None }
+    /// Cuts a segment if the current one is full or covers its maximum time. Called periodically.
+    pub fn cut_if_due(&mut self, now_ms: f64) -> Option<Segment> {
+        let due = self.completed.len() >= self.config.max_traces
+            || now_ms - self.since_ms >= self.config.max_span_ms;
+        if due { self.cut(now_ms) } else { None }
     }
 
-    /// Gives what there is, as at the proxy's end.
-    pub fn take(&mut self, now_ms: f64) -> Option<Segment> {
-        let since = self.since;
-        self.since = since.max(now_ms);
-        let (done, seen) = (std::mem::take(&mut self.done), std::mem::take(&mut self.seen));
-        if self.listed.is_empty() || seen == 0 && done.is_empty() {
+    /// Cuts a segment at once, as when the proxy stops; `None` if it would be empty or there is no list.
+    pub fn cut(&mut self, now_ms: f64) -> Option<Segment> {
+        let since_ms = self.since_ms;
+        self.since_ms = since_ms.max(now_ms);
+        let completed = std::mem::take(&mut self.completed);
+        let seen = std::mem::take(&mut self.seen);
+        if self.listed.is_empty() || seen == 0 && completed.is_empty() {
             return None;
         }
-        let places: BTreeMap<BackendId, u32> = self.listed.keys().copied().zip(0..).collect();
-        let mut traces = Vec::with_capacity(done.len());
-        for (mut trace, backends) in done {
-            // One of an earlier list has no place in this one.
-            let named = trace
-                .tries
+        let indices: BTreeMap<BackendId, u32> = self.listed.keys().copied().zip(0..).collect();
+        let mut traces = Vec::with_capacity(completed.len());
+        for (mut trace, backends) in completed {
+            // A backend of an earlier list may be missing in this one.
+            let all_listed = trace
+                .attempts
                 .iter_mut()
                 .zip(&backends)
-                .all(|(a, id)| places.get(id).map(|&place| a.backend = place).is_some());
-            if named { traces.push(trace) } else { self.dropped += 1 }
+                .all(|(attempt, id)| indices.get(id).map(|&index| attempt.backend = index).is_some());
+            if all_listed { traces.push(trace) } else { self.dropped += 1 }
         }
         traces.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
         let number = self.number;
         self.number += 1;
-        let backend = |l: &Listed| (l.host.clone(), l.class.clone(), l.zone.clone(), l.share);
+        let backend =
+            |listed: &Listed| (listed.host.clone(), listed.class.clone(), listed.zone.clone(), listed.share);
         Some(Segment {
-            name: self.about.name.clone(),
-            generation: self.about.generation,
+            name: self.config.name.clone(),
+            generation: self.config.generation,
             number,
-            zone: self.about.zone.clone(),
-            settings: self.about.settings.clone(),
+            zone: self.config.zone.clone(),
+            settings: self.config.settings.clone(),
             revision: self.revision,
             peers: self.peers,
             list_version: self.list_version,
             backends: self.listed.values().map(backend).collect(),
-            span_ms: (since, self.since),
-            sampled: self.about.sampled,
+            span_ms: (since_ms, self.since_ms),
+            sampled: self.config.sampled,
             seen,
             dropped: std::mem::take(&mut self.dropped),
             traces,
--- a/src/replay/simulation/calls.rs
+++ b/src/replay/simulation/calls.rs
@@ -5,7 +5,7 @@
 use crate::interface::{Event, Outcome, RequestId, Resolved};
 use crate::replay::common_random_numbers::CommonRandomNumbers;
 use crate::replay::model::SimulatedCall;
-use crate::replay::{Ending, Reply};
+use crate::replay::{AttemptOutcome, Ending};
 
 /// The `id` of a place in which no attempt is in flight.
 const NO_ATTEMPT: u64 = u64::MAX;
@@ -46,7 +46,7 @@
         };
         let (outcome, end_ms) = self.answer(&call, request, attempt, deadline_ms);
         let crosses = self.records.proxies[call.proxy].zone != self.records.backends[call.backend].zone;
-        self.tally.call(now_ms, backend, call.in_flight, crosses, 1.0);
+        self.statistics.add_call(now_ms, backend, call.in_flight, crosses, 1.0);
         let id = self.scheduled;
         let sent = InFlightAttempt { id, request, proxy, backend, attempt, sent_ms: now_ms, outcome };
         let index = self.free_attempts.pop().unwrap_or(self.attempts.len() as u32);
@@ -66,9 +66,9 @@
         let replica = self.arrivals[request as usize].replica;
         let mut random =
             CommonRandomNumbers::new(self.seed ^ u64::from(replica), recorded.id, u64::from(attempt));
-        let (reply, wait_ms) = self.model.answer(call, &mut random);
+        let (recorded_outcome, wait_ms) = self.model.answer(call, &mut random);
         let end_ms = call.at_ms + wait_ms;
-        let outcome = outcome(reply);
+        let outcome = module_outcome(recorded_outcome);
         if outcome == Outcome::Timeout || end_ms > deadline_ms {
             return (Outcome::Timeout, deadline_ms.max(call.at_ms));
         }
@@ -106,17 +106,17 @@
     }
 }
 
-/// What the decision module is told of a reply.
-fn outcome(reply: Reply) -> Outcome {
-    match reply {
-        Reply::Ok => Outcome::Ok,
-        Reply::Error => Outcome::Error,
-        Reply::Malformed => Outcome::Malformed,
-        Reply::Full => Outcome::Rejected,
-        Reply::Timeout => Outcome::Timeout,
-        Reply::ConnectFailed => Outcome::ConnectFailed,
-        Reply::Reset => Outcome::Reset,
-        Reply::Cancelled => Outcome::Cancelled,
-        Reply::Moot => Outcome::NotSent,
+/// The decision module's form of a recorded outcome.
+fn module_outcome(outcome: AttemptOutcome) -> Outcome {
+    match outcome {
+        AttemptOutcome::Ok => Outcome::Ok,
+        AttemptOutcome::Error => Outcome::Error,
+        AttemptOutcome::Malformed => Outcome::Malformed,
+        AttemptOutcome::Rejected => Outcome::Rejected,
+        AttemptOutcome::Timeout => Outcome::Timeout,
+        AttemptOutcome::ConnectFailed => Outcome::ConnectFailed,
+        AttemptOutcome::Reset => Outcome::Reset,
+        AttemptOutcome::Cancelled => Outcome::Cancelled,
+        AttemptOutcome::NotSent => Outcome::NotSent,
     }
 }
--- a/src/replay/simulation/events.rs
+++ b/src/replay/simulation/events.rs
@@ -102,7 +102,7 @@
         let arrived_ms = self.arrivals[request as usize].at_ms;
         let class = self.recorded(request).class;
         let took_ms = now_ms - arrived_ms + self.model.proxy_time_ms[usize::from(class)];
-        self.tally.request(arrived_ms, class, ending, took_ms.max(0.0));
+        self.statistics.add_request(arrived_ms, class, ending, took_ms.max(0.0));
     }
 
     /// Keeps count of the requests that are open at a proxy and have no attempt in flight.
--- a/src/replay/simulation/mod.rs
+++ b/src/replay/simulation/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! One decision module ([`Balancer`]) runs for each recorded proxy process, on a simulated clock (ms from the start of
 //! the recorded window). Requests arrive as recorded, backends answer by the [`Model`]. The same records, weights and
-//! seed give the same [`Tally`].
+//! seed give the same [`TrafficStatistics`].
 
 mod arrivals;
 mod calls;
@@ -11,7 +11,7 @@
 
 use super::model::Model;
 use super::recorded_traffic::RecordedTraffic;
-use super::tally::Tally;
+use super::statistics::TrafficStatistics;
 use crate::interface::{Action, BackendId};
 use crate::{Balancer, backend_id};
 use arrivals::SimulatedArrival;
@@ -62,7 +62,7 @@
     actions: Vec<Action>,
     /// Requests that have arrived and not ended, and attempts in flight.
     unsettled: usize,
-    tally: Tally,
+    statistics: TrafficStatistics,
 }
 
 impl<'a> Simulation<'a> {
@@ -93,7 +93,7 @@
             in_flight: vec![0; records.backends.len()],
             actions: Vec::new(),
             unsettled: 0,
-            tally: Tally::new(records.backends.len(), records.classes.len(), warm_up_ms),
+            statistics: TrafficStatistics::new(records.backends.len(), records.classes.len(), warm_up_ms),
         };
         for (index, recorded) in (0..).zip(&records.proxies) {
             // The merge of the records has dropped proxies with settings that the module refuses, so that none fails here.
@@ -105,7 +105,7 @@
     }
 
     /// Runs to the end; `None` when `stop` asked for it. `stop` is told the share of the arrivals that have happened.
-    pub(super) fn run(mut self, stop: &dyn Fn(f64) -> bool) -> Option<Tally> {
+    pub(super) fn run(mut self, stop: &dyn Fn(f64) -> bool) -> Option<TrafficStatistics> {
         let mut arrived = 0;
         let mut events = 0_u64;
         loop {
@@ -131,8 +131,8 @@
             let Some(Reverse(event)) = self.event_queue.pop() else { break };
             self.process(event);
         }
-        self.tally.sort();
-        Some(self.tally)
+        self.statistics.sort();
+        Some(self.statistics)
     }
 
     /// Adds an event to the queue. Times before the start count as the start.
--- a/src/replay/trace.rs
+++ b/src/replay/trace.rs
@@ -1,124 +1,132 @@
-//! What a proxy records of the requests that it samples.
+//! The format of recorded traffic: what a proxy records of the requests that it samples.
 
 use serde::{Deserialize, Serialize};
 
-/// How an attempt ended, as the module is told.
+/// Outcome of a recorded attempt, as the decision module is told it
+/// ([`Outcome`](crate::interface::Outcome)).
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum Reply {
-    /// Served.
+pub enum AttemptOutcome {
+    /// The backend served the request.
     Ok,
-    /// Answered with an error.
+    /// The backend answered with an error.
     Error,
-    /// Found fault with the request.
+    /// The backend found the request malformed.
     Malformed,
-    /// Turned away unseen.
-    Full,
-    /// No answer in time.
+    /// The backend rejected the call without processing it.
+    #[serde(rename = "full")]
+    Rejected,
+    /// No answer arrived before the attempt's deadline.
     Timeout,
-    /// No connection.
+    /// No connection to the backend could be established.
     ConnectFailed,
-    /// The connection broke.
+    /// The connection broke during the call.
     Reset,
-    /// Withdrawn.
+    /// The proxy cancelled the attempt.
     Cancelled,
-    /// Never sent.
-    Moot,
+    /// The attempt was never sent.
+    #[serde(rename = "moot")]
+    NotSent,
 }
 
-/// How a request ended.
+/// How a recorded request ended for its client.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum Ending {
-    /// A backend's answer was passed on.
+    /// The proxy passed on a backend's answer.
     Served,
-    /// Refused: a further try is harmless.
+    /// The proxy refused the request; a retry by the client is harmless.
     Refused,
-    /// Failed, or not answered in time.
+    /// The request failed or was not answered in time.
     Failed,
-    /// Its client left.
+    /// The client left before the end.
     Left,
 }
 
-/// A sampled request at one proxy.
+/// A sampled request, as one proxy recorded it.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct Trace {
-    /// Hash of the request's id; the same at every proxy on its way.
+    /// Hash of the request's id; the same at every proxy that the request passes.
     pub id: u64,
-    /// When it arrived, Unix time in milliseconds by this proxy's clock.
+    /// Arrival of the request: Unix time in milliseconds by this proxy's clock.
     pub at_ms: f64,
-    /// Place of its class in the settings.
+    /// Index of the request's class in the proxy's settings.
     pub class: u16,
-    /// Place of its tenant.
+    /// Index of the request's tenant in the proxy's settings.
     pub tenant: u16,
-    /// Hash of its key, 0 without one.
+    /// Hash of the request's key; 0 for none.
     pub key: u64,
-    /// How long its client waits.
-    pub patience_ms: f64,
-    /// How it ended.
+    /// Time (ms) that the client waits for an answer.
+    #[serde(rename = "patience_ms")]
+    pub client_timeout_ms: f64,
+    /// How the request ended for its client.
     pub ending: Ending,
-    /// From its arrival to its end.
+    /// Time (ms) from the request's arrival to its end.
     pub took_ms: f64,
-    /// Its attempts in the order of their sends.
-    pub tries: Vec<Try>,
+    /// The request's attempts in the order in which they were sent.
+    #[serde(rename = "tries")]
+    pub attempts: Vec<AttemptTrace>,
 }
 
-/// One attempt.
+/// An attempt of a sampled request.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
-pub struct Try {
-    /// Place of the backend in the segment's list.
+pub struct AttemptTrace {
+    /// Index of the backend in the segment's list.
     pub backend: u32,
-    /// From the request's arrival to the send.
+    /// Time (ms) from the request's arrival to the send of the attempt.
     pub after_ms: f64,
-    /// From the send to its end.
+    /// Time (ms) from the send of the attempt to its end.
     pub wait_ms: f64,
-    /// How it ended.
-    pub reply: Reply,
-    /// This proxy's other calls in flight at the backend when it was sent.
+    /// Outcome of the attempt.
+    #[serde(rename = "reply")]
+    pub outcome: AttemptOutcome,
+    /// Other calls of this proxy in flight at the backend when the attempt was sent.
     pub in_flight: u32,
 }
 
-/// What membership tells a module, as in [`Event::Peers`](crate::interface::Event::Peers).
+/// Membership as the decision module is told it in [`Event::Peers`](crate::interface::Event::Peers).
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Peers {
-    /// Alive, this copy included.
+    /// Instances that are alive, this one included.
     pub alive: u32,
-    /// Alive, or gone not long ago.
+    /// Instances that are alive or left recently.
     pub known: u32,
-    /// This copy's place among those alive.
+    /// Rank of this instance among those alive.
     pub rank: Option<u32>,
 }
 
-/// What one proxy recorded for a time.
+/// The recorded traffic of one proxy over a span of time.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Segment {
-    /// The proxy's name, as in its reports.
+    /// Name of the proxy, as in its reports.
     pub name: String,
-    /// Its generation, as in its reports.
+    /// Generation of the proxy, as in its reports.
     pub generation: u64,
-    /// Counts its segments from 1: a gap is a segment that was lost.
+    /// Sequence number of the segment within its generation, from 1: a gap is a segment that was lost.
     pub number: u64,
-    /// Its zone.
+    /// Zone of the proxy.
     pub zone: String,
-    /// Its settings, JSON in the platform's form, so that a copy of the module can be started as it was.
+    /// Settings of the proxy, JSON in the platform's form, from which the replay starts the same decision module.
     pub settings: String,
-    /// Revision of the table in force, for the whole segment.
+    /// Revision of the route table in force, the same during the whole segment.
     pub revision: u64,
-    /// Version of the list, at its end.
+    /// Version of the endpoint list at the end of the segment.
     pub list_version: u64,
-    /// The last that membership told its module; none where there is none.
+    /// Latest membership that the decision module was told; `None` without membership.
     pub peers: Option<Peers>,
-    /// The list's backends, with class of machine, zone and size beside the others'.
+    /// Name, machine class, zone and relative size of each backend in the list.
     pub backends: Vec<(String, String, String, f64)>,
-    /// From when to when it was recorded, Unix time in milliseconds by this proxy's clock: it holds what ended then.
+    /// Start and end of the recording: Unix time in milliseconds by this proxy's clock. The segment holds the requests
+    /// that ended within.
     pub span_ms: (f64, f64),
-    /// So many in 65,536 requests are sampled.
+    /// Sampled requests of each 65,536.
     pub sampled: u32,
-    /// Requests that arrived in the span, sampled or not.
+    /// Number of requests that arrived in the span, sampled or not.
     pub seen: u64,
-    /// Sampled ones that there was no room for.
+    /// Number of sampled requests without a trace: there was no room, the route table changed while they were open, or
+    /// one of their backends is not in the list.
     pub dropped: u64,
-    /// The sampled ones.
+    /// Traces of the sampled requests, in the order of their arrival.
     pub traces: Vec<Trace>,
 }
--- a/src/replay/verdict.rs
+++ b/src/replay/verdict.rs
@@ -1,4 +1,4 @@
-//! What a replay says of a proposal.
+//! The verdict on a proposed route table: the decision and the predicted figures.
 
 use crate::route_table::Revision;
 use serde::{Deserialize, Serialize};
@@ -7,141 +7,148 @@
 /// A predicted figure, with the interval that the seeds and the model's uncertainty give.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, Default, PartialEq)]
 pub struct Range {
-    /// Lower end.
+    /// Lower end of the interval.
     pub low: f64,
     /// Mean over the seeds.
     pub mean: f64,
-    /// Upper end.
+    /// Upper end of the interval.
     pub high: f64,
 }
 
-/// What one backend gets.
+/// Figures predicted for one backend.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, Default, PartialEq)]
 pub struct BackendFigures {
-    /// Share of all calls.
+    /// Share of all calls that go to the backend, 0 to 1.
     pub share: Range,
-    /// Most calls in flight there, of the whole fleet.
+    /// Maximum number of the whole fleet's calls in flight at the backend.
     pub peak: Range,
 }
 
-/// What the requests of one class meet.
+/// Figures predicted for the requests of one class.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, Default, PartialEq)]
 pub struct ClassFigures {
-    /// Median latency, ms.
+    /// Median latency of served requests, ms.
     pub p50_ms: Range,
-    /// 99th percentile, ms.
+    /// 99th percentile of the latency of served requests, ms.
     pub p99_ms: Range,
-    /// Share refused.
+    /// Share of the class's requests that are refused, 0 to 1.
     pub refused: Range,
-    /// Share failed.
+    /// Share of the class's requests that fail, 0 to 1.
     pub failed: Range,
 }
 
-/// What a table would do.
+/// Figures predicted for the recorded traffic under one route table.
 #[derive(Serialize, Deserialize, Clone, Debug, Default, PartialEq)]
 pub struct Prediction {
-    /// By backend.
+    /// Figures by name of the backend.
     pub backends: BTreeMap<String, BackendFigures>,
-    /// By class.
+    /// Figures by name of the class.
     pub classes: BTreeMap<String, ClassFigures>,
-    /// Share of calls that cross zones.
+    /// Share of all calls that cross zones, 0 to 1.
     pub crossings: Range,
 }
 
-/// What a proposal would break.
+/// A bound that a proposal would break.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Breach {
-    /// `backend` or `class`.
+    /// Kind of object that the figure belongs to: `backend` or `class`.
     pub kind: String,
-    /// Which.
+    /// Name of the backend or class.
     pub name: String,
-    /// Which figure, such as `peak` or `p99_ms`.
+    /// Name of the figure, such as `peak` or `p99_ms`.
     pub figure: String,
-    /// Predicted.
+    /// Predicted value of the figure.
     pub predicted: f64,
-    /// The bound that it breaks.
+    /// Bound that the predicted value exceeds.
     pub bound: f64,
 }
 
-/// Why nothing can be said. Each is told with what an operator can do.
+/// Why no decision on a proposal is possible.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 #[serde(rename_all = "snake_case", tag = "why")]
-pub enum Unsure {
-    /// Too few of the fleet's requests were recorded.
+pub enum CannotTellReason {
+    /// Too little of the fleet's traffic was recorded.
     Coverage {
-        /// Share of the fleet's requests of which there are records, or that the sampling stands for.
+        /// Share of the fleet's recording time for which there are records, less dropped traces, 0 to 1; 0 where there
+        /// are too few requests.
         covered: f64,
-        /// Share that is needed.
+        /// Minimum share, from the bounds.
         needed: f64,
     },
-    /// The newest record is older than that.
-    Old {
-        /// Its age.
+    /// The newest record is too old.
+    #[serde(rename = "old")]
+    Stale {
+        /// Age of the newest record, ms.
         age_ms: f64,
-        /// What is allowed.
-        most_ms: f64,
+        /// Maximum age from the bounds, ms.
+        #[serde(rename = "most_ms")]
+        max_age_ms: f64,
     },
-    /// The recorded backends are not those of the list.
-    OtherList {
-        /// Backends of one that the other lacks.
-        differ: Vec<String>,
+    /// The recorded backends are not those of the list in force.
+    #[serde(rename = "other_list")]
+    ListMismatch {
+        /// Names of the backends that one of both lacks or has with other attributes.
+        #[serde(rename = "differ")]
+        differing_backends: Vec<String>,
     },
-    /// A backend would get more than was ever seen there.
-    Unseen {
-        /// Which.
+    /// A backend would get clearly more calls in flight than were ever observed there.
+    #[serde(rename = "unseen")]
+    Extrapolation {
+        /// Name of the backend.
         backend: String,
-        /// Calls in flight predicted.
+        /// Predicted peak of calls in flight.
         predicted: f64,
-        /// Most that were seen.
-        seen: f64,
+        /// Peak of calls in flight that was recorded, or replayed under the table in force.
+        #[serde(rename = "seen")]
+        observed: f64,
     },
-    /// The model does not give back what was recorded.
+    /// The back-test failed: the table in force, replayed, does not reproduce the records.
     BackTest {
-        /// Which figure, such as `share of s3`.
+        /// Name of the figure that deviates most, such as `share of s3`.
         figure: String,
-        /// Recorded.
+        /// Value of the figure in the records.
         recorded: f64,
-        /// Replayed.
+        /// Value of the figure in the replay.
         replayed: f64,
-        /// Difference that is allowed.
+        /// Maximum difference between both.
         allowed: f64,
     },
 }
 
-/// The decision.
+/// The decision on a proposal.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 #[serde(rename_all = "snake_case", tag = "decision")]
 pub enum Decision {
-    /// It may go out.
+    /// The proposal may be rolled out.
     Admit,
-    /// It may not.
+    /// The proposal breaks a bound.
     Refuse {
-        /// What breaks first.
+        /// The bound that is exceeded by the largest factor; backends come before classes.
         breach: Breach,
-        /// The largest part of the way from the table in force that would pass, 0 to 1.
+        /// The largest share of the way from the table in force to the proposal that would be admitted, 0 to 1.
         largest_step: f64,
     },
-    /// Nothing can be said.
-    CannotTell(Unsure),
+    /// The records or the model do not suffice for a decision.
+    CannotTell(CannotTellReason),
 }
 
-/// The whole answer. It lapses when the table in force, the proposal or the list of backends moves on.
+/// The verdict on a proposal. It no longer applies once the table in force, the proposal or the endpoint list changes.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct Verdict {
-    /// The table in force.
+    /// Revision of the table in force.
     pub from: Revision,
     /// Digest of the proposal's weights.
     pub digest: String,
-    /// Digest of the records that it was made from, and of the version of the list.
+    /// Digest of the segments that were replayed and of the list's version.
     pub records: String,
-    /// Recorded requests replayed.
+    /// Number of recorded requests that were replayed.
     pub requests: u64,
-    /// What it says.
+    /// The decision.
     #[serde(flatten)]
     pub decision: Decision,
-    /// The table in force, replayed.
+    /// Figures predicted under the table in force, if it was replayed.
     pub in_force: Option<Prediction>,
-    /// The proposal, replayed.
+    /// Figures predicted under the proposal, if it was replayed.
     pub proposed: Option<Prediction>,
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -90,31 +90,31 @@
 }
 
 fn recorder() -> Recorder {
-    let about = About {
+    let config = RecorderConfig {
         name: "n0".into(),
         generation: 1,
         zone: "z".into(),
         settings: "{}".into(),
         sampled: SAMPLED_OF,
-        traces: 16,
-        span_ms: 1000.0,
+        max_traces: 16,
+        max_span_ms: 1000.0,
     };
-    Recorder::new(about, NOW as f64)
+    Recorder::new(config, NOW as f64)
 }
 
 /// Records a request that the last of so many backends answers.
 fn recorded(count: usize) -> Segment {
     let (mut recorder, now) = (recorder(), NOW as f64);
-    recorder.list(now, 1, listed(count));
-    assert_eq!(recorder.left_out(), count.saturating_sub(MAX_BACKENDS));
+    recorder.set_list(now, 1, listed(count));
+    assert_eq!(recorder.omitted_backends(), count.saturating_sub(MAX_BACKENDS));
     let hash = recorder.sampled(b"r1").expect("all are");
     let arrival =
         Arrival { request: 1, key: 0, class: 0, tenant: 0, deadline_ms: 1000.0, body_pending: false };
-    recorder.arrived(now, hash, &arrival, 1000.0);
-    recorder.sent(now, 1, count as u32 - 1, 0);
-    recorder.closed(now + 5.0, 1, 0, Reply::Ok);
-    recorder.ended(now + 5.0, 1, Ending::Served);
-    recorder.take(now + 10.0).expect("a segment")
+    recorder.request_arrived(now, hash, &arrival, 1000.0);
+    recorder.attempt_sent(now, 1, count as u32 - 1, 0);
+    recorder.attempt_ended(now + 5.0, 1, 0, AttemptOutcome::Ok);
+    recorder.request_ended(now + 5.0, 1, Ending::Served);
+    recorder.cut(now + 10.0).expect("a segment")
 }
 
 #[test]
@@ -122,7 +122,7 @@
     const { assert!(MAX_BACKENDS > FLEET) };
     let full = recorded(MAX_BACKENDS);
     assert_eq!((full.backends.len(), full.traces.len(), full.dropped), (MAX_BACKENDS, 1, 0));
-    assert_eq!(full.traces[0].tries[0].backend as usize, MAX_BACKENDS - 1);
+    assert_eq!(full.traces[0].attempts[0].backend as usize, MAX_BACKENDS - 1);
     let over = recorded(MAX_BACKENDS + 1);
     assert_eq!((over.backends.len(), over.traces.len(), over.dropped), (MAX_BACKENDS, 0, 1));
     assert_eq!(Segment::decode(&full.encode()).expect("it fits").backends, full.backends);
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -2,7 +2,7 @@
 
 mod replay_rig;
 
-use load_balancer::replay::{Decision, Segment, Unsure, Verdict, judge};
+use load_balancer::replay::{CannotTellReason, Decision, Segment, Verdict, judge};
 use replay_rig::{World, weights};
 use rstest::rstest;
 
@@ -49,7 +49,7 @@
     assert_eq!((breach.kind.as_str(), breach.name.as_str()), ("backend", "s1"));
     assert!(breach.predicted > breach.bound && largest_step > 0.0 && largest_step < 1.0, "{largest_step}");
     let job = world.job(weights(&proposal));
-    let step = load_balancer::replay::Job { proposal: job.step(largest_step), ..job };
+    let step = load_balancer::replay::Job { proposal: job.interpolate(largest_step), ..job };
     let verdict = judge(&step, &segments, &|_| (), &|| false).expect("not cancelled");
     assert_eq!(verdict.decision, Decision::Admit);
 }
@@ -104,7 +104,7 @@
     s.traces.iter_mut().for_each(|t| t.at_ms -= 2e6);
 }), "old")]
 #[case::shares_that_the_module_would_not_give(&|s: &mut Vec<Segment>| {
-    let tries = s.iter_mut().flat_map(|s| &mut s.traces).flat_map(|t| &mut t.tries);
+    let tries = s.iter_mut().flat_map(|s| &mut s.traces).flat_map(|t| &mut t.attempts);
     tries.filter(|a| a.backend == 0).for_each(|a| a.backend = 1);
 }, "back_test")]
 fn what_the_records_cannot_tell_is_said(#[case] spoil: &dyn Fn(&mut Vec<Segment>), #[case] why: &str) {
@@ -116,8 +116,8 @@
     let verdict = judged(&world, &[("s1", 1.3)], &segments);
     let Decision::CannotTell(unsure) = &verdict.decision else { panic!("{:?}", verdict.decision) };
     assert_eq!(serde_json::to_value(unsure).expect("JSON")["why"], why);
-    if let Unsure::OtherList { differ } = unsure {
-        assert_eq!(*differ, ["old", "s3"]);
+    if let CannotTellReason::ListMismatch { differing_backends } = unsure {
+        assert_eq!(*differing_backends, ["old", "s3"]);
     }
 }
 
@@ -139,7 +139,7 @@
     assert_eq!(judged(&world, &[("s1", 1.1)], &segments).decision, Decision::Admit);
     segments.iter_mut().for_each(|s| s.peers = None);
     let alone = judged(&world, &[("s1", 1.1)], &segments).decision;
-    assert!(matches!(alone, Decision::CannotTell(Unsure::BackTest { .. })), "{alone:?}");
+    assert!(matches!(alone, Decision::CannotTell(CannotTellReason::BackTest { .. })), "{alone:?}");
 }
 
 #[test]
@@ -155,8 +155,8 @@
         (s.name, s.span_ms) = ("front".into(), (s.span_ms.0 - off, s.span_ms.1 - off));
         for t in &mut s.traces {
             t.at_ms -= off + 10.0;
-            t.tries.truncate(1);
-            t.tries.iter_mut().for_each(|a| (a.after_ms, a.wait_ms) = (5.0, t.took_ms + 10.0));
+            t.attempts.truncate(1);
+            t.attempts.iter_mut().for_each(|a| (a.after_ms, a.wait_ms) = (5.0, t.took_ms + 10.0));
         }
     }
     for (i, s) in front.iter_mut().enumerate() {
--- a/tests/replay_rig/fleet.rs
+++ b/tests/replay_rig/fleet.rs
@@ -2,7 +2,7 @@
 
 use super::{START, World};
 use load_balancer::interface::*;
-use load_balancer::replay::{Ending, Recorder, Reply, Segment};
+use load_balancer::replay::{AttemptOutcome, Ending, Recorder, Segment};
 use load_balancer::{Balancer, backend_id};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -64,14 +64,14 @@
                 What::Wake(copy, token) => {
                     self.tell(now, copy, Event::TimerFired { token });
                     let clock = self.clock(copy, now);
-                    self.segments.extend(self.copies[copy].1.cut(clock));
+                    self.segments.extend(self.copies[copy].1.cut_if_due(clock));
                 }
                 What::Done(call) => self.done(now, call),
             }
         }
         for copy in 0..self.w.proxies {
             let clock = self.clock(copy, end);
-            self.segments.extend(self.copies[copy].1.take(clock));
+            self.segments.extend(self.copies[copy].1.cut(clock));
         }
     }
 
@@ -86,7 +86,7 @@
         let clock = self.clock(copy, now);
         let recorder = &mut self.copies[copy].1;
         if let Some(hash) = recorder.sampled(&request.to_le_bytes()) {
-            recorder.arrived(clock, hash, &arrival, 5000.0);
+            recorder.request_arrived(clock, hash, &arrival, 5000.0);
         }
         self.tell(now, copy, Event::Request(arrival));
     }
@@ -100,7 +100,7 @@
                 Action::Send { request, backend, deadline_ms: not_past } => {
                     let (b, attempt) = (self.places[&backend], self.requests[request as usize].1);
                     self.requests[request as usize].1 += 1;
-                    self.copies[copy].1.sent(clock, request, backend, self.flight[copy][b]);
+                    self.copies[copy].1.attempt_sent(clock, request, backend, self.flight[copy][b]);
                     self.flight[copy][b] += 1;
                     self.sent[b] += u64::from(now > 250.0 * self.w.seconds);
                     self.calls.push(Call { proxy: copy, request, attempt, backend: b, at: now, not_past });
@@ -129,7 +129,7 @@
     fn end(&mut self, clock: f64, request: u64, ending: Ending) {
         let (copy, _, over) = &mut self.requests[request as usize];
         if !std::mem::replace(over, true) {
-            self.copies[*copy].1.ended(clock, request, ending);
+            self.copies[*copy].1.request_ended(clock, request, ending);
         }
     }
 
@@ -140,12 +140,15 @@
         self.flight[proxy][backend] -= 1;
         // Late ones are told late: good enough where hardly any is.
         let late = now > not_past;
-        let (reply, outcome) =
-            if late { (Reply::Timeout, Outcome::Timeout) } else { (Reply::Ok, Outcome::Ok) };
+        let (reply, outcome) = if late {
+            (AttemptOutcome::Timeout, Outcome::Timeout)
+        } else {
+            (AttemptOutcome::Ok, Outcome::Ok)
+        };
         if !late {
             self.end(clock, request, Ending::Served);
         }
-        self.copies[proxy].1.closed(clock, request, attempt, reply);
+        self.copies[proxy].1.attempt_ended(clock, request, attempt, reply);
         let closed = self.requests[request as usize].2;
         let backend_number = backend_id(&format!("s{backend}"));
         let resolved = Resolved {
--- a/tests/replay_rig/mod.rs
+++ b/tests/replay_rig/mod.rs
@@ -6,7 +6,7 @@
 
 use fleet::{Fleet, What};
 use load_balancer::interface::*;
-use load_balancer::replay::{About, Bounds, Job, Listed, Peers, Recorder, Segment};
+use load_balancer::replay::{Bounds, Job, Listed, Peers, Recorder, RecorderConfig, Segment};
 use load_balancer::route_table::Weights;
 use load_balancer::{Balancer, backend_id};
 use serde_json::json;
@@ -113,22 +113,22 @@
         for copy in 0..self.proxies {
             let text = if self.ranked { settings(0, self.proxies) } else { settings(copy, self.proxies) };
             let facts = load_balancer::platform_settings::parse(text.as_bytes()).expect("settings");
-            let about = About {
+            let config = RecorderConfig {
                 name: format!("p{copy}"),
                 generation: 1,
                 zone: "a".into(),
                 settings: text,
                 sampled: self.sampled,
-                traces: 60_000,
-                span_ms: 5000.0,
+                max_traces: 60_000,
+                max_span_ms: 5000.0,
             };
             let start = fleet.clock(copy, 0.0);
-            let mut recorder = Recorder::new(about, start);
-            assert!(recorder.table(start, 1).is_none());
-            assert!(recorder.list(start, 7, numbers.iter().copied().zip(listed.clone())).is_none());
+            let mut recorder = Recorder::new(config, start);
+            assert!(recorder.set_table(start, 1).is_none());
+            assert!(recorder.set_list(start, 7, numbers.iter().copied().zip(listed.clone())).is_none());
             if self.ranked {
                 let (alive, known, rank) = (self.proxies as u32, self.proxies as u32, Some(copy as u32));
-                recorder.peers(Peers { alive, known, rank });
+                recorder.set_peers(Peers { alive, known, rank });
             }
             let balancer = Balancer::new(facts.settings, self.seed * 1000 + copy as u64).expect("starts");
             fleet.copies.push((balancer, recorder));
--- a/tests/replay_segments.rs
+++ b/tests/replay_segments.rs
@@ -18,7 +18,7 @@
         assert_eq!((&back.name, back.number, &back.backends), (&s.name, s.number, &s.backends));
         for (a, b) in back.traces.iter().zip(&s.traces) {
             assert!((a.at_ms - b.at_ms).abs() < 0.001 && (a.took_ms - b.took_ms).abs() < 0.001);
-            assert_eq!((a.id, a.ending, a.tries.len()), (b.id, b.ending, b.tries.len()));
+            assert_eq!((a.id, a.ending, a.attempts.len()), (b.id, b.ending, b.attempts.len()));
             assert!(a.at_ms >= START);
         }
         assert_eq!(Segment::decode(&back.encode()), Ok(back), "what was rounded once stays");
@@ -28,14 +28,14 @@
 }
 
 #[rstest]
-#[case(&|s: &mut Segment| s.traces[0].tries[0].backend = 99, "backend")]
+#[case(&|s: &mut Segment| s.traces[0].attempts[0].backend = 99, "backend")]
 #[case(&|s: &mut Segment| s.backends[0].3 = f64::INFINITY, "backends")]
 #[case(&|s: &mut Segment| s.traces.swap(0, 5), "at_ms")]
 #[case(&|s: &mut Segment| s.sampled = 0, "sampled")]
 #[case(&|s: &mut Segment| s.seen = 1, "traces")]
 #[case(&|s: &mut Segment| s.span_ms.0 = f64::NAN, "span_ms")]
 #[case(&|s: &mut Segment| s.name = "n".repeat(300), "name")]
-#[case(&|s: &mut Segment| s.traces[2].patience_ms = 1e9, "patience_ms")]
+#[case(&|s: &mut Segment| s.traces[2].client_timeout_ms = 1e9, "patience_ms")]
 fn what_no_proxy_can_have_recorded_is_turned_down(#[case] spoil: &dyn Fn(&mut Segment), #[case] bad: &str) {
     let (mut segments, _) = World { proxies: 1, seconds: 2.0, ..World::default() }.run();
     spoil(&mut segments[0]);
@@ -73,6 +73,6 @@
     (0..64).for_each(|_| pack.write_all(&[0; 1 << 20]).expect("memory"));
     let body = pack.finish().expect("memory");
     let bomb = [b"TSR\x01", &crc32fast::hash(&body).to_le_bytes()[..], &body].concat();
-    assert_eq!(Segment::decode(&bomb), Err(BadSegment::Swells));
+    assert_eq!(Segment::decode(&bomb), Err(BadSegment::UnpackedTooLong));
     assert_eq!(Segment::decode(&vec![0; 5 << 20]), Err(BadSegment::TooLong { bytes: 5 << 20 }));
 }
--- a/tests/routes/proposals.rs
+++ b/tests/routes/proposals.rs
@@ -1,7 +1,7 @@
 //! Proposals: what is refused, which of two wins, and verdicts.
 
 use crate::route_fleet::*;
-use load_balancer::replay::{Breach, Decision, Unsure};
+use load_balancer::replay::{Breach, CannotTellReason, Decision};
 use load_balancer::route_table::*;
 use rstest::rstest;
 use std::collections::BTreeMap;
@@ -97,7 +97,7 @@
     fleet.says = Decision::Refuse { breach, largest_step: 0.5 };
     fleet.propose(proposal(0, &[("b0", 3.0)])).expect("taken");
     assert_eq!((fleet.end(), fleet.control.newest_revision()), (Some(ProposalOutcome::Refused), 0));
-    fleet.says = Decision::CannotTell(Unsure::Old { age_ms: 2.0, most_ms: 1.0 });
+    fleet.says = Decision::CannotTell(CannotTellReason::Stale { age_ms: 2.0, max_age_ms: 1.0 });
     fleet.propose(proposal(0, &[("b0", 3.0)])).expect("taken");
     assert_eq!(fleet.end(), Some(ProposalOutcome::CannotTell));
     let judged = fleet.judged;
--- a/tests/routes_proxy.rs
+++ b/tests/routes_proxy.rs
@@ -6,7 +6,7 @@
 mod waits;
 
 use fault_relay::Relay;
-use load_balancer::replay::{Ending, Reply, Segment};
+use load_balancer::replay::{AttemptOutcome, Ending, Segment};
 use load_balancer::route_table::{MAX_NAME_BYTES, MAX_WEIGHTS, Weights};
 use rig::*;
 use rstest::rstest;
@@ -204,10 +204,13 @@
         (20, 0)
     );
     let traces: Vec<_> = segments.iter().flat_map(|s| &s.traces).collect();
-    let told: Vec<_> = traces[0].tries.iter().map(|t| (t.reply, t.in_flight)).collect();
-    assert_eq!((traces[0].ending, told), (Ending::Served, vec![(Reply::Error, 0), (Reply::Ok, 0)]));
-    assert!(traces[0].took_ms >= traces[0].tries[1].after_ms && traces[0].patience_ms == 60_000.0);
-    assert!(traces.iter().skip(1).all(|t| t.tries.len() == 1 && t.ending == Ending::Served));
+    let told: Vec<_> = traces[0].attempts.iter().map(|t| (t.outcome, t.in_flight)).collect();
+    assert_eq!(
+        (traces[0].ending, told),
+        (Ending::Served, vec![(AttemptOutcome::Error, 0), (AttemptOutcome::Ok, 0)])
+    );
+    assert!(traces[0].took_ms >= traces[0].attempts[1].after_ms && traces[0].client_timeout_ms == 60_000.0);
+    assert!(traces.iter().skip(1).all(|t| t.attempts.len() == 1 && t.ending == Ending::Served));
     let numbers: Vec<u64> = segments.iter().map(|s| s.number).collect();
     assert_eq!(numbers, Vec::from_iter(1..=segments.len() as u64));
     for Segment { name, backends, settings, .. } in &segments {
