--- a/benches/replay.rs
+++ b/benches/replay.rs
@@ -10,7 +10,7 @@
 
 use load_balancer::interface::Arrival;
 use load_balancer::replay::{AttemptOutcome, Ending, Job, Recorder, RecorderConfig, judge};
-use replay_rig::{START, World, weights};
+use replay_rig::{FleetScenario, START_MS, weights};
 use std::hint::black_box;
 
 const SEEDS: usize = 3;
@@ -23,8 +23,8 @@
     println!("proxies requests/s-each recorded bytes/request verdict-s replayed/s-of-one-core");
     let only_proxies: Option<usize> = std::env::args().find_map(|a| a.parse().ok());
     for proxies in [10, 100, 300].into_iter().filter(|p| only_proxies.is_none_or(|only| only == *p)) {
-        for (load_factor, seconds) in [(1.0, 30.0), (1.0, 120.0), (5.0, 120.0)] {
-            bench_evaluation(proxies, load_factor * FLEET_RATE / proxies as f64, seconds);
+        for (load_factor, duration_s) in [(1.0, 30.0), (1.0, 120.0), (5.0, 120.0)] {
+            bench_evaluation(proxies, load_factor * FLEET_RATE / proxies as f64, duration_s);
         }
     }
     if only_proxies.is_none() {
@@ -36,27 +36,30 @@
 /// Compares predictions with a run of the fleet under the proposal, with another seed.
 fn bench_prediction_errors() {
     println!("proposal: decision; error of the share (mean, most), p50 and p99, per cent");
-    let world = World { rate: 90.0, slots: 6, seconds: 60.0, ..World::default() };
-    let (segments, _) = world.run();
+    let scenario =
+        FleetScenario { requests_per_s: 90.0, slots: 6, duration_s: 60.0, ..FleetScenario::default() };
+    let segments = scenario.run().segments;
     for proposal in
         [&[("s1", 1.1), ("s2", 0.8)][..], &[("s0", 0.5), ("s1", 0.9)], &[("s3", 0.7), ("s4", 0.7)]]
     {
-        let verdict = judge(&world.job(weights(proposal)), &segments, &|_| (), &|| false)
+        let verdict = judge(&scenario.job(weights(proposal)), &segments, &|_| (), &|| false)
             .expect("the evaluation is not cancelled");
         let Some(prediction) = verdict.proposed else {
             println!("{proposal:?}: {:?}", verdict.decision);
             continue;
         };
-        let (after, calls) = World { weights: weights(proposal), seed: 99, ..world.clone() }.run();
+        let after = FleetScenario { weights: weights(proposal), seed: 99, ..scenario.clone() }.run();
+        let calls = after.late_calls;
         let all: u64 = calls.iter().sum();
         let error = |predicted: f64, measured: f64| 100.0 * (predicted - measured).abs() / measured;
-        let shares: Vec<f64> = (0..world.backends)
+        let shares: Vec<f64> = (0..scenario.backends)
             .map(|b| error(prediction.backends[&format!("s{b}")].share.mean, calls[b] as f64 / all as f64))
             .collect();
         let mean = shares.iter().sum::<f64>() / shares.len() as f64;
         let max = shares.iter().fold(0.0, |a, b| b.max(a));
-        let warm_up_end = START + 15_000.0;
-        let measured = after.iter().flat_map(|s| &s.traces).filter(|t| t.class == 0 && t.at_ms > warm_up_end);
+        let warm_up_end = START_MS + 15_000.0;
+        let measured =
+            after.segments.iter().flat_map(|s| &s.traces).filter(|t| t.class == 0 && t.at_ms > warm_up_end);
         let mut latencies_ms: Vec<f64> = measured.map(|t| t.took_ms).collect();
         latencies_ms.sort_by(f64::total_cmp);
         let [p50, p99] =
@@ -82,19 +85,20 @@
         / 1e9
 }
 
-fn bench_evaluation(proxies: usize, rate: f64, seconds: f64) {
+fn bench_evaluation(proxies: usize, requests_per_s: f64, duration_s: f64) {
     let (backends, slots) = (60, 16);
-    let world = World { proxies, backends, slots, rate, seconds, ..World::default() };
-    let (segments, _) = world.run();
+    let scenario =
+        FleetScenario { proxies, backends, slots, requests_per_s, duration_s, ..FleetScenario::default() };
+    let segments = scenario.run().segments;
     let recorded: usize = segments.iter().map(|s| s.traces.len()).sum();
     let bytes: usize = segments.iter().map(|s| s.encode().len()).sum();
-    let job = Job { threads: 1, seeds: SEEDS, ..world.job(weights(&[("s1", 1.1)])) };
+    let job = Job { threads: 1, seeds: SEEDS, ..scenario.job(weights(&[("s1", 1.1)])) };
     let started = cpu_seconds();
     let verdict = judge(&job, &segments, &|_| (), &|| false).expect("the evaluation is not cancelled");
     let took = cpu_seconds() - started;
     let tables = 1 + usize::from(verdict.proposed.is_some());
     println!(
-        "{proxies:7} {rate:15.0} {recorded:8} {:13.1} {took:9.2} {:23.0}",
+        "{proxies:7} {requests_per_s:15.0} {recorded:8} {:13.1} {took:9.2} {:23.0}",
         bytes as f64 / recorded as f64,
         (tables * SEEDS * recorded) as f64 / took,
     );
@@ -124,10 +128,14 @@
         black_box((id(i), arrival(i)));
     });
     for sampled in [1, 655, 65_536] {
-        let mut recorder = Recorder::new(config(sampled), START);
-        recorder.set_list(START, 1, World::default().listed().into_iter().zip(0..).map(|(l, b)| (b, l)));
+        let mut recorder = Recorder::new(config(sampled), START_MS);
+        recorder.set_list(
+            START_MS,
+            1,
+            FleetScenario::default().listed().into_iter().zip(0..).map(|(l, b)| (b, l)),
+        );
         let with_ns = measure(&format!("{sampled} in 65,536 sampled"), &mut |i| {
-            let (id, arrival, now) = black_box((id(i), arrival(i), START + i as f64));
+            let (id, arrival, now) = black_box((id(i), arrival(i), START_MS + i as f64));
             if let Some(hash) = recorder.sampled(&id) {
                 recorder.request_arrived(now, hash, &arrival, 1000.0);
                 recorder.attempt_sent(now, i, (i % 8) as u32, 3);
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -1,160 +1,199 @@
-//! The what-if replay against fleets on a simulated clock: what is recorded, what is judged, and what is not.
+//! Verdicts of the what-if replay on the recorded traffic of simulated fleets.
 
 mod replay_rig;
 
-use load_balancer::replay::{CannotTellReason, Decision, Segment, Verdict, judge};
-use replay_rig::{World, weights};
+use load_balancer::replay::{CannotTellReason, Decision, Job, Segment, Verdict, judge};
+use replay_rig::{FleetScenario, weights};
 use rstest::rstest;
 
-fn judged(world: &World, proposal: &[(&str, f64)], segments: &[Segment]) -> Verdict {
-    judge(&world.job(weights(proposal)), segments, &|_| (), &|| false).expect("not cancelled")
+/// The verdict on new weights for some backends.
+fn evaluate(scenario: &FleetScenario, proposal: &[(&str, f64)], segments: &[Segment]) -> Verdict {
+    judge(&scenario.job(weights(proposal)), segments, &|_| (), &|| false)
+        .expect("the evaluation is not cancelled")
 }
 
-/// Small, for tests of what comes before the replay.
-fn little() -> World {
-    World { proxies: 5, seconds: 10.0, ..World::default() }
+/// A short simulation, for tests that do not depend on the quality of the prediction.
+fn short_scenario() -> FleetScenario {
+    FleetScenario { proxies: 5, duration_s: 10.0, ..FleetScenario::default() }
 }
 
 #[test]
-fn two_replays_of_one_seed_are_equal_to_the_byte_whatever_the_threads() {
-    let (world, proposal) = (little(), weights(&[("s1", 1.3)]));
-    let (mut segments, _) = world.run();
+fn verdicts_with_the_same_seed_do_not_depend_on_threads_or_segment_order() {
+    let scenario = short_scenario();
+    let proposal = weights(&[("s1", 1.3)]);
+    let mut segments = scenario.run().segments;
     let verdict = |threads, segments: &[Segment]| {
-        let job = load_balancer::replay::Job { threads, seeds: 4, ..world.job(proposal.clone()) };
-        serde_json::to_string(&judge(&job, segments, &|_| (), &|| false)).expect("JSON")
+        let job = Job { threads, seeds: 4, ..scenario.job(proposal.clone()) };
+        serde_json::to_string(&judge(&job, segments, &|_| (), &|| false)).expect("a verdict is valid JSON")
     };
-    let one = verdict(1, &segments);
-    assert_eq!(one, verdict(4, &segments));
+    let single_threaded = verdict(1, &segments);
+    assert_eq!(single_threaded, verdict(4, &segments));
     segments.reverse();
-    assert_eq!(one, verdict(2, &segments), "the order in which segments came decides nothing");
-    let moved = load_balancer::replay::Job { seed: 9, ..world.job(proposal.clone()) };
-    let other = serde_json::to_string(&judge(&moved, &segments, &|_| (), &|| false)).expect("JSON");
-    assert_ne!(one, other, "another seed is other luck");
+    assert_eq!(
+        single_threaded,
+        verdict(2, &segments),
+        "the verdict does not depend on the order of the segments"
+    );
+    let other_job = Job { seed: 9, ..scenario.job(proposal.clone()) };
+    let other_seed = serde_json::to_string(&judge(&other_job, &segments, &|_| (), &|| false))
+        .expect("a verdict is valid JSON");
+    assert_ne!(single_threaded, other_seed, "another seed gives other figures");
 }
 
-/// Busy enough that a backend's slots are often all taken: what it bears can be seen.
-fn busy() -> World {
-    World { rate: 90.0, slots: 6, ..World::default() }
+/// A fleet whose backends often have no free slot, so that the records show their capacity.
+fn busy_scenario() -> FleetScenario {
+    FleetScenario { requests_per_s: 90.0, slots: 6, ..FleetScenario::default() }
 }
 
 #[test]
-fn a_backend_that_would_get_three_times_what_it_bears_is_named_and_the_step_that_passes_is_admitted() {
-    let world = busy();
-    let (segments, _) = world.run();
+fn a_proposal_that_overloads_a_backend_is_refused_and_its_largest_step_is_admitted() {
+    let scenario = busy_scenario();
+    let segments = scenario.run().segments;
     let proposal = [("s1", 8.0)];
-    let verdict = judged(&world, &proposal, &segments);
+    let verdict = evaluate(&scenario, &proposal, &segments);
     let Decision::Refuse { breach, largest_step } = verdict.decision else {
         panic!("{:?}", verdict.decision)
     };
     assert_eq!((breach.kind.as_str(), breach.name.as_str()), ("backend", "s1"));
     assert!(breach.predicted > breach.bound && largest_step > 0.0 && largest_step < 1.0, "{largest_step}");
-    let job = world.job(weights(&proposal));
-    let step = load_balancer::replay::Job { proposal: job.interpolate(largest_step), ..job };
-    let verdict = judge(&step, &segments, &|_| (), &|| false).expect("not cancelled");
+    let job = scenario.job(weights(&proposal));
+    let step_job = Job { proposal: job.interpolate(largest_step), ..job };
+    let verdict = judge(&step_job, &segments, &|_| (), &|| false).expect("the evaluation is not cancelled");
     assert_eq!(verdict.decision, Decision::Admit);
 }
 
 #[test]
-fn a_mild_proposal_is_admitted_and_what_follows_lies_in_the_intervals() {
-    let world = busy();
-    let (segments, _) = world.run();
+fn a_small_change_is_admitted_and_the_measured_figures_lie_in_the_predicted_intervals() {
+    let scenario = busy_scenario();
+    let segments = scenario.run().segments;
     let proposal = [("s1", 1.1), ("s2", 0.8)];
-    let verdict = judged(&world, &proposal, &segments);
+    let verdict = evaluate(&scenario, &proposal, &segments);
     assert_eq!(verdict.decision, Decision::Admit);
-    let after = World { weights: weights(&proposal), seed: 77, ..world };
-    let (segments, sent) = after.run();
-    let predicted = verdict.proposed.expect("predicted");
-    let all: u64 = sent.iter().sum();
-    for (b, &sent) in sent.iter().enumerate() {
-        let (share, range) = (sent as f64 / all as f64, predicted.backends[&format!("s{b}")].share);
-        assert!((range.low..=range.high).contains(&share), "s{b}: {share} {range:?}");
+    let after = FleetScenario { weights: weights(&proposal), seed: 77, ..scenario };
+    let measured = after.run();
+    let predicted = verdict.proposed.expect("an admitted proposal has a prediction");
+    let all_calls: u64 = measured.late_calls.iter().sum();
+    for (index, &calls) in measured.late_calls.iter().enumerate() {
+        let share = calls as f64 / all_calls as f64;
+        let range = predicted.backends[&format!("s{index}")].share;
+        assert!((range.low..=range.high).contains(&share), "s{index}: {share} {range:?}");
     }
     for (class, name) in ["look", "book"].iter().enumerate() {
-        let traces = segments.iter().flat_map(|s| &s.traces).filter(|t| usize::from(t.class) == class);
-        let mut took: Vec<f64> = traces.map(|t| t.took_ms).collect();
-        took.sort_by(f64::total_cmp);
-        for (u, range) in [(0.5, predicted.classes[*name].p50_ms), (0.99, predicted.classes[*name].p99_ms)] {
-            let measured = took[(u * took.len() as f64) as usize];
-            assert!((range.low..=range.high).contains(&measured), "{name} {u}: {measured} {range:?}");
+        let traces = measured.segments.iter().flat_map(|segment| &segment.traces);
+        let of_class = traces.filter(|trace| usize::from(trace.class) == class);
+        let mut latencies_ms: Vec<f64> = of_class.map(|trace| trace.took_ms).collect();
+        latencies_ms.sort_by(f64::total_cmp);
+        for (quantile, range) in
+            [(0.5, predicted.classes[*name].p50_ms), (0.99, predicted.classes[*name].p99_ms)]
+        {
+            let latency_ms = latencies_ms[(quantile * latencies_ms.len() as f64) as usize];
+            assert!(
+                (range.low..=range.high).contains(&latency_ms),
+                "{name} {quantile}: {latency_ms} {range:?}"
+            );
         }
     }
 }
 
 #[test]
-fn a_judge_that_is_cancelled_says_nothing() {
-    let world = little();
-    let (segments, _) = world.run();
-    let looks = std::cell::Cell::new(0);
-    let job = world.job(weights(&[("s1", 1.3)]));
-    let cancelled = || looks.replace(looks.get() + 1) >= 1;
+fn a_cancelled_evaluation_gives_no_verdict() {
+    let scenario = short_scenario();
+    let segments = scenario.run().segments;
+    let checks = std::cell::Cell::new(0);
+    let job = scenario.job(weights(&[("s1", 1.3)]));
+    let cancelled = || checks.replace(checks.get() + 1) >= 1;
     assert_eq!(judge(&job, &segments, &|_| (), &cancelled), None);
-    assert!(looks.get() >= 2, "asked again in the middle of the replay");
+    assert!(checks.get() >= 2, "cancellation is checked again during the replay");
 }
 
 #[rstest]
-#[case::one_proxy_in_five(&|s: &mut Vec<Segment>| s.retain(|s| s.name == "p0"), "coverage")]
-#[case::all_of_another_table(&|s: &mut Vec<Segment>| s.iter_mut().for_each(|s| s.revision = 2), "coverage")]
-#[case::most_dropped(&|s: &mut Vec<Segment>| s.iter_mut().for_each(|s| s.dropped = 4 * s.seen), "coverage")]
+#[case::only_one_proxy_of_five(&|s: &mut Vec<Segment>| s.retain(|s| s.name == "p0"), "coverage")]
+#[case::records_of_another_table(&|s: &mut Vec<Segment>| s.iter_mut().for_each(|s| s.revision = 2), "coverage")]
+#[case::most_traces_dropped(&|s: &mut Vec<Segment>| s.iter_mut().for_each(|s| s.dropped = 4 * s.seen), "coverage")]
 #[case::half_of_the_segments_lost(&|s: &mut Vec<Segment>| s.retain(|s| (s.number + s.name.len() as u64 + u64::from(s.name.as_bytes()[1])).is_multiple_of(2)), "coverage")]
 #[case::another_list(&|s: &mut Vec<Segment>| {
     s.iter_mut().flat_map(|s| &mut s.backends).filter(|b| b.0 == "s3").for_each(|b| b.0 = "old".into());
 }, "other_list")]
-#[case::an_old_one(&|s: &mut Vec<Segment>| s.iter_mut().for_each(|s| {
+#[case::old_records(&|s: &mut Vec<Segment>| s.iter_mut().for_each(|s| {
     (s.span_ms.0, s.span_ms.1) = (s.span_ms.0 - 2e6, s.span_ms.1 - 2e6);
     s.traces.iter_mut().for_each(|t| t.at_ms -= 2e6);
 }), "old")]
-#[case::shares_that_the_module_would_not_give(&|s: &mut Vec<Segment>| {
-    let tries = s.iter_mut().flat_map(|s| &mut s.traces).flat_map(|t| &mut t.attempts);
-    tries.filter(|a| a.backend == 0).for_each(|a| a.backend = 1);
+#[case::shares_that_the_module_does_not_reproduce(&|s: &mut Vec<Segment>| {
+    let attempts = s.iter_mut().flat_map(|s| &mut s.traces).flat_map(|t| &mut t.attempts);
+    attempts.filter(|a| a.backend == 0).for_each(|a| a.backend = 1);
 }, "back_test")]
-fn what_the_records_cannot_tell_is_said(#[case] spoil: &dyn Fn(&mut Vec<Segment>), #[case] why: &str) {
-    let world = little();
-    let (mut segments, _) = world.run();
-    // Seen again: a segment that comes twice counts once.
+fn insufficient_or_inconsistent_records_give_the_reason(
+    #[case] corrupt: &dyn Fn(&mut Vec<Segment>),
+    #[case] why: &str,
+) {
+    let scenario = short_scenario();
+    let mut segments = scenario.run().segments;
+    // A segment that arrives twice must count once.
     segments.extend(segments.clone());
-    spoil(&mut segments);
-    let verdict = judged(&world, &[("s1", 1.3)], &segments);
-    let Decision::CannotTell(unsure) = &verdict.decision else { panic!("{:?}", verdict.decision) };
-    assert_eq!(serde_json::to_value(unsure).expect("JSON")["why"], why);
-    if let CannotTellReason::ListMismatch { differing_backends } = unsure {
+    corrupt(&mut segments);
+    let verdict = evaluate(&scenario, &[("s1", 1.3)], &segments);
+    let Decision::CannotTell(reason) = &verdict.decision else { panic!("{:?}", verdict.decision) };
+    assert_eq!(serde_json::to_value(reason).expect("a verdict is valid JSON")["why"], why);
+    if let CannotTellReason::ListMismatch { differing_backends } = reason {
         assert_eq!(*differing_backends, ["old", "s3"]);
     }
 }
 
 #[test]
-fn a_clock_that_is_off_and_a_proxy_that_was_killed_leave_the_rest_to_be_judged() {
-    let world = World { proxies: 6, seconds: 30.0, off: [(2, 5000.0)].into(), ..World::default() };
-    let (mut segments, _) = world.run();
+fn a_wrong_clock_a_killed_proxy_and_a_lost_segment_do_not_prevent_a_verdict() {
+    let scenario = FleetScenario {
+        proxies: 6,
+        duration_s: 30.0,
+        clock_offsets_ms: [(2, 5000.0)].into(),
+        ..FleetScenario::default()
+    };
+    let mut segments = scenario.run().segments;
     segments.retain(|s| s.name != "p4" || s.number <= 3);
     segments.retain(|s| s.name != "p1" || s.number != 3);
-    let verdict = judged(&world, &[("s1", 1.1)], &segments);
+    let verdict = evaluate(&scenario, &[("s1", 1.1)], &segments);
     assert_eq!(verdict.decision, Decision::Admit);
 }
 
 #[test]
-fn proxies_that_membership_parts_are_parted_in_the_replay() {
-    // Few proxies for many backends: who has which is seen in the shares.
-    let world = World { ranked: true, proxies: 3, backends: 36, slots: 2, rate: 40.0, ..World::default() };
-    let (mut segments, _) = world.run();
-    assert_eq!(judged(&world, &[("s1", 1.1)], &segments).decision, Decision::Admit);
+fn proxies_ranked_by_membership_have_the_same_subsets_in_the_replay() {
+    // With few proxies for many backends, the shares of calls show which proxy has which subset.
+    let scenario = FleetScenario {
+        ranks_by_membership: true,
+        proxies: 3,
+        backends: 36,
+        slots: 2,
+        requests_per_s: 40.0,
+        ..FleetScenario::default()
+    };
+    let mut segments = scenario.run().segments;
+    assert_eq!(evaluate(&scenario, &[("s1", 1.1)], &segments).decision, Decision::Admit);
     segments.iter_mut().for_each(|s| s.peers = None);
-    let alone = judged(&world, &[("s1", 1.1)], &segments).decision;
-    assert!(matches!(alone, Decision::CannotTell(CannotTellReason::BackTest { .. })), "{alone:?}");
+    let without_ranks = evaluate(&scenario, &[("s1", 1.1)], &segments).decision;
+    assert!(
+        matches!(without_ranks, Decision::CannotTell(CannotTellReason::BackTest { .. })),
+        "{without_ranks:?}"
+    );
 }
 
 #[test]
-fn a_tier_behind_sets_the_clocks() {
-    // Each request of p0 runs within an attempt of `front`, whose clock is right; p0's is 5 s ahead.
-    let world = World { proxies: 3, seconds: 12.0, off: [(0, 5000.0)].into(), ..World::default() };
-    let (segments, _) = world.run();
+fn requests_shared_with_another_tier_align_the_clocks() {
+    // Each request of p0 and p1 runs within an attempt of the proxy `front` of another tier. The clock of p0 is 5 s ahead,
+    // those of the others are right.
+    let scenario = FleetScenario {
+        proxies: 3,
+        duration_s: 12.0,
+        clock_offsets_ms: [(0, 5000.0)].into(),
+        ..FleetScenario::default()
+    };
+    let segments = scenario.run().segments;
     let mut front: Vec<Segment> = segments.iter().filter(|s| s.name != "p2").cloned().collect();
     for s in &mut front {
-        let off = if s.name == "p0" { 5000.0 } else { 0.0 };
+        let offset_ms = if s.name == "p0" { 5000.0 } else { 0.0 };
         s.settings = s.settings.replace("\"slotNo\":1", "\"slotNo\":0");
         s.settings = s.settings.replace("\"tier\":0", "\"tier\":1");
-        (s.name, s.span_ms) = ("front".into(), (s.span_ms.0 - off, s.span_ms.1 - off));
+        (s.name, s.span_ms) = ("front".into(), (s.span_ms.0 - offset_ms, s.span_ms.1 - offset_ms));
         for t in &mut s.traces {
-            t.at_ms -= off + 10.0;
+            t.at_ms -= offset_ms + 10.0;
             t.attempts.truncate(1);
             t.attempts.iter_mut().for_each(|a| (a.after_ms, a.wait_ms) = (5.0, t.took_ms + 10.0));
         }
@@ -162,24 +201,28 @@
     for (i, s) in front.iter_mut().enumerate() {
         s.number = 1 + i as u64;
     }
-    let swap =
+    let in_tier_2 =
         |s: &Segment| Segment { settings: s.settings.replace("\"tier\":0", "\"tier\":2"), ..s.clone() };
-    let behind: Vec<Segment> = segments.iter().map(swap).collect();
-    let job = load_balancer::replay::Job { tier: Some(2), ..world.job(weights(&[("s1", 1.1)])) };
-    let requests =
-        |segments: &[Segment]| judge(&job, segments, &|_| (), &|| false).expect("a verdict").requests;
+    let behind: Vec<Segment> = segments.iter().map(in_tier_2).collect();
+    let job = Job { tier: Some(2), ..scenario.job(weights(&[("s1", 1.1)])) };
+    let requests = |segments: &[Segment]| {
+        judge(&job, segments, &|_| (), &|| false).expect("the evaluation is not cancelled").requests
+    };
     let all: usize = behind.iter().map(|s| s.traces.len()).sum();
     let aligned = requests(&[behind.clone(), front].concat());
-    assert!(aligned as f64 > 0.99 * all as f64, "{aligned} of {all} lie in the fleet's window");
-    assert!((requests(&behind) as f64) < 0.9 * all as f64, "without, the one ahead falls out of it");
+    assert!(aligned as f64 > 0.99 * all as f64, "{aligned} of {all} requests lie in the fleet's window");
+    assert!(
+        (requests(&behind) as f64) < 0.9 * all as f64,
+        "without shared requests, those of the proxy that is ahead lie outside of it"
+    );
 }
 
 #[test]
-fn one_request_in_five_tells_as_much_of_what_breaks() {
-    let world = World { sampled: 13_107, seconds: 60.0, ..busy() };
-    let (segments, _) = world.run();
-    assert_eq!(judged(&world, &[("s1", 1.1), ("s2", 0.8)], &segments).decision, Decision::Admit);
-    let decision = judged(&world, &[("s1", 8.0)], &segments).decision;
+fn a_sample_of_one_request_in_five_gives_the_same_decisions() {
+    let scenario = FleetScenario { sampled: 13_107, duration_s: 60.0, ..busy_scenario() };
+    let segments = scenario.run().segments;
+    assert_eq!(evaluate(&scenario, &[("s1", 1.1), ("s2", 0.8)], &segments).decision, Decision::Admit);
+    let decision = evaluate(&scenario, &[("s1", 8.0)], &segments).decision;
     let Decision::Refuse { breach, .. } = decision else { panic!("{decision:?}") };
     assert_eq!(breach.name, "s1");
 }
