--- a/src/bin/proxy/recorder/shipping.rs
+++ b/src/bin/proxy/recorder/shipping.rs
@@ -67,7 +67,10 @@
         match call(connection, registries.address(), put, &self.traffic).await {
             Ok(_) => {
                 if registries.record_success() {
-                    info!("record: {} takes segments, on from {number}", registries.address());
+                    info!(
+                        "record: {} accepts segments again, from segment {number} on",
+                        registries.address()
+                    );
                 }
                 self.count(|counts| {
                     counts.segments += 1;
--- a/src/replay/calls_in_flight.rs
+++ b/src/replay/calls_in_flight.rs
@@ -22,7 +22,7 @@
 /// Counts of recorded calls in flight.
 struct Counts {
     by_backend: Vec<u32>,
-    /// By proxy, then by backend.
+    /// Counts by proxy, then by backend.
     by_proxy: Vec<u32>,
 }
 
--- a/src/replay/clock_offsets.rs
+++ b/src/replay/clock_offsets.rs
@@ -8,9 +8,9 @@
 use super::{Segment, Trace};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// Shared requests that an offset between two proxies needs: the ids of two requests may be equal by chance.
+/// Minimum number of shared requests for an offset between two proxies, as two requests' ids may be equal by chance.
 const MIN_SHARED_REQUESTS: usize = 8;
-/// Most traces of one id: more of them are not one request.
+/// Maximum number of traces of one id that are taken for one request.
 const MAX_TRACES_OF_REQUEST: usize = 4;
 
 /// A request as one proxy recorded it.
@@ -20,7 +20,7 @@
     trace: &'a Trace,
 }
 
-/// By how much (ms) one clock is behind another one, by one shared request.
+/// Bounds (ms) of the time that one clock is behind another one, from one shared request.
 struct OffsetBounds {
     low_ms: f64,
     high_ms: f64,
@@ -29,8 +29,8 @@
 /// Bounds by pair of proxies, the lower index first: by how much the second clock is behind the first one.
 type PairBounds = BTreeMap<(usize, usize), Vec<OffsetBounds>>;
 
-/// What to add (ms) to the times of each proxy, given its tier. Proxies that share no requests with another tier's have
-/// no entry and keep their clocks.
+/// The correction (ms) to add to the times of each proxy, by name, given the tiers. Proxies that share no
+/// requests with another tier's have no entry and keep their clocks.
 pub(super) fn offsets<'a>(segments: &'a [Segment], tiers: &BTreeMap<&'a str, u32>) -> BTreeMap<&'a str, f64> {
     if tiers.values().all(|tier| Some(tier) == tiers.values().next()) {
         return BTreeMap::new();
@@ -67,8 +67,8 @@
     pairs
 }
 
-/// By how much the clock of `inner` is behind that of `outer`. The attempt that held the inner request is taken to be
-/// the shortest one that is long enough.
+/// Bounds of the time that the clock of `inner` is behind that of `outer`. The inner request is taken to have
+/// run within the shortest attempt that is long enough.
 fn bounds(outer: &Trace, inner: &Trace) -> Option<OffsetBounds> {
     let long_enough = outer.attempts.iter().filter(|attempt| attempt.wait_ms >= inner.took_ms);
     let attempt = long_enough.min_by(|a, b| a.wait_ms.total_cmp(&b.wait_ms))?;
@@ -79,7 +79,8 @@
     })
 }
 
-/// For each proxy, those that it shares enough requests with, and what to add (ms) to their clocks to get its own.
+/// For each proxy, the proxies that it shares enough requests with, and the time (ms) to add to their clocks to get its
+/// own.
 fn neighbours(pairs: PairBounds, proxies: usize) -> Vec<Vec<(usize, f64)>> {
     let mut neighbours = vec![Vec::new(); proxies];
     for ((first, second), bounds) in pairs {
--- a/src/replay/conditions.rs
+++ b/src/replay/conditions.rs
@@ -25,25 +25,25 @@
 pub(super) struct Condition {
     /// Latency relative to that over the whole record.
     pub(super) relative_latency: f64,
-    /// By kind of failure, the probability of it or of one before it in [`FAILURES`].
+    /// Probability of a kind of failure or of one before it in [`FAILURES`], by kind.
     pub(super) cumulative_failure_rates: [f64; FAILURES.len()],
 }
 
 /// The conditions of all backends in all windows.
 pub(super) struct Conditions {
     windows: usize,
-    /// By backend, then by window.
+    /// Conditions by backend, then by window.
     conditions: Vec<Condition>,
 }
 
-/// What was recorded at a backend in one window, or in all of them.
+/// Sums over the recorded calls at a backend in one window, or in all of them.
 #[derive(Clone, Copy, Default)]
 struct Observations {
     calls: f64,
     answers: f64,
     sum_of_residuals: f64,
     sum_of_squares: f64,
-    /// By kind of failure.
+    /// Number of failed calls by kind of failure, in the order of [`FAILURES`].
     failures: [f64; FAILURES.len()],
 }
 
@@ -84,7 +84,7 @@
     ((at_ms / WINDOW_MS).max(0.0) as usize).min(windows - 1)
 }
 
-/// What was recorded, by backend, then by window.
+/// Observations in the records, by backend, then by window.
 fn observations(
     records: &RecordedTraffic,
     windows: usize,
@@ -99,8 +99,8 @@
         {
             continue;
         }
-        let place = call.backend as usize * windows + window(call.at_ms, windows);
-        let observed = &mut observations[place];
+        let index_of_window = call.backend as usize * windows + window(call.at_ms, windows);
+        let observed = &mut observations[index_of_window];
         if let Some(failure) = FAILURES.iter().position(|failure| *failure == call.outcome) {
             observed.failures[failure] += 1.0;
             observed.calls += 1.0;
@@ -115,7 +115,7 @@
     observations
 }
 
-/// By class, the longest wait (ms) for an answer.
+/// The longest wait (ms) for an answer, by class.
 fn longest_answers_ms(records: &RecordedTraffic) -> Vec<f64> {
     let mut longest = vec![0.0_f64; records.classes.len()];
     for call in records.calls.iter().filter(|call| call.outcome == AttemptOutcome::Ok) {
@@ -125,7 +125,8 @@
     longest
 }
 
-/// One backend's condition in each window. It stays the same while no calls go there.
+/// The condition of one backend in each window. A window without calls, or with too few calls
+/// of which some failed, has the condition of the one before.
 fn conditions_of_backend(windows: &[Observations]) -> Vec<Condition> {
     let mut overall = Observations::default();
     windows.iter().for_each(|window| overall.add(window));
--- a/src/replay/evaluate.rs
+++ b/src/replay/evaluate.rs
@@ -1,7 +1,7 @@
 //! Evaluates a proposed route table against the recorded traffic.
 //!
 //! The registry calls [`judge`] for each evaluation of a proposal: once, and again if the endpoint list changes or the
-//! registry starts anew. It answers in this order:
+//! registry restarts. It answers in this order:
 //! - the records do not suffice (`cannot_tell`);
 //! - the back-test fails: the table in force, replayed, does not give what was recorded (`cannot_tell`);
 //! - the proposal breaks a bound (`refuse`), with the largest step towards it that would pass, found by bisection;
--- a/src/replay/job.rs
+++ b/src/replay/job.rs
@@ -18,7 +18,7 @@
     pub share: f64,
 }
 
-/// Bounds of an evaluation: what the records and the back-test must meet for a decision, and what a proposal may change.
+/// Bounds of an evaluation: the requirements on the records and the back-test, and the changes a proposal may bring.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
--- a/src/replay/model/fit.rs
+++ b/src/replay/model/fit.rs
@@ -15,7 +15,7 @@
 const PRIOR_CALLS: f64 = 8.0;
 /// Calls of a class at a backend from which these have a residual distribution of their own.
 const MIN_CALLS_FOR_OWN_RESIDUALS: usize = 400;
-/// Least time (ms) that a call takes at its backend.
+/// Minimum time (ms) of a call at its backend.
 const MIN_WORK_MS: f64 = 0.01;
 
 /// Whether a call's latency was recorded to its end.
@@ -53,20 +53,20 @@
     }
 }
 
-/// The records and what was estimated from them so far. Calls are meant by their index in the records.
+/// The records and the estimates made from them so far. Calls are identified by their index in the records.
 pub(super) struct Fit<'a> {
     pub(super) records: &'a RecordedTraffic,
-    /// By call, the fleet's calls in flight at its backend.
+    /// The fleet's calls in flight at the backend of each call, by call.
     pub(super) in_flight: Vec<f64>,
-    /// By proxy, then by backend.
+    /// Latency (ms) between the zones, by proxy, then by backend.
     pub(super) zone_latency_ms: Vec<f64>,
-    /// By class, the mean time at the backends.
+    /// Mean time (ms) of a call at the backends, by class.
     pub(super) class_means_ms: Vec<f64>,
     /// Answered calls by backend.
     pub(super) answered: Vec<Vec<usize>>,
-    /// By backend.
+    /// Load curves by backend.
     pub(super) load_curves: Vec<LoadCurve>,
-    /// By backend, then by class, the latency without load relative to the class's mean.
+    /// Latency without load relative to the class's mean, by backend, then by class.
     pub(super) speeds: Vec<f64>,
 }
 
@@ -118,19 +118,19 @@
         call.backend as usize * self.records.classes.len() + usize::from(call.class)
     }
 
-    /// Latency relative to the class's mean.
+    /// Latency of a call relative to the mean of its class.
     pub(super) fn relative_latency(&self, call: usize) -> f64 {
         let call = &self.records.calls[call];
         self.work_ms(call) / self.class_means_ms[usize::from(call.class)]
     }
 
-    /// Latency relative to the class's mean, without the part that is due to the load.
+    /// Latency of a call relative to the mean of its class, without the effect of the load.
     fn unloaded_latency(&self, call: usize) -> f64 {
         let curve = &self.load_curves[self.records.calls[call].backend as usize];
         self.relative_latency(call) / curve.relative_latency(self.in_flight[call])
     }
 
-    /// The part of the latency that class, backend and load do not explain, as a factor.
+    /// The factor of a call's latency that class, backend and load do not explain.
     fn residual(&self, call: usize) -> f64 {
         self.unloaded_latency(call) / self.speeds[self.backend_and_class(call)]
     }
@@ -211,7 +211,8 @@
     FAILURES.iter().map(|&failure| Quantiles::of(waits(failure).collect())).collect()
 }
 
-/// By class, the median time (ms) at the proxy; 0 where no request of the class was served.
+/// Median time (ms) from the end of a request's answered attempt to its own end, by class; 0 for a class
+/// without answered requests.
 fn proxy_time_ms(records: &RecordedTraffic) -> Vec<f64> {
     let mut times: Vec<Vec<f64>> = vec![Vec::new(); records.classes.len()];
     for request in &records.requests {
--- a/src/replay/model/load.rs
+++ b/src/replay/model/load.rs
@@ -1,4 +1,4 @@
-//! Fits what depends on the load of a backend: its load curve, and the load from which it rejects calls.
+//! Fits the effects of the load of a backend: its load curve, and the load from which it rejects calls.
 
 use super::fit::{Fit, Sum};
 use crate::replay::AttemptOutcome;
@@ -10,7 +10,7 @@
 const MIN_CALLS_FOR_OWN_CURVE: usize = 500;
 /// Calls from which a backend's own load curve is used even if it is flat.
 const MIN_CALLS_FOR_OWN_FLAT_CURVE: usize = 5000;
-/// Most calls that a load curve is fitted to.
+/// Maximum number of calls that a load curve is fitted to.
 const MAX_CURVE_SAMPLES: usize = 20_000;
 /// Rejected calls from which the load at which a backend rejects is known.
 const MIN_REJECTED_CALLS: usize = 20;
--- a/src/replay/model/mod.rs
+++ b/src/replay/model/mod.rs
@@ -24,12 +24,12 @@
     residuals: usize,
 }
 
-/// How the backends answer.
+/// A model of how the backends answer calls, fitted to the records.
 pub(super) struct Model {
     classes: usize,
-    /// By backend.
+    /// Load curves by backend.
     load_curves: Vec<LoadCurve>,
-    /// By backend, then by class.
+    /// Latencies without load, by backend, then by class.
     latencies: Vec<ClassLatency>,
     /// Distributions of the residuals.
     residuals: Vec<Quantiles>,
@@ -40,13 +40,13 @@
     rejects_from: Vec<f64>,
     /// Time (ms) after which calls fail, by kind of failure.
     failed_after_ms: Vec<Quantiles>,
-    /// Most calls in flight that were recorded, by backend.
+    /// Maximum recorded number of calls in flight, by backend.
     pub(super) peak_in_flight: Vec<f64>,
-    /// Median time (ms) that a request takes at the proxy, besides the wait for its answer. By class.
+    /// Median time (ms) from the end of a request's answered attempt to its own end, by class.
     pub(super) proxy_time_ms: Vec<f64>,
 }
 
-/// A call as it is sent.
+/// A call that is sent to a backend in the simulation.
 pub(super) struct SimulatedCall {
     /// Index of the proxy.
     pub(super) proxy: usize,
@@ -61,12 +61,13 @@
 }
 
 impl Model {
-    /// Calls in flight that a backend can take, as far as the records show it; else infinite.
+    /// Number of calls in flight at which a backend's capacity is reached; infinite where the records do not show it.
     pub(super) fn capacity(&self, backend: usize) -> f64 {
         self.load_curves[backend].capacity().min(self.rejects_from[backend])
     }
 
-    /// How a call ends, and after how long (ms); `Timeout` for one that is never answered.
+    /// Draws the outcome of a call and the time (ms) to its end. The outcome of a call that is never answered is
+    /// `Timeout`.
     pub(super) fn answer(
         &self,
         call: &SimulatedCall,
--- a/src/replay/model/zone_latency.rs
+++ b/src/replay/model/zone_latency.rs
@@ -1,4 +1,4 @@
-//! The latency between zones: what a call to another zone takes more than one within the backend's own zone.
+//! The latency between zones: the additional latency of a call from another zone over one from the backend's own zone.
 //!
 //! For each backend and class, the 10th percentile of the latencies of answers to one zone is compared with that of the
 //! answers to the backend's own zone; the median of the differences over backends and classes is taken.
--- a/src/replay/quantiles.rs
+++ b/src/replay/quantiles.rs
@@ -1,6 +1,6 @@
 //! Empirical distributions, kept as quantiles of the recorded values.
 
-/// Most quantiles that are kept of one distribution.
+/// Maximum number of quantiles kept of one distribution.
 const MAX_QUANTILES: usize = 1024;
 
 /// An empirical distribution, by evenly spaced quantiles in ascending order.
--- a/src/replay/recorded_traffic/merge.rs
+++ b/src/replay/recorded_traffic/merge.rs
@@ -9,11 +9,11 @@
 /// The time that the records cover, from the median start of the proxies to their median end: one clock that is off
 /// moves neither.
 pub(super) struct Window<'a> {
-    /// What to add (ms) to the times of each proxy, by name.
+    /// Correction (ms) to add to the times of each proxy, by name.
     offsets_ms: BTreeMap<&'a str, f64>,
     start_ms: f64,
     pub(super) length_ms: f64,
-    /// Proxies that recorded.
+    /// Number of proxies with records.
     proxies: usize,
 }
 
@@ -39,7 +39,7 @@
 }
 
 impl RecordedTraffic {
-    /// Adds the segments, and sets which share of the fleet's time they cover.
+    /// Adds the segments and sets [`RecordedTraffic::covered`].
     pub(super) fn merge(&mut self, job: &Job, segments: &[&Segment], window: &Window) {
         let indices: HashMap<&str, u32> =
             job.listed.iter().map(|backend| backend.host.as_str()).zip(0..).collect();
@@ -85,7 +85,7 @@
         self.covered = (covered / fleet.max(window.proxies as f64)).min(1.0);
     }
 
-    /// What membership told the last proxy, if it is news.
+    /// Adds the membership that the last proxy was told, if it changed.
     fn add_peers(&mut self, segment: &Segment, start_ms: f64) {
         if let (Some(peers), Some(proxy)) = (segment.peers, self.proxies.last_mut())
             && proxy.peers.last().is_none_or(|(_, last)| *last != peers)
@@ -94,16 +94,17 @@
         }
     }
 
-    /// Index of a class of the fleet, by name; one without a name is called by its index in the settings.
+    /// Returns the index of a class by name, and adds the class if it is new. A class without a name gets one from its index
+    /// in the settings.
     fn class_index(&mut self, name: Option<&String>, index: usize) -> u16 {
         let name = name.filter(|name| !name.is_empty()).cloned();
         let name = name.unwrap_or_else(|| format!("class {index}"));
         let known = self.classes.iter().position(|class| *class == name);
-        let place = known.unwrap_or_else(|| {
+        let index = known.unwrap_or_else(|| {
             self.classes.push(name);
             self.classes.len() - 1
         });
-        place as u16
+        index as u16
     }
 
     /// Adds a request of the last proxy and its calls, unless it arrived outside the window. `classes` and `backends`
--- a/src/replay/recorded_traffic/mod.rs
+++ b/src/replay/recorded_traffic/mod.rs
@@ -9,60 +9,60 @@
 use merge::Window;
 use selection::Selection;
 
-/// Most requests of a replay, including those that recorded ones stand for.
+/// Maximum number of requests in a replay, including those that the sampling left out.
 const MAX_REPLAYED_REQUESTS: f64 = 3e6;
 
 /// One proxy process of the fleet.
 pub(super) struct RecordedProxy {
     pub(super) zone: String,
-    /// The zones in the order of its settings.
+    /// Zones in the order of the proxy's settings.
     pub(super) zones: Vec<String>,
     pub(super) settings: Settings,
     /// Requests that one recorded request stands for.
     pub(super) scale: f64,
-    /// Seed of its decision module's random numbers.
+    /// Part of the decision module's seed that is specific to the proxy.
     pub(super) seed: u64,
-    /// What membership told it, and from when (ms) on.
+    /// Membership that the proxy was told, each with the time (ms) from which it applied.
     pub(super) peers: Vec<(f64, Peers)>,
 }
 
-/// A recorded request.
+/// A request in the records.
 pub(super) struct RecordedRequest {
-    /// Index of its proxy.
+    /// Index of the proxy.
     pub(super) proxy: u32,
     pub(super) id: u64,
     pub(super) at_ms: f64,
-    /// Index of its class among those of the fleet.
+    /// Index of the class in [`RecordedTraffic::classes`].
     pub(super) class: u16,
-    /// Index of its class in its proxy's settings.
+    /// Index of the class in the proxy's settings.
     pub(super) proxy_class: u16,
     pub(super) tenant: u16,
-    /// Hash of its key; 0 for none.
+    /// Hash of the request's key; 0 for none.
     pub(super) key: u64,
-    /// Time (ms) that its client waits for an answer.
+    /// Time (ms) that the client waits for an answer.
     pub(super) client_timeout_ms: f64,
     pub(super) ending: Ending,
-    /// Time (ms) until its end.
+    /// Time (ms) from the request's arrival to its end.
     pub(super) took_ms: f64,
-    /// Whether an answer to it was malformed.
+    /// Whether a backend found the request malformed.
     pub(super) malformed: bool,
-    /// Time (ms) at the proxy, besides the wait until the end of its answer; `None` if it had no answer.
+    /// Time (ms) from the end of the answered attempt to the end of the request; `None` without an answer.
     pub(super) proxy_time_ms: Option<f64>,
 }
 
-/// A recorded attempt.
+/// An attempt in the records.
 pub(super) struct RecordedCall {
-    /// Index of its proxy.
+    /// Index of the proxy.
     pub(super) proxy: u32,
-    /// Index of its backend.
+    /// Index of the backend.
     pub(super) backend: u32,
-    /// Index of its class among those of the fleet.
+    /// Index of the class in [`RecordedTraffic::classes`].
     pub(super) class: u16,
     pub(super) at_ms: f64,
-    /// Time (ms) until its end.
+    /// Time (ms) from the send of the attempt to its end.
     pub(super) wait_ms: f64,
     pub(super) outcome: AttemptOutcome,
-    /// Other calls of its proxy in flight at the backend when it was sent.
+    /// Other calls of the proxy in flight at the backend when the attempt was sent.
     pub(super) proxy_in_flight: u32,
 }
 
@@ -72,7 +72,7 @@
     /// Names of the classes of requests.
     pub(super) classes: Vec<String>,
     pub(super) proxies: Vec<RecordedProxy>,
-    /// In the order of time.
+    /// Requests in the order of their arrival.
     pub(super) requests: Vec<RecordedRequest>,
     pub(super) calls: Vec<RecordedCall>,
     /// Length (ms) of the window.
@@ -81,14 +81,14 @@
     pub(super) covered: f64,
     /// Age (ms) of the newest record.
     pub(super) age_ms: f64,
-    /// Names of backends by which the recorded lists differ from that in force, if most of them do.
+    /// Names of the backends by which recorded lists differ from the one in force; empty unless most segments differ.
     pub(super) differing_backends: Vec<String>,
     /// Digest of the segments and the version of the list.
     pub(super) digest: String,
 }
 
 impl RecordedTraffic {
-    /// The traffic in the segments that the job is about.
+    /// Selects and merges the segments that the job is about.
     pub(super) fn of(job: &Job, segments: &[Segment]) -> RecordedTraffic {
         let selection = Selection::of(job, segments);
         let offsets = clock_offsets::offsets(segments, &selection.tiers);
@@ -113,7 +113,7 @@
         traffic
     }
 
-    /// Leaves out the earliest requests where there are more than a replay may have.
+    /// Drops the earliest requests beyond [`MAX_REPLAYED_REQUESTS`], and the calls of that time.
     fn drop_earliest_requests(&mut self) {
         let mut remaining = MAX_REPLAYED_REQUESTS;
         let fits = |request: &&RecordedRequest| {
--- a/src/replay/recorded_traffic/selection.rs
+++ b/src/replay/recorded_traffic/selection.rs
@@ -1,15 +1,16 @@
-//! Selects the segments that a job is about: of its tier, of the table and the list in force, of the last while.
+//! Selects the segments that a job is about: those of its tier, recorded under the table and the list in
+//! force and within the last `span_ms` of its bounds.
 
 use crate::platform_settings;
 use crate::replay::quantiles::median;
 use crate::replay::{Job, Segment, job};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The segments that a job is about.
+/// The selected segments, and what is derived from all segments for the selection.
 pub(super) struct Selection<'a> {
-    /// Ordered by name, generation and number; each one once.
+    /// Segments without duplicates, ordered by name, generation and number.
     pub(super) segments: Vec<&'a Segment>,
-    /// The tier of each proxy, by its name.
+    /// Tier of each proxy, by name.
     pub(super) tiers: BTreeMap<&'a str, u32>,
     /// Unix time (ms) of the newest record: that of the median proxy, so that one clock that is ahead changes nothing.
     pub(super) newest_ms: f64,
@@ -51,7 +52,7 @@
     }
 }
 
-/// The tier of each proxy. One whose settings cannot be read has none: it cannot be simulated.
+/// The tier of each proxy, by name. A proxy whose settings can't be parsed is left out, as it can't be simulated.
 fn tiers(segments: &[Segment]) -> BTreeMap<&str, u32> {
     let mut tiers = BTreeMap::new();
     for segment in segments {
--- a/src/replay/recorder.rs
+++ b/src/replay/recorder.rs
@@ -211,7 +211,7 @@
         cut
     }
 
-    /// Number of backends of the list beyond [`MAX_BACKENDS`]. Requests with an attempt at one of them are counted as dropped.
+    /// Number of backends of the list beyond [`MAX_BACKENDS`]. Requests with an attempt at one of them count as dropped.
     pub fn omitted_backends(&self) -> usize {
         self.omitted_backends
     }
--- a/src/replay/segment.rs
+++ b/src/replay/segment.rs
@@ -16,7 +16,7 @@
 /// Maximum number of attempts in all traces of a segment together.
 pub const MAX_ATTEMPTS: usize = 4 * MAX_TRACES;
 /// Maximum number of backends in a segment. They take 1.4 MB of it with names of 20 bytes, and 12.6 MB of the
-/// [`MAX_UNPACKED`] bytes with the longest names (computed).
+/// `MAX_UNPACKED` bytes with the longest names (computed).
 pub const MAX_BACKENDS: usize = 16_384;
 /// Maximum length of the name of a proxy, zone, class or backend, in bytes.
 pub const MAX_NAME: usize = 256;
@@ -55,7 +55,7 @@
     /// The checksum differs: the bytes were truncated or changed in transit.
     #[error("segment is torn (its checksum differs): send it again")]
     ChecksumMismatch,
-    /// The segment decompresses to more than [`MAX_UNPACKED`] bytes.
+    /// The segment decompresses to more than `MAX_UNPACKED` bytes.
     #[error(
         "segment unpacks to more than {MAX_UNPACKED} bytes: have the proxy cut smaller ones (fewer traces each)"
     )]
@@ -164,8 +164,8 @@
         }
     }
 
-    /// Whether no more traces arrived in the span than requests were seen in it. Requests that arrived earlier are counted
-    /// in the segment of their arrival.
+    /// Whether the traces that arrived in the span are no more than the requests seen in it. Requests that arrived earlier
+    /// are counted in the segment of their arrival.
     fn has_at_most_seen_traces(&self) -> bool {
         let arrived = self.traces.iter().filter(|t| t.at_ms >= self.span_ms.0).count() as u64;
         arrived <= self.seen
--- a/src/replay/simulation/arrivals.rs
+++ b/src/replay/simulation/arrivals.rs
@@ -6,9 +6,9 @@
 /// Mean gaps between a proxy's recorded requests over which the requests that one of them stands for are spread to
 /// each side: spread over less, they would make bursts that did not happen.
 const SPREAD_GAPS: f64 = 25.0;
-/// Shortest time (ms) to each side over which they are spread.
+/// Minimum time (ms) to each side over which the requests that a recorded one stands for are spread.
 const MIN_SPREAD_MS: f64 = 500.0;
-/// Longest time (ms) to each side over which they are spread.
+/// Maximum time (ms) to each side over which the requests that a recorded one stands for are spread.
 const MAX_SPREAD_MS: f64 = 10_000.0;
 
 /// An arrival: a recorded request, or one that it stands for.
@@ -18,7 +18,7 @@
     pub(super) at_ms: f64,
     /// Index of the recorded request.
     pub(super) recorded: u32,
-    /// 0 for the recorded request itself, else the number, from 1, of the request that was not recorded.
+    /// 0 for the recorded request itself, else the number, from 1, of a request that it stands for.
     pub(super) replica: u32,
 }
 
@@ -45,7 +45,7 @@
     arrivals
 }
 
-/// By proxy, the time (ms) to each side over which the requests that one stands for are spread.
+/// Time (ms) to each side over which the requests that a recorded one stands for are spread, by proxy.
 fn spread_by_proxy(records: &RecordedTraffic) -> Vec<f64> {
     let mut requests = vec![0.0; records.proxies.len()];
     for request in &records.requests {
--- a/src/replay/simulation/calls.rs
+++ b/src/replay/simulation/calls.rs
@@ -7,12 +7,12 @@
 use crate::replay::model::SimulatedCall;
 use crate::replay::{AttemptOutcome, Ending};
 
-/// The `id` of a place in which no attempt is in flight.
+/// The `id` of an attempt that has ended.
 const NO_ATTEMPT: u64 = u64::MAX;
 
-/// An attempt in flight, or the place of one that has ended.
+/// An attempt in flight, or one that has ended and whose index may be reused.
 pub(super) struct InFlightAttempt {
-    /// Tells it from earlier attempts in the same place; [`NO_ATTEMPT`] when it has ended.
+    /// Distinguishes the attempt from earlier ones with the same index; [`NO_ATTEMPT`] once it has ended.
     pub(super) id: u64,
     request: u32,
     proxy: u32,
@@ -20,12 +20,12 @@
     /// Number of the attempt among those of its request.
     attempt: u8,
     sent_ms: f64,
-    /// How it will end.
+    /// Outcome with which the attempt will end.
     pub(super) outcome: Outcome,
 }
 
 impl InFlightAttempt {
-    /// Whether it is in flight and the attempt of that number of that request.
+    /// Whether this is the given attempt of the given request, and in flight.
     pub(super) fn is(&self, request: RequestId, attempt: u8) -> bool {
         self.id != NO_ATTEMPT && RequestId::from(self.request) == request && self.attempt == attempt
     }
@@ -51,7 +51,7 @@
         let sent = InFlightAttempt { id, request, proxy, backend, attempt, sent_ms: now_ms, outcome };
         let index = self.free_attempts.pop().unwrap_or(self.attempts.len() as u32);
         match self.attempts.get_mut(index as usize) {
-            Some(place) => *place = sent,
+            Some(ended) => *ended = sent,
             None => self.attempts.push(sent),
         }
         self.unsettled += 1;
@@ -60,7 +60,7 @@
         self.schedule(end_ms, EventKind::AttemptEnds { attempt: index, id });
     }
 
-    /// How and when (ms) an attempt ends. One that would end after its deadline times out then.
+    /// Outcome and end (ms) of an attempt. An attempt that would end after its deadline times out at the deadline.
     fn answer(&self, call: &SimulatedCall, request: u32, attempt: u8, deadline_ms: f64) -> (Outcome, f64) {
         let recorded = self.recorded(request);
         let replica = self.arrivals[request as usize].replica;
--- a/src/replay/simulation/events.rs
+++ b/src/replay/simulation/events.rs
@@ -1,4 +1,4 @@
-//! The events of a simulation and what each of them does.
+//! The events of a simulation and their effects.
 
 use super::Simulation;
 use super::arrivals::SimulatedArrival;
@@ -9,25 +9,25 @@
 /// An event in the queue. The derived order is that of time, then of scheduling.
 #[derive(PartialEq, Eq, PartialOrd, Ord, Clone, Copy)]
 pub(super) struct ScheduledEvent {
-    /// Bits of its time (ms), which is not negative: such bits sort like the number.
+    /// Bits of the event's time (ms). The time is not negative, so that the bits sort like the number.
     pub(super) at_ms_bits: u64,
     /// Number of the event in the order of scheduling.
     pub(super) sequence: u64,
     pub(super) kind: EventKind,
 }
 
-/// What happens.
+/// The kind of an event, with the objects that it is about.
 #[derive(PartialEq, Eq, PartialOrd, Ord, Clone, Copy)]
 pub(super) enum EventKind {
-    /// An attempt ends. `id` tells whether its place holds the same attempt as when this was scheduled.
+    /// An attempt ends. `id` distinguishes it from later attempts that reuse the index.
     AttemptEnds { attempt: u32, id: u64 },
     /// A proxy's timer expires.
     TimerExpires { proxy: u32, token: u64 },
-    /// A timer that was delayed fires at the latest now.
+    /// The maximum delay of a delayed timer expires.
     DelayedTimerExpires { proxy: u32, token: u64 },
     /// A proxy learns how many instances are alive.
     PeersChange { proxy: u32, index: u32 },
-    /// A client goes away.
+    /// A client leaves.
     ClientLeaves { request: u32 },
 }
 
--- a/src/replay/simulation/mod.rs
+++ b/src/replay/simulation/mod.rs
@@ -24,20 +24,20 @@
 /// Events between two checks whether the simulation is to stop.
 const EVENTS_PER_STOP_CHECK: u64 = 4096;
 
-/// A request that has arrived or will.
+/// The state of a request of the simulation.
 #[derive(Clone, Default)]
 struct PendingRequest {
-    /// Whether its client has its end.
+    /// Whether the request has ended for its client.
     ended: bool,
-    /// Attempts that were sent.
+    /// Number of attempts sent.
     attempts: u8,
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     in_flight: u8,
-    /// Whether it is counted in [`SimulatedProxy::queued`].
+    /// Whether the request is counted in [`SimulatedProxy::queued`].
     queued: bool,
 }
 
-/// One simulation.
+/// A simulation of the fleet under one table with one seed.
 pub(super) struct Simulation<'a> {
     records: &'a RecordedTraffic,
     model: &'a Model,
@@ -48,26 +48,26 @@
     backend_ids: Vec<BackendId>,
     /// All arrivals, in the order of time; a request's id is its index here.
     arrivals: Vec<SimulatedArrival>,
-    /// By request id.
+    /// State of the requests, by request id.
     requests: Vec<PendingRequest>,
     attempts: Vec<InFlightAttempt>,
-    /// Indices in `attempts` that may be used again.
+    /// Indices of ended attempts in `attempts`, which are reused.
     free_attempts: Vec<u32>,
     event_queue: BinaryHeap<Reverse<ScheduledEvent>>,
-    /// Events scheduled so far.
+    /// Number of events scheduled so far.
     scheduled: u64,
-    /// Calls in flight at each backend.
+    /// Number of calls in flight, by backend.
     in_flight: Vec<u32>,
     /// Buffer for the actions of a decision module.
     actions: Vec<Action>,
-    /// Requests that have arrived and not ended, and attempts in flight.
+    /// Number of requests that arrived and have not ended, plus the number of attempts in flight.
     unsettled: usize,
     statistics: TrafficStatistics,
 }
 
 impl<'a> Simulation<'a> {
-    /// A fleet of proxies that have just started and know the list and the weights, these by backend. Figures leave out
-    /// the first `warm_up_ms`.
+    /// Starts the recorded proxies with the list and the weights, given by backend. The statistics leave out the first
+    /// `warm_up_ms`.
     pub(super) fn new(
         records: &'a RecordedTraffic,
         model: &'a Model,
@@ -104,7 +104,8 @@
         simulation
     }
 
-    /// Runs to the end; `None` when `stop` asked for it. `stop` is told the share of the arrivals that have happened.
+    /// Runs the simulation to its end; `None` if `stop` returns true. `stop` is called with the share of the arrivals that
+    /// have happened.
     pub(super) fn run(mut self, stop: &dyn Fn(f64) -> bool) -> Option<TrafficStatistics> {
         let mut arrived = 0;
         let mut events = 0_u64;
@@ -124,7 +125,8 @@
                 arrived += 1;
                 continue;
             }
-            // The decision modules' timers go on for ever: the end is when all requests have ended.
+            // The decision modules set timers without end, so that the event queue never empties: the simulation ends with the
+            // last request.
             if next_arrival.is_none() && self.unsettled == 0 {
                 break;
             }
@@ -147,7 +149,7 @@
     }
 }
 
-/// The ids of the recorded backends, in the records' order. One whose id is taken gets the next free one.
+/// Ids of the recorded backends, in the order of the records. On a collision a backend gets the next free id.
 fn unique_backend_ids(records: &RecordedTraffic) -> Vec<BackendId> {
     let mut ids: Vec<BackendId> = Vec::with_capacity(records.backends.len());
     let mut taken = std::collections::HashSet::new();
--- a/src/replay/simulation/proxy.rs
+++ b/src/replay/simulation/proxy.rs
@@ -1,4 +1,4 @@
-//! The proxies of a simulation: how the decision modules start, get events and have their actions carried out.
+//! The proxies of a simulation: starts their decision modules, delivers events to them and carries out their actions.
 //!
 //! A decision module's timers do its periodic work: they release and reject queued requests and learn from answers.
 //! While a proxy has nothing queued and few answers, its timers are delayed: else hundreds of proxies would spend most of
@@ -10,17 +10,17 @@
 use crate::interface::{Action, BackendId, Entry, Event, ListKind, Outcome, Phase};
 use crate::replay::Ending;
 
-/// Longest time (ms) that a timer is delayed.
+/// Maximum delay (ms) of a timer.
 pub(super) const MAX_TIMER_DELAY_MS: f64 = 1000.0;
 /// Answers since the last timer from which timers are not delayed: with fewer, the concurrency limit does not change.
 const MIN_ANSWERS_FOR_TIMER: u32 = 10;
 
-/// One proxy.
+/// A proxy of the simulation.
 pub(super) struct SimulatedProxy {
     balancer: Balancer,
-    /// Requests that are open and have no attempt in flight.
+    /// Number of requests that are open and have no attempt in flight.
     pub(super) queued: u32,
-    /// Attempts that ended since its last timer.
+    /// Number of attempts that ended since the proxy's last timer.
     pub(super) answers_since_timer: u32,
     /// Tokens of the timers that are delayed.
     pub(super) delayed_timers: Vec<u64>,
@@ -31,7 +31,7 @@
         self.queued == 0 && self.answers_since_timer < MIN_ANSWERS_FOR_TIMER
     }
 
-    /// Hands an event to the decision module, after the timers that are delayed no longer.
+    /// Passes an event to the decision module; before it, the delayed timers if they may be delayed no longer.
     fn handle(&mut self, now_ms: f64, event: Event, actions: &mut Vec<Action>) {
         if !self.may_delay_timers() {
             while let Some(token) = self.delayed_timers.pop() {
@@ -47,7 +47,7 @@
 }
 
 impl Simulation<'_> {
-    /// Starts a proxy at time 0 and tells it the weights, the list and how many instances are alive.
+    /// Starts a proxy at time 0 with the weights and the list, and schedules the changes of its membership.
     pub(super) fn start_proxy(&mut self, index: u32, balancer: Balancer, weights: &[f64]) {
         let records = self.records;
         let recorded = &records.proxies[index as usize];
@@ -100,7 +100,7 @@
             Action::SetTimer { delay_ms, token } => {
                 self.schedule(now_ms + delay_ms, EventKind::TimerExpires { proxy, token });
             }
-            // The list stays as recorded, and connections cost nothing here.
+            // The list stays as recorded, and connections are not simulated.
             Action::CloseIdle { .. } | Action::Watch { .. } | Action::Withdraw { .. } | Action::Resync => {}
         }
     }
