--- a/src/replay/model/load.rs
+++ b/src/replay/model/load.rs
@@ -1,7 +1,7 @@
-//! Fits what depends on the load of a backend: its load curve, and the load from which it rejects calls.
+//! Fits the effects of the load of a backend: its load curve, and the load from which it rejects calls.
 
 use super::fit::{Fit, Sum};
-use crate::replay::Reply;
+use crate::replay::AttemptOutcome;
 use crate::replay::load_curve::{LoadCurve, LoadSample};
 use crate::replay::quantiles::{Quantiles, median};
 use std::collections::BTreeMap;
@@ -10,7 +10,7 @@
 const MIN_CALLS_FOR_OWN_CURVE: usize = 500;
 /// Calls from which a backend's own load curve is used even if it is flat.
 const MIN_CALLS_FOR_OWN_FLAT_CURVE: usize = 5000;
-/// Most calls that a load curve is fitted to.
+/// Maximum number of calls that a load curve is fitted to.
 const MAX_CURVE_SAMPLES: usize = 20_000;
 /// Rejected calls from which the load at which a backend rejects is known.
 const MIN_REJECTED_CALLS: usize = 20;
@@ -65,9 +65,9 @@
         let mut served = vec![Vec::new(); self.records.backends.len()];
         let mut rejected = vec![Vec::new(); self.records.backends.len()];
         for (call, &in_flight) in self.records.calls.iter().zip(&self.in_flight) {
-            match call.reply {
-                Reply::Full => rejected[call.backend as usize].push(in_flight),
-                Reply::Ok => served[call.backend as usize].push(in_flight),
+            match call.outcome {
+                AttemptOutcome::Rejected => rejected[call.backend as usize].push(in_flight),
+                AttemptOutcome::Ok => served[call.backend as usize].push(in_flight),
                 _ => {}
             }
         }
--- a/src/replay/model/mod.rs
+++ b/src/replay/model/mod.rs
@@ -7,15 +7,15 @@
 mod load;
 mod zone_latency;
 
-use super::Reply;
+use super::AttemptOutcome;
 use super::common_random_numbers::CommonRandomNumbers;
 use super::conditions::{Condition, Conditions};
 use super::failure::FAILURES;
 use super::load_curve::LoadCurve;
 use super::quantiles::Quantiles;
 
-/// Index of [`Reply::Full`] in [`FAILURES`].
-const FULL: usize = 1;
+/// Index of [`AttemptOutcome::Rejected`] in [`FAILURES`].
+const REJECTED: usize = 1;
 
 /// Latency of one class at one backend, without load.
 struct ClassLatency {
@@ -24,12 +24,12 @@
     residuals: usize,
 }
 
-/// How the backends answer.
+/// A model of how the backends answer calls, fitted to the records.
 pub(super) struct Model {
     classes: usize,
-    /// By backend.
+    /// Load curves by backend.
     load_curves: Vec<LoadCurve>,
-    /// By backend, then by class.
+    /// Latencies without load, by backend, then by class.
     latencies: Vec<ClassLatency>,
     /// Distributions of the residuals.
     residuals: Vec<Quantiles>,
@@ -40,13 +40,13 @@
     rejects_from: Vec<f64>,
     /// Time (ms) after which calls fail, by kind of failure.
     failed_after_ms: Vec<Quantiles>,
-    /// Most calls in flight that were recorded, by backend.
+    /// Maximum recorded number of calls in flight, by backend.
     pub(super) peak_in_flight: Vec<f64>,
-    /// Median time (ms) that a request takes at the proxy, besides the wait for its answer. By class.
+    /// Median time (ms) from the end of a request's answered attempt to its own end, by class.
     pub(super) proxy_time_ms: Vec<f64>,
 }
 
-/// A call as it is sent.
+/// A call that is sent to a backend in the simulation.
 pub(super) struct SimulatedCall {
     /// Index of the proxy.
     pub(super) proxy: usize,
@@ -61,18 +61,26 @@
 }
 
 impl Model {
-    /// Calls in flight that a backend can take, as far as the records show it; else infinite.
+    /// Number of calls in flight at which a backend's capacity is reached; infinite where the records do not show it.
     pub(super) fn capacity(&self, backend: usize) -> f64 {
         self.load_curves[backend].capacity().min(self.rejects_from[backend])
     }
 
-    /// How a call ends, and after how long (ms); `Timeout` for one that is never answered.
-    pub(super) fn answer(&self, call: &SimulatedCall, random: &mut CommonRandomNumbers) -> (Reply, f64) {
+    /// Draws the outcome of a call and the time (ms) to its end. The outcome of a call that is never answered is
+    /// `Timeout`.
+    pub(super) fn answer(
+        &self,
+        call: &SimulatedCall,
+        random: &mut CommonRandomNumbers,
+    ) -> (AttemptOutcome, f64) {
         let zone_latency_ms = self.zone_latency_ms[call.proxy * self.peak_in_flight.len() + call.backend];
         let failure_draw = random.next_uniform();
         let latency_draw = random.next_uniform();
         if call.in_flight > self.rejects_from[call.backend] {
-            return (Reply::Full, self.failed_after_ms[FULL].at(latency_draw).max(zone_latency_ms));
+            return (
+                AttemptOutcome::Rejected,
+                self.failed_after_ms[REJECTED].at(latency_draw).max(zone_latency_ms),
+            );
         }
         let condition: &Condition = self.conditions.at(call.backend, call.at_ms);
         if let Some(failure) =
@@ -84,6 +92,6 @@
         let latency = &self.latencies[call.backend * self.classes + call.class];
         let load = self.load_curves[call.backend].relative_latency(call.in_flight);
         let residual = self.residuals[latency.residuals].at(latency_draw);
-        (Reply::Ok, zone_latency_ms + latency.mean_ms * condition.relative_latency * load * residual)
+        (AttemptOutcome::Ok, zone_latency_ms + latency.mean_ms * condition.relative_latency * load * residual)
     }
 }
--- a/src/replay/recorded_traffic/merge.rs
+++ b/src/replay/recorded_traffic/merge.rs
@@ -3,17 +3,17 @@
 use super::{RecordedCall, RecordedProxy, RecordedRequest, RecordedTraffic};
 use crate::platform_settings;
 use crate::replay::quantiles::median;
-use crate::replay::{Job, Reply, SAMPLED_OF, Segment, Trace};
+use crate::replay::{AttemptOutcome, Job, SAMPLED_OF, Segment, Trace};
 use std::collections::{BTreeMap, HashMap};
 
 /// The time that the records cover, from the median start of the proxies to their median end: one clock that is off
 /// moves neither.
 pub(super) struct Window<'a> {
-    /// What to add (ms) to the times of each proxy, by name.
+    /// Correction (ms) to add to the times of each proxy, by name.
     offsets_ms: BTreeMap<&'a str, f64>,
     start_ms: f64,
     pub(super) length_ms: f64,
-    /// Proxies that recorded.
+    /// Number of proxies with records.
     proxies: usize,
 }
 
@@ -39,7 +39,7 @@
 }
 
 impl RecordedTraffic {
-    /// Adds the segments, and sets which share of the fleet's time they cover.
+    /// Adds the segments and sets [`RecordedTraffic::covered`].
     pub(super) fn merge(&mut self, job: &Job, segments: &[&Segment], window: &Window) {
         let indices: HashMap<&str, u32> =
             job.listed.iter().map(|backend| backend.host.as_str()).zip(0..).collect();
@@ -85,7 +85,7 @@
         self.covered = (covered / fleet.max(window.proxies as f64)).min(1.0);
     }
 
-    /// What membership told the last proxy, if it is news.
+    /// Adds the membership that the last proxy was told, if it changed.
     fn add_peers(&mut self, segment: &Segment, start_ms: f64) {
         if let (Some(peers), Some(proxy)) = (segment.peers, self.proxies.last_mut())
             && proxy.peers.last().is_none_or(|(_, last)| *last != peers)
@@ -94,16 +94,17 @@
         }
     }
 
-    /// Index of a class of the fleet, by name; one without a name is called by its index in the settings.
+    /// Returns the index of a class by name, and adds the class if it is new. A class without a name gets one from its index
+    /// in the settings.
     fn class_index(&mut self, name: Option<&String>, index: usize) -> u16 {
         let name = name.filter(|name| !name.is_empty()).cloned();
         let name = name.unwrap_or_else(|| format!("class {index}"));
         let known = self.classes.iter().position(|class| *class == name);
-        let place = known.unwrap_or_else(|| {
+        let index = known.unwrap_or_else(|| {
             self.classes.push(name);
             self.classes.len() - 1
         });
-        place as u16
+        index as u16
     }
 
     /// Adds a request of the last proxy and its calls, unless it arrived outside the window. `classes` and `backends`
@@ -115,7 +116,7 @@
         if !(0.0..=self.length_ms).contains(&at_ms) {
             return;
         }
-        let answer = trace.tries.iter().rfind(|attempt| attempt.reply == Reply::Ok);
+        let answer = trace.attempts.iter().rfind(|attempt| attempt.outcome == AttemptOutcome::Ok);
         self.requests.push(RecordedRequest {
             proxy,
             id: trace.id,
@@ -124,19 +125,19 @@
             proxy_class: trace.class,
             tenant: trace.tenant,
             key: trace.key,
-            client_timeout_ms: trace.patience_ms,
+            client_timeout_ms: trace.client_timeout_ms,
             ending: trace.ending,
             took_ms: trace.took_ms,
-            malformed: trace.tries.iter().any(|attempt| attempt.reply == Reply::Malformed),
+            malformed: trace.attempts.iter().any(|attempt| attempt.outcome == AttemptOutcome::Malformed),
             proxy_time_ms: answer.map(|attempt| trace.took_ms - attempt.after_ms - attempt.wait_ms),
         });
-        self.calls.extend(trace.tries.iter().map(|attempt| RecordedCall {
+        self.calls.extend(trace.attempts.iter().map(|attempt| RecordedCall {
             proxy,
             backend: backends.get(attempt.backend as usize).copied().unwrap_or(0),
             class,
             at_ms: at_ms + attempt.after_ms,
             wait_ms: attempt.wait_ms,
-            reply: attempt.reply,
+            outcome: attempt.outcome,
             proxy_in_flight: attempt.in_flight,
         }));
     }
--- a/src/replay/simulation/calls.rs
+++ b/src/replay/simulation/calls.rs
@@ -5,14 +5,14 @@
 use crate::interface::{Event, Outcome, RequestId, Resolved};
 use crate::replay::common_random_numbers::CommonRandomNumbers;
 use crate::replay::model::SimulatedCall;
-use crate::replay::{Ending, Reply};
+use crate::replay::{AttemptOutcome, Ending};
 
-/// The `id` of a place in which no attempt is in flight.
+/// The `id` of an attempt that has ended.
 const NO_ATTEMPT: u64 = u64::MAX;
 
-/// An attempt in flight, or the place of one that has ended.
+/// An attempt in flight, or one that has ended and whose index may be reused.
 pub(super) struct InFlightAttempt {
-    /// Tells it from earlier attempts in the same place; [`NO_ATTEMPT`] when it has ended.
+    /// Distinguishes the attempt from earlier ones with the same index; [`NO_ATTEMPT`] once it has ended.
     pub(super) id: u64,
     request: u32,
     proxy: u32,
@@ -20,12 +20,12 @@
     /// Number of the attempt among those of its request.
     attempt: u8,
     sent_ms: f64,
-    /// How it will end.
+    /// Outcome with which the attempt will end.
     pub(super) outcome: Outcome,
 }
 
 impl InFlightAttempt {
-    /// Whether it is in flight and the attempt of that number of that request.
+    /// Whether this is the given attempt of the given request, and in flight.
     pub(super) fn is(&self, request: RequestId, attempt: u8) -> bool {
         self.id != NO_ATTEMPT && RequestId::from(self.request) == request && self.attempt == attempt
     }
@@ -46,12 +46,12 @@
         };
         let (outcome, end_ms) = self.answer(&call, request, attempt, deadline_ms);
         let crosses = self.records.proxies[call.proxy].zone != self.records.backends[call.backend].zone;
-        self.tally.call(now_ms, backend, call.in_flight, crosses, 1.0);
+        self.statistics.add_call(now_ms, backend, call.in_flight, crosses, 1.0);
         let id = self.scheduled;
         let sent = InFlightAttempt { id, request, proxy, backend, attempt, sent_ms: now_ms, outcome };
         let index = self.free_attempts.pop().unwrap_or(self.attempts.len() as u32);
         match self.attempts.get_mut(index as usize) {
-            Some(place) => *place = sent,
+            Some(ended) => *ended = sent,
             None => self.attempts.push(sent),
         }
         self.unsettled += 1;
@@ -60,15 +60,15 @@
         self.schedule(end_ms, EventKind::AttemptEnds { attempt: index, id });
     }
 
-    /// How and when (ms) an attempt ends. One that would end after its deadline times out then.
+    /// Outcome and end (ms) of an attempt. An attempt that would end after its deadline times out at the deadline.
     fn answer(&self, call: &SimulatedCall, request: u32, attempt: u8, deadline_ms: f64) -> (Outcome, f64) {
         let recorded = self.recorded(request);
         let replica = self.arrivals[request as usize].replica;
         let mut random =
             CommonRandomNumbers::new(self.seed ^ u64::from(replica), recorded.id, u64::from(attempt));
-        let (reply, wait_ms) = self.model.answer(call, &mut random);
+        let (recorded_outcome, wait_ms) = self.model.answer(call, &mut random);
         let end_ms = call.at_ms + wait_ms;
-        let outcome = outcome(reply);
+        let outcome = module_outcome(recorded_outcome);
         if outcome == Outcome::Timeout || end_ms > deadline_ms {
             return (Outcome::Timeout, deadline_ms.max(call.at_ms));
         }
@@ -106,17 +106,17 @@
     }
 }
 
-/// What the decision module is told of a reply.
-fn outcome(reply: Reply) -> Outcome {
-    match reply {
-        Reply::Ok => Outcome::Ok,
-        Reply::Error => Outcome::Error,
-        Reply::Malformed => Outcome::Malformed,
-        Reply::Full => Outcome::Rejected,
-        Reply::Timeout => Outcome::Timeout,
-        Reply::ConnectFailed => Outcome::ConnectFailed,
-        Reply::Reset => Outcome::Reset,
-        Reply::Cancelled => Outcome::Cancelled,
-        Reply::Moot => Outcome::NotSent,
+/// The decision module's form of a recorded outcome.
+fn module_outcome(outcome: AttemptOutcome) -> Outcome {
+    match outcome {
+        AttemptOutcome::Ok => Outcome::Ok,
+        AttemptOutcome::Error => Outcome::Error,
+        AttemptOutcome::Malformed => Outcome::Malformed,
+        AttemptOutcome::Rejected => Outcome::Rejected,
+        AttemptOutcome::Timeout => Outcome::Timeout,
+        AttemptOutcome::ConnectFailed => Outcome::ConnectFailed,
+        AttemptOutcome::Reset => Outcome::Reset,
+        AttemptOutcome::Cancelled => Outcome::Cancelled,
+        AttemptOutcome::NotSent => Outcome::NotSent,
     }
 }
--- a/tests/routes/proposals.rs
+++ b/tests/routes/proposals.rs
@@ -1,7 +1,7 @@
 //! Proposals: refusals, concurrent proposals, and verdicts.
 
 use crate::route_fleet::*;
-use load_balancer::replay::{Breach, Decision, Unsure};
+use load_balancer::replay::{Breach, CannotTellReason, Decision};
 use load_balancer::route_table::*;
 use rstest::rstest;
 use std::collections::BTreeMap;
@@ -104,7 +104,7 @@
     fleet.decision = Decision::Refuse { breach, largest_step: 0.5 };
     fleet.propose(proposal(0, &[("b0", 3.0)])).expect("the proposal is accepted");
     assert_eq!((fleet.last_outcome(), fleet.control.newest_revision()), (Some(ProposalOutcome::Refused), 0));
-    fleet.decision = Decision::CannotTell(Unsure::Old { age_ms: 2.0, most_ms: 1.0 });
+    fleet.decision = Decision::CannotTell(CannotTellReason::Stale { age_ms: 2.0, max_age_ms: 1.0 });
     fleet.propose(proposal(0, &[("b0", 3.0)])).expect("the proposal is accepted");
     assert_eq!(fleet.last_outcome(), Some(ProposalOutcome::CannotTell));
     let evaluations = fleet.evaluations;
--- a/tests/routes_rig/records.rs
+++ b/tests/routes_rig/records.rs
@@ -1,17 +1,17 @@
 //! Segments of a simulated fleet's requests, shifted to the present time.
 
-use crate::replay_rig::{START, World};
+use crate::replay_rig::{FleetScenario, START_MS};
 use load_balancer::replay::Segment;
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// Packed segments that a simulated fleet of eight proxies recorded of its calls to backends `s0` to `s7`, over the
 /// last `seconds` until now.
 pub fn record_segments(seconds: f64) -> Vec<Vec<u8>> {
-    let world = World { seconds, ..World::default() };
+    let scenario = FleetScenario { duration_s: seconds, ..FleetScenario::default() };
     let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH).expect("the clock is after 1970");
     let now_ms = since_1970.as_millis() as f64;
-    let shift_ms = now_ms - (START + 1000.0 * seconds);
-    world.run().0.into_iter().map(|segment| shift(segment, shift_ms, 0).encode()).collect()
+    let shift_ms = now_ms - (START_MS + 1000.0 * seconds);
+    scenario.run().segments.into_iter().map(|segment| shift(segment, shift_ms, 0).encode()).collect()
 }
 
 /// Shifts a packed segment in time by `shift_ms`, and its proxy's generation by `generations`.
