--- a/tests/bodies/main.rs
+++ b/tests/bodies/main.rs
@@ -1,7 +1,7 @@
-//! Bodies and answers of any size through the started program.
+//! Request and response bodies of any size, sent through a running proxy process.
 
-mod forms;
-mod long;
+mod framing;
+mod long_bodies;
 #[path = "../rig/mod.rs"]
 mod rig;
 #[path = "../waits/mod.rs"]
@@ -17,19 +17,20 @@
     (0..bytes).map(|n| b'a' + (n / 7 % 26) as u8).collect()
 }
 
-/// Sends a body of so many bytes in chunks, its length not told; status and length of the answer.
-async fn chunked(s: &ProxyFixture, len: usize) -> (u16, usize) {
-    let stream = within_deadline(TcpStream::connect(s.proxy.addr)).await.expect("it listens");
-    let (mut sender, connection) = handshake(TokioIo::new(stream)).await.expect("nothing is sent yet");
+/// Sends a chunked body of `len` bytes and returns the status and the length of the response body.
+async fn send_chunked(s: &ProxyFixture, len: usize) -> (u16, usize) {
+    let stream = within_deadline(TcpStream::connect(s.proxy.addr)).await.expect("proxy accepts a connection");
+    let (mut sender, connection) = handshake(TokioIo::new(stream)).await.expect("HTTP handshake");
     tokio::spawn(connection);
     let body = LongBody { remaining: len, fail_at: 0, known_length: false };
-    let answer = within_deadline(sender.send_request(request("keep").body(body).expect("well formed"))).await;
-    let answer = answer.expect("an answer");
-    let status = answer.status().as_u16();
-    (status, within_deadline(answer.into_body().collect()).await.expect("a whole one").to_bytes().len())
+    let response =
+        within_deadline(sender.send_request(request("keep").body(body).expect("valid request"))).await;
+    let response = response.expect("a response");
+    let status = response.status().as_u16();
+    (status, within_deadline(response.into_body().collect()).await.expect("a complete body").to_bytes().len())
 }
 
-/// A request's head as it goes over the wire, but for its framing and its last line.
+/// Request line and headers in wire format, without the framing headers and the final empty line.
 fn head(version: &str, class: &str, id: &str) -> String {
     let method = if class == "look" { "GET" } else { "POST" };
     format!(
--- a/tests/leaks/backend.rs
+++ b/tests/leaks/backend.rs
@@ -1,4 +1,4 @@
-//! A backend that ends its connections as each request's query says, down to the byte.
+//! A backend that responds and resets its connections as the `do` parameter of each request's query says.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,36 +7,36 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
 
-/// A whole answer.
-const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-/// The start of a long one.
-const BEGINS: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\nbegins";
+/// Complete response.
+const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+/// Head and first bytes of a long response.
+const PARTIAL_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\nbegins";
 
-/// What it has done, and what it waits for.
+/// Backend with counters and semaphores that tests use to synchronize with it.
 pub struct Backend {
-    /// The addresses at which it passes for so many backends.
+    /// Addresses it listens on, one for each backend that it stands for.
     pub addrs: Vec<SocketAddr>,
-    /// Connections that are open.
+    /// Number of open connections.
     pub open: AtomicUsize,
-    /// Connections that it has reset.
+    /// Number of connections that this backend has reset.
     pub resets: AtomicUsize,
-    /// A permit for each request that is held.
-    pub held: Semaphore,
-    /// A permit for each that may be answered.
-    pub freed: Semaphore,
+    /// One permit for each request that waits for its response.
+    pub waiting: Semaphore,
+    /// One permit for each waiting request that may be answered.
+    pub released: Semaphore,
 }
 
 impl Backend {
-    pub async fn start(members: usize) -> Arc<Self> {
+    pub async fn start(count: usize) -> Arc<Self> {
         let (mut addrs, mut listeners) = (Vec::new(), Vec::new());
-        for _ in 0..members {
-            let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-            addrs.push(listener.local_addr().expect("bound"));
+        for _ in 0..count {
+            let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+            addrs.push(listener.local_addr().expect("listener is bound"));
             listeners.push(listener);
         }
         let (open, resets) = (AtomicUsize::new(0), AtomicUsize::new(0));
-        let (held, freed) = (Semaphore::new(0), Semaphore::new(0));
-        let backend = Arc::new(Backend { addrs, open, resets, held, freed });
+        let (waiting, released) = (Semaphore::new(0), Semaphore::new(0));
+        let backend = Arc::new(Backend { addrs, open, resets, waiting, released });
         for listener in listeners {
             tokio::spawn(backend.clone().listen(listener));
         }
@@ -45,74 +45,74 @@
 
     async fn listen(self: Arc<Self>, listener: TcpListener) {
         loop {
-            let (stream, _) = listener.accept().await.expect("a connection");
-            let own = self.clone();
+            let (stream, _) = listener.accept().await.expect("an accepted connection");
+            let backend = self.clone();
             tokio::spawn(async move {
-                own.open.fetch_add(1, SeqCst);
-                own.connection(stream).await;
-                own.open.fetch_sub(1, SeqCst);
+                backend.open.fetch_add(1, SeqCst);
+                backend.serve(stream).await;
+                backend.open.fetch_sub(1, SeqCst);
             });
         }
     }
 
-    /// Serves a connection up to its end, whoever makes it.
-    async fn connection(&self, mut stream: TcpStream) {
-        let mut came = Vec::new();
-        while let Some(head) = head(&mut stream, &mut came).await {
-            let said = if head.contains("?do=held") {
-                self.held.add_permits(1);
+    /// Serves requests on a connection until either side ends it.
+    async fn serve(&self, mut stream: TcpStream) {
+        let mut buffer = Vec::new();
+        while let Some(head) = read_head(&mut stream, &mut buffer).await {
+            let written = if head.contains("?do=wait") {
+                self.waiting.add_permits(1);
                 let mut end = [0];
                 tokio::select! {
-                    freed = self.freed.acquire() => freed.expect("open").forget(),
-                    // One whose client left before it was counted: the proxy waits no more.
+                    permit = self.released.acquire() => permit.expect("semaphore is open").forget(),
+                    // The client left before the request was counted, and the proxy closed the connection.
                     _ = stream.read(&mut end) => return,
                 }
-                stream.write_all(ANSWER).await
-            } else if head.contains("?do=reset") {
+                stream.write_all(RESPONSE).await
+            } else if head.contains("?do=reset ") {
                 return self.reset(&stream);
-            } else if head.contains("?do=half") {
-                let _ = stream.write_all(&ANSWER[..ANSWER.len() / 2]).await;
+            } else if head.contains("?do=reset-in-head") {
+                let _ = stream.write_all(&RESPONSE[..RESPONSE.len() / 2]).await;
                 return self.reset(&stream);
-            } else if head.contains("?do=then") {
-                let _ = stream.write_all(ANSWER).await;
+            } else if head.contains("?do=reset-after-response") {
+                let _ = stream.write_all(RESPONSE).await;
                 return self.reset(&stream);
-            } else if head.contains("?do=begin") {
-                stream.write_all(BEGINS).await
-            } else if head.contains("?do=break") {
-                let _ = stream.write_all(BEGINS).await;
+            } else if head.contains("?do=partial-body") {
+                stream.write_all(PARTIAL_RESPONSE).await
+            } else if head.contains("?do=reset-in-body") {
+                let _ = stream.write_all(PARTIAL_RESPONSE).await;
                 return self.reset(&stream);
             } else {
-                stream.write_all(ANSWER).await
+                stream.write_all(RESPONSE).await
             };
-            if said.is_err() {
+            if written.is_err() {
                 return;
             }
         }
     }
 
     fn reset(&self, stream: &TcpStream) {
-        stream.set_zero_linger().expect("open");
+        stream.set_zero_linger().expect("connection is open");
         self.resets.fetch_add(1, SeqCst);
     }
 }
 
-/// The next request's head, its body read and dropped; `None` once the connection has ended.
-async fn head(stream: &mut TcpStream, came: &mut Vec<u8>) -> Option<String> {
-    let mut whole = None;
+/// Reads the next request, drops its body and returns its head; `None` once the connection has ended.
+async fn read_head(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<String> {
+    let mut request = None;
     loop {
-        let end = came.windows(4).position(|w| w == b"\r\n\r\n").map(|at| at + 4);
+        let end = buffer.windows(4).position(|w| w == b"\r\n\r\n").map(|at| at + 4);
         if let Some(end) = end {
-            let head = String::from_utf8_lossy(&came[..end]).to_ascii_lowercase();
+            let head = String::from_utf8_lossy(&buffer[..end]).to_ascii_lowercase();
             let length = head.lines().find_map(|l| l.strip_prefix("content-length: "));
-            whole = Some((end + length.map_or(0, |n| n.parse().expect("a number")), head));
+            request = Some((end + length.map_or(0, |n| n.parse().expect("a number")), head));
         }
-        if let Some((size, head)) = whole.take_if(|(size, _)| came.len() >= *size) {
-            came.drain(..size);
+        if let Some((size, head)) = request.take_if(|(size, _)| buffer.len() >= *size) {
+            buffer.drain(..size);
             return Some(head);
         }
         let mut part = [0; 16 * 1024];
         match stream.read(&mut part).await {
-            Ok(n @ 1..) => came.extend_from_slice(&part[..n]),
+            Ok(n @ 1..) => buffer.extend_from_slice(&part[..n]),
             Ok(_) | Err(_) => return None,
         }
     }
--- a/tests/leaks/clients.rs
+++ b/tests/leaks/clients.rs
@@ -1,41 +1,41 @@
-//! Ten thousand clients that reset their connections, of each kind.
+//! Ten thousand client connections that are reset, at each point of a request and its response.
 
+use crate::leak_check::{BATCH_SIZE, LeakCheck, request, reset};
 use crate::rig::within_deadline;
-use crate::stage::{AT_ONCE, Stage, request, reset};
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
 use tokio::time::{sleep, timeout};
 
-/// Clients that write this and reset.
-async fn leave_after(text: impl Fn() -> Vec<u8>) {
-    let stage = Stage::set().await;
+/// Runs clients that write `text` and reset their connections.
+async fn reset_after(text: impl Fn() -> Vec<u8>) {
+    let check = LeakCheck::start().await;
     let batch = async || {
         let mut streams = Vec::new();
-        for _ in 0..AT_ONCE {
-            streams.push(stage.client(&text()).await);
+        for _ in 0..BATCH_SIZE {
+            streams.push(check.client(&text()).await);
         }
         streams.into_iter().for_each(reset);
-        AT_ONCE
+        BATCH_SIZE
     };
-    stage.after(batch).await;
+    check.run_batches(batch).await;
 }
 
 #[tokio::test]
-async fn clients_that_reset_before_a_head_leave_nothing() {
-    leave_after(Vec::new).await;
+async fn clients_that_reset_before_a_head_leak_nothing() {
+    reset_after(Vec::new).await;
 }
 
 #[tokio::test]
-async fn clients_that_reset_in_a_head_leave_nothing() {
-    leave_after(|| request("look", "serve", 0).as_bytes()[..40].to_vec()).await;
+async fn clients_that_reset_in_a_head_leak_nothing() {
+    reset_after(|| request("look", "serve", 0).as_bytes()[..40].to_vec()).await;
 }
 
-/// In a body that would be held, in one that flows, and in one whose first part is more than is held.
+/// The reset comes in a body that fits the buffer, in a streamed one, and in one whose first part exceeds the buffer.
 #[tokio::test]
-async fn clients_that_reset_in_a_body_leave_nothing() {
+async fn clients_that_reset_in_a_body_leak_nothing() {
     let kinds = [(1000, 500), (1 << 20, 500), (1 << 20, 70_000)];
     let turn = std::cell::Cell::new(0);
-    leave_after(|| {
+    reset_after(|| {
         turn.set((turn.get() + 1) % kinds.len());
         let (length, part) = kinds[turn.get()];
         [request("once", "serve", length).into_bytes(), vec![b'x'; part]].concat()
@@ -44,58 +44,58 @@
 }
 
 #[tokio::test]
-async fn clients_that_reset_with_the_request_on_its_way_leave_nothing() {
-    leave_after(|| request("once", "serve", 0).into_bytes()).await;
+async fn clients_that_reset_after_a_complete_request_leak_nothing() {
+    reset_after(|| request("once", "serve", 0).into_bytes()).await;
 }
 
-/// The backend has the request and answers only once the client has reset.
+/// The backend has the request and responds only after the client has reset its connection.
 #[tokio::test]
-async fn clients_that_reset_before_their_answer_leave_nothing() {
-    let stage = Stage::set().await;
+async fn clients_that_reset_before_the_response_leak_nothing() {
+    let check = LeakCheck::start().await;
     let batch = async || {
         let mut streams = Vec::new();
-        for _ in 0..AT_ONCE {
-            streams.push(stage.client(request("once", "held", 0).as_bytes()).await);
+        for _ in 0..BATCH_SIZE {
+            streams.push(check.client(request("once", "wait", 0).as_bytes()).await);
         }
-        // One is held by the backend at the least, or all have their answers, which are refusals; the others wait.
-        let all = async {
+        // At least one request waits at the backend, or all were rejected; the others are queued.
+        let settled = async {
             loop {
-                let mut refused = 0;
+                let mut rejected = 0;
                 for stream in &streams {
-                    refused += usize::from(timeout(Duration::ZERO, stream.peek(&mut [0])).await.is_ok());
+                    rejected += usize::from(timeout(Duration::ZERO, stream.peek(&mut [0])).await.is_ok());
                 }
-                let held = stage.backend.held.available_permits();
-                if held > 0 || refused == AT_ONCE {
-                    return (held, AT_ONCE - refused);
+                let waiting = check.backend.waiting.available_permits();
+                if waiting > 0 || rejected == BATCH_SIZE {
+                    return (waiting, BATCH_SIZE - rejected);
                 }
                 sleep(Duration::from_millis(1)).await;
             }
         };
-        let (held, left) = within_deadline(all).await;
-        stage.backend.held.forget_permits(held);
+        let (waiting, abandoned) = within_deadline(settled).await;
+        check.backend.waiting.forget_permits(waiting);
         streams.into_iter().for_each(reset);
-        stage.backend.freed.add_permits(held);
-        left
+        check.backend.released.add_permits(waiting);
+        abandoned
     };
-    stage.after(batch).await;
+    check.run_batches(batch).await;
 }
 
-/// The answer has begun, and the backend has not ended it.
+/// The response head was sent, and the backend does not complete the body.
 #[tokio::test]
-async fn clients_that_reset_in_an_answer_leave_nothing() {
-    let stage = Stage::set().await;
+async fn clients_that_reset_in_a_response_leak_nothing() {
+    let check = LeakCheck::start().await;
     let batch = async || {
-        let (mut streams, mut begun) = (Vec::new(), 0);
-        for _ in 0..AT_ONCE {
-            streams.push(stage.client(request("look", "begin", 0).as_bytes()).await);
+        let (mut streams, mut started) = (Vec::new(), 0);
+        for _ in 0..BATCH_SIZE {
+            streams.push(check.client(request("look", "partial-body", 0).as_bytes()).await);
         }
         for stream in &mut streams {
             let mut start = [0; 12];
-            within_deadline(stream.read_exact(&mut start)).await.expect("an answer begins");
-            begun += usize::from(&start == b"HTTP/1.1 200");
+            within_deadline(stream.read_exact(&mut start)).await.expect("a response head");
+            started += usize::from(&start == b"HTTP/1.1 200");
         }
         streams.into_iter().for_each(reset);
-        begun
+        started
     };
-    stage.after(batch).await;
+    check.run_batches(batch).await;
 }
--- a/tests/leaks/main.rs
+++ b/tests/leaks/main.rs
@@ -1,12 +1,12 @@
-//! What abrupt ends and crossings leave behind: nothing. Descriptors, requests in flight, connections to backends and
-//! room for bodies are back to where they began.
+//! Abrupt disconnects leak nothing: descriptors, requests in flight, connections to backends and body memory return
+//! to their values at the start.
 
 mod backend;
-mod backends;
+mod backend_resets;
 mod clients;
 mod discovery;
+mod leak_check;
 #[path = "../rig/mod.rs"]
 mod rig;
-mod stage;
 #[path = "../waits/mod.rs"]
 mod waits;
--- a/tests/service/main.rs
+++ b/tests/service/main.rs
@@ -1,4 +1,4 @@
-//! The started program in day-to-day service: the operators' address, drains, stops.
+//! Operation of a running proxy: the ops address, drains, process replacement and shutdown.
 
 mod drains;
 mod operators;
@@ -10,7 +10,7 @@
 
 use crate::rig::*;
 
-/// A scene whose proxy answers operators.
-async fn in_service() -> ProxyFixture {
+/// Starts a fixture whose proxy listens on an ops address.
+async fn start_with_ops() -> ProxyFixture {
     start_fixture_with(settings(), |config| config["ops"] = "127.0.0.1:0".into()).await
 }
--- a/tests/service/operators.rs
+++ b/tests/service/operators.rs
@@ -1,6 +1,6 @@
-//! The operators' address: its callers and its figures.
+//! The ops address: its clients and the counters page.
 
-use super::in_service;
+use super::start_with_ops;
 use crate::rig::*;
 use http_body_util::Full;
 use serde_json::{Value, json};
@@ -8,15 +8,15 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::Notify;
 
-/// Callers that say nothing, half a call or too much delay nobody and are not kept.
+/// Clients that send nothing, half a command or too much delay no other client and are disconnected.
 #[tokio::test]
-async fn odd_callers_delay_no_answer_and_hold_no_place_for_long() {
-    let s = in_service().await;
+async fn misbehaving_ops_clients_delay_no_response_and_are_disconnected() {
+    let s = start_with_ops().await;
     let mut silent = Vec::new();
     for n in 0..100 {
         let mut stream = s.proxy.connect_ops().await;
         if n % 2 == 0 {
-            stream.write_all(b"coun").await.expect("open");
+            stream.write_all(b"coun").await.expect("connection is open");
         }
         silent.push(stream);
         if n % 20 == 0 {
@@ -28,33 +28,35 @@
     assert!(s.proxy.ops_call("").await.starts_with("NAK"));
     assert!(s.proxy.ops_call("dance").await.starts_with("NAK"));
     let mut twice = s.proxy.connect_ops().await;
-    twice.write_all(b"health\nquiesce\n").await.expect("open");
-    let mut answer = String::new();
-    within_deadline(twice.read_to_string(&mut answer)).await.expect("closed, not reset");
+    twice.write_all(b"health\nquiesce\n").await.expect("connection is open");
+    let mut response = String::new();
+    within_deadline(twice.read_to_string(&mut response)).await.expect("connection closed without a reset");
     assert_eq!(
-        (answer.lines().count(), s.proxy.readiness_status().await),
+        (response.lines().count(), s.proxy.readiness_status().await),
         (1, 200),
-        "one call to a connection"
+        "more than one command was run on a connection"
     );
     let mut long = s.proxy.connect_ops().await;
-    long.write_all(&[b'x'; 300]).await.expect("open");
+    long.write_all(&[b'x'; 300]).await.expect("connection is open");
     let mut start = [0; 3];
-    within_deadline(long.read_exact(&mut start)).await.expect("an answer");
+    within_deadline(long.read_exact(&mut start)).await.expect("a response");
     assert_eq!(&start, b"NAK");
     for mut stream in silent {
-        let mut answer = String::new();
-        within_deadline(stream.read_to_string(&mut answer)).await.expect("closed, not reset");
-        assert!(answer.starts_with("NAK"), "{answer}");
+        let mut response = String::new();
+        within_deadline(stream.read_to_string(&mut response))
+            .await
+            .expect("connection closed without a reset");
+        assert!(response.starts_with("NAK"), "{response}");
     }
 }
 
 #[tokio::test]
-async fn a_bad_or_taken_ops_address_ends_the_start_with_one_line() {
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+async fn an_invalid_or_occupied_ops_address_fails_startup_with_one_log_line() {
+    let occupied = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let discovery = TestDiscovery::start(Vec::new()).await;
-    for (ops, says) in [
+    for (ops, message) in [
         ("here".to_string(), "config: ops: here"),
-        (taken.local_addr().expect("bound").to_string(), "ops: 127.0.0.1"),
+        (occupied.local_addr().expect("listener is bound").to_string(), "ops: 127.0.0.1"),
     ] {
         let mut config = discovery.proxy_config(settings());
         config["ops"] = ops.into();
@@ -63,20 +65,20 @@
             .env_remove("RELAY_DISCOVERY")
             .env("RELAY_CONFIG", write_config(&config.to_string()))
             .output()
-            .expect("it starts");
-        let log = String::from_utf8(program.stderr).expect("text");
+            .expect("program starts");
+        let log = String::from_utf8(program.stderr).expect("UTF-8 text");
         assert!(!program.status.success() && log.lines().count() == 1, "{log}");
-        assert!(log.contains(says), "{log}");
+        assert!(log.contains(message), "{log}");
     }
 }
 
-/// The figures, once `settled` says of them that all that the test did is in.
-async fn figures(s: &ProxyFixture, settled: impl Fn(&Value) -> bool) -> Value {
+/// Polls the counters page until `settled` accepts it.
+async fn counters(s: &ProxyFixture, settled: impl Fn(&Value) -> bool) -> Value {
     let read = async {
         loop {
-            let answer = s.proxy.ops_call("counters").await;
-            let [page, "--"] = answer.lines().collect::<Vec<_>>()[..] else { panic!("{answer}") };
-            let page: Value = serde_json::from_str(page).expect("JSON");
+            let response = s.proxy.ops_call("counters").await;
+            let [page, "--"] = response.lines().collect::<Vec<_>>()[..] else { panic!("{response}") };
+            let page: Value = serde_json::from_str(page).expect("valid JSON");
             if settled(&page) {
                 return page;
             }
@@ -85,10 +87,10 @@
     within_deadline(read).await
 }
 
-/// Served, retried, failed, refused, left and malformed: the figures are what backends and clients saw.
+/// Requests are served, retried, failed, rejected, abandoned and malformed; each is counted once.
 #[tokio::test]
-async fn the_figures_are_what_clients_and_backends_saw() {
-    let s = in_service().await;
+async fn the_counters_match_what_clients_and_backends_saw() {
+    let s = start_with_ops().await;
     for class in ["look", "look", "keep", "once"] {
         assert_eq!(s.proxy.call(class).await.0, 200);
     }
@@ -99,9 +101,9 @@
         BackendAction::Decline(503),
         BackendAction::Serve,
     ]);
-    assert_eq!(s.proxy.call("look").await.0, 200, "in two attempts");
-    assert_eq!(s.proxy.call("once").await.0, 502, "in one");
-    assert_eq!(s.proxy.call("once").await.0, 200, "in two");
+    assert_eq!(s.proxy.call("look").await.0, 200, "served in two attempts");
+    assert_eq!(s.proxy.call("once").await.0, 502, "failed in one attempt");
+    assert_eq!(s.proxy.call("once").await.0, 200, "served in two attempts");
     assert_eq!(
         s.proxy
             .connect_client()
@@ -118,26 +120,26 @@
     let stays = tokio::spawn(async move { stays.call("keep").await });
     let leaves = tokio::spawn(async move { leaves.call("keep").await });
     s.control.wait_for_requests(11).await;
-    let page = figures(&s, |_| true).await;
+    let page = counters(&s, |_| true).await;
     assert_eq!((&page["in_flight"], &page["attempts"]), (&2.into(), &11.into()));
     assert_eq!((&page["backends_known"], &page["backends_excluded"]), (&2.into(), &0.into()));
     assert_eq!(page["served"], json!({"look": 3, "keep": 1, "once": 2}));
     assert_eq!(page["failed"], json!({"look": 0, "keep": 0, "once": 1}));
     assert_eq!(page["refused"], json!({"look": 0, "keep": 0, "once": 0}));
     leaves.abort();
-    let page = figures(&s, |page| page["in_flight"] == 1).await;
+    let page = counters(&s, |page| page["in_flight"] == 1).await;
     let of_keep = |page: &Value| ["served", "refused", "failed"].map(|e| page[e]["keep"].as_u64().unwrap());
-    assert_eq!(of_keep(&page).iter().sum::<u64>(), 2, "who left is counted once");
+    assert_eq!(of_keep(&page).iter().sum::<u64>(), 2, "an abandoned request is counted once");
     release.notify_one();
     release.notify_one();
-    assert_eq!(stays.await.expect("no panic").0, 200);
-    let page = figures(&s, |page| page["in_flight"] == 0).await;
+    assert_eq!(stays.await.expect("task completed").0, 200);
+    let page = counters(&s, |page| page["in_flight"] == 0).await;
     assert_eq!(of_keep(&page).iter().sum::<u64>(), 3);
     assert_eq!(page["attempts"].as_u64(), Some(s.control.requests.borrow().len() as u64));
     s.discovery.publish(vec![s.a.endpoint_entry("DRAINING"), s.b.endpoint_entry("SERVING")]).await;
-    let page = figures(&s, |_| true).await;
+    let page = counters(&s, |_| true).await;
     assert_eq!((&page["backends_known"], &page["backends_excluded"]), (&2.into(), &1.into()));
     s.discovery.publish(vec![s.b.endpoint_entry("SERVING")]).await;
-    let page = figures(&s, |_| true).await;
+    let page = counters(&s, |_| true).await;
     assert_eq!((&page["backends_known"], &page["backends_excluded"]), (&1.into(), &0.into()));
 }
--- a/tests/service/processes.rs
+++ b/tests/service/processes.rs
@@ -1,6 +1,6 @@
-//! Starts, replacements and processes side by side.
+//! Startup, replacement of a process, and several processes at one address.
 
-use super::in_service;
+use super::start_with_ops;
 use crate::rig::*;
 use http_body_util::{BodyExt, Full};
 use serde_json::json;
@@ -8,12 +8,11 @@
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::time::{Duration, Instant};
 
-/// Replacements in quick succession under load: each new process takes over while the old one still serves, and
-/// every call gets its answer.
+/// Processes are replaced in quick succession under load: each new one takes over while the old one still serves.
 #[tokio::test]
-async fn a_second_process_takes_over_and_no_call_is_lost() {
-    let mut s = in_service().await;
-    // A process that has just begun takes twice as many calls as it has members: more than the callers make.
+async fn replacing_a_process_under_load_loses_no_request() {
+    let mut s = start_with_ops().await;
+    // A new process admits twice as many requests as it has backends: more than the clients send.
     let mut lines = vec![s.a.endpoint_entry("SERVING"), s.b.endpoint_entry("SERVING")];
     let mut more = Vec::new();
     for name in ["c", "d", "e", "f"] {
@@ -25,26 +24,26 @@
     config["ops"] = "127.0.0.1:0".into();
     config["listen"] = s.proxy.addr.to_string().into();
     let (done, addr) = (Arc::new(AtomicBool::new(false)), s.proxy.addr);
-    let callers: Vec<_> = (0..8)
+    let clients: Vec<_> = (0..8)
         .map(|_| {
             let done = done.clone();
             tokio::spawn(async move {
                 let mut calls = 0;
-                let mut kept = connect(addr).await;
-                let once = || request("once").body(Full::<bytes::Bytes>::default()).expect("well formed");
+                let mut connection = connect(addr).await;
+                let once = || request("once").body(Full::<bytes::Bytes>::default()).expect("valid request");
                 while !done.load(SeqCst) {
-                    let open = kept.ready().await.is_ok();
-                    let answer = if open { kept.send_request(once()).await.ok() } else { None };
-                    let answer = match answer {
-                        Some(answer) => answer,
-                        // A close may cross a request that was not read; it is sent once more.
+                    let open = connection.ready().await.is_ok();
+                    let response = if open { connection.send_request(once()).await.ok() } else { None };
+                    let response = match response {
+                        Some(response) => response,
+                        // A close may race with a request that was not read; it is sent once more.
                         None => {
-                            kept = connect(addr).await;
-                            within_deadline(kept.send_request(once())).await.expect("an answer")
+                            connection = connect(addr).await;
+                            within_deadline(connection.send_request(once())).await.expect("a response")
                         }
                     };
-                    assert_eq!(answer.status(), 200);
-                    within_deadline(answer.into_body().collect()).await.expect("a whole one");
+                    assert_eq!(response.status(), 200);
+                    within_deadline(response.into_body().collect()).await.expect("a complete body");
                     calls += 1;
                 }
                 calls
@@ -61,39 +60,39 @@
     }
     done.store(true, SeqCst);
     let mut calls = 0;
-    for caller in callers {
-        calls += caller.await.expect("every call was answered");
+    for client in clients {
+        calls += client.await.expect("every request was answered");
     }
     let seen = s.control.requests.borrow();
-    assert_eq!(seen.len(), calls, "none ran twice");
+    assert_eq!(seen.len(), calls, "a request ran twice");
 }
 
-/// A start that finds discovery silent is bounded, and truthful meanwhile.
+/// With a discovery that never answers, startup is bounded, and the health command reports it meanwhile.
 #[tokio::test]
-async fn a_start_waits_for_the_first_list_but_not_for_ever() {
-    let orders = Arc::new(BackendControl::default());
-    let a = TestBackend::start("a", &orders).await;
-    let mute = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
+async fn startup_waits_a_bounded_time_for_the_first_endpoint_list() {
+    let control = Arc::new(BackendControl::default());
+    let a = TestBackend::start("a", &control).await;
+    let silent = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let discovery = TestDiscovery::start(Vec::new()).await;
     let mut config = discovery.proxy_config(settings());
-    config["discovery"] = mute.local_addr().expect("bound").to_string().into();
+    config["discovery"] = silent.local_addr().expect("listener is bound").to_string().into();
     config["known"] = json!({"seq": 1, "whole": true, "hosts": [a.endpoint_entry("SERVING")]});
     config["ops"] = "127.0.0.1:0".into();
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut proxy = ProxyProcess::spawn(&config, "exec \"$0\"");
     proxy.ops = Some(proxy.wait_for_address("ops on ").await);
     assert_eq!(proxy.ops_call("health").await, "NAK starting\n");
     assert_eq!(proxy.ops_call("quiesce").await, "NAK starting\n");
     proxy.addr = proxy.wait_for_address("listening on ").await;
-    assert!(begun.elapsed() < Duration::from_secs(6), "{:?}", begun.elapsed());
+    assert!(started.elapsed() < Duration::from_secs(6), "{:?}", started.elapsed());
     assert!(proxy.ops_call("health").await.starts_with("ACK"));
     assert_eq!(proxy.call("look").await, (200, "a".into()));
 }
 
-/// Two processes find each other by their locks, and a kill leaves none behind.
+/// Processes count each other by file locks, and a killed process leaves no lock behind.
 #[tokio::test]
-async fn two_processes_at_one_address_know_of_each_other() {
-    let mut s = in_service().await;
+async fn processes_at_one_address_count_each_other() {
+    let mut s = start_with_ops().await;
     let mut config = s.discovery.proxy_config(settings());
     config["ops"] = "127.0.0.1:0".into();
     config["listen"] = s.proxy.addr.to_string().into();
