--- a/tests/bodies/framing.rs
+++ b/tests/bodies/framing.rs
@@ -1,4 +1,5 @@
-//! HTTP framing: stalled bodies, `Expect: 100-continue`, rejections while a body is sent, and bodies that are not buffered.
+//! HTTP framing: stalled bodies, `Expect: 100-continue`, rejections while a body is sent, and bodies that are not
+//! buffered.
 
 use super::{head, send_chunked, text};
 use crate::rig::*;
@@ -9,7 +10,8 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// A client that stops half-way through its body gets a 408 in time, and no backend sees the request, whatever its size.
+/// A client that stops half-way through its body gets a 408 in time, and no backend sees the request, whatever its
+/// size.
 #[tokio::test]
 async fn a_body_that_stalls_half_way_is_answered_408() {
     let s = start_fixture(settings()).await;
--- a/tests/client_leaks.rs
+++ b/tests/client_disconnect_leaks.rs
@@ -1,4 +1,4 @@
-//! Ten thousand clients that leave abruptly: nothing of theirs stays.
+//! Ten thousand clients that disconnect abruptly at every point of a request: nothing is leaked.
 
 mod rig;
 mod waits;
@@ -10,12 +10,12 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-/// How many leave in all, and how many of them at once.
-const ALL: usize = 10_000;
-const AT_ONCE: usize = 200;
+/// Clients in all, and clients at a time.
+const CLIENTS: usize = 10_000;
+const BATCH_SIZE: usize = 200;
 
-/// What the n-th client writes before it leaves.
-fn text(n: usize) -> Vec<u8> {
+/// Bytes that the n-th client writes before it disconnects.
+fn request_bytes(n: usize) -> Vec<u8> {
     let (class, framing) = match n % 6 {
         0 => ("look", "\r\n".to_string()),
         1 => ("look", "\r\nstray".to_string()),
@@ -32,42 +32,43 @@
 }
 
 #[tokio::test]
-async fn ten_thousand_that_leave_abruptly_leave_nothing_behind() {
+async fn abrupt_client_disconnects_leak_nothing() {
     let s = start_fixture_with(settings(), |config| config["ops"] = "127.0.0.1:0".into()).await;
     assert_eq!(s.proxy.call("look").await.0, 200);
     let before = s.proxy.descriptors();
-    for round in 0..ALL / AT_ONCE {
+    for round in 0..CLIENTS / BATCH_SIZE {
         let mut clients = JoinSet::new();
-        for n in round * AT_ONCE..(round + 1) * AT_ONCE {
+        for n in round * BATCH_SIZE..(round + 1) * BATCH_SIZE {
             let addr = s.proxy.addr;
             clients.spawn(async move {
-                let mut stream = within_deadline(TcpStream::connect(addr)).await.expect("it listens");
-                // Turned away, it may be closed on while it writes.
-                let _ = within_deadline(stream.write_all(&text(n))).await;
+                let mut stream =
+                    within_deadline(TcpStream::connect(addr)).await.expect("proxy accepts a connection");
+                // A rejected client may see its connection closed while it writes.
+                let _ = within_deadline(stream.write_all(&request_bytes(n))).await;
                 stream
             });
         }
-        // All at once, half of them by a reset.
+        // All of a batch disconnect at once, half of them by a reset.
         for (n, client) in clients.join_all().await.into_iter().enumerate() {
             if n % 2 == 0 {
-                client.set_zero_linger().expect("open");
+                client.set_zero_linger().expect("connection is open");
             }
         }
     }
-    // Connections to the backends may be kept, as after any rush.
+    // Idle connections to the backends may be kept, as after any burst.
     let kept = || *s.a.open_connections.borrow() + *s.b.open_connections.borrow();
-    let over = async {
+    let released = async {
         while !s.proxy.ops_call("counters").await.contains("\"in_flight\":0,")
             || s.proxy.descriptors() > before + kept()
         {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    let what = || format!("{} descriptors, {before} before, {} kept", s.proxy.descriptors(), kept());
-    if timeout(Duration::from_secs(20), over).await.is_err() {
-        panic!("{}: {}", what(), s.proxy.ops_call("counters").await);
+    let usage = || format!("{} descriptors, {before} before, {} kept", s.proxy.descriptors(), kept());
+    if timeout(Duration::from_secs(20), released).await.is_err() {
+        panic!("{}: {}", usage(), s.proxy.ops_call("counters").await);
     }
-    // Every place at the backends is free again, and so is the room for bodies.
+    // Every slot at the backends is free again, and so is the memory for bodies.
     for _ in 0..100 {
         assert_eq!(s.proxy.call("once").await.0, 200);
     }
--- a/tests/evictions.rs
+++ b/tests/connection_eviction.rs
@@ -1,4 +1,4 @@
-//! Connections to backends that are given up for want of places or for their age, beside those that take them up.
+//! Idle connections to backends are evicted for lack of descriptors or closed for their age while requests reuse them.
 
 mod rig;
 mod waits;
@@ -8,14 +8,14 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// More backends than places for connections to them, and connections that grow old in a twentieth of a second: what
-/// is kept makes room or is swept while others take it up again, and every request runs once.
+/// There are more backends than descriptors for connections to them, and connections expire after a twentieth of a
+/// second: idle connections are evicted or expire while requests reuse others, and every request runs once.
 #[tokio::test]
-async fn a_request_whose_connection_could_be_given_up_runs_once() {
-    let orders = Arc::new(BackendControl::default());
+async fn a_request_that_races_with_connection_eviction_runs_once() {
+    let control = Arc::new(BackendControl::default());
     let (mut backends, mut lines) = (Vec::new(), Vec::new());
     for name in ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"] {
-        let backend = TestBackend::start(name, &orders).await;
+        let backend = TestBackend::start(name, &control).await;
         lines.push(backend.endpoint_entry("SERVING"));
         backends.push(backend);
     }
@@ -24,21 +24,21 @@
     config["limits"]["sockets"] = 64.into();
     let proxy = ProxyProcess::start_with_command(&config, "exec \"$0\"").await;
     discovery.wait_until_synced().await;
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut calls = 0;
-    while begun.elapsed() < Duration::from_secs(2) || calls < 200 {
+    while started.elapsed() < Duration::from_secs(2) || calls < 200 {
         let mut batch = Vec::new();
         for _ in 0..3 {
-            let mut caller = proxy.connect_client().await;
-            let call = request("once").body(Full::from("x")).expect("well formed");
-            batch.push(tokio::spawn(async move { caller.send(call).await.0 }));
+            let mut client = proxy.connect_client().await;
+            let call = request("once").body(Full::from("x")).expect("valid request");
+            batch.push(tokio::spawn(async move { client.send(call).await.0 }));
         }
         for call in batch {
-            assert_eq!(call.await.expect("no panic"), 200);
+            assert_eq!(call.await.expect("task completed"), 200);
             calls += 1;
         }
     }
     let connections: usize = backends.iter().map(TestBackend::connections_total).sum();
-    assert!(connections > backends.len(), "{connections} connections: none was given up");
-    assert_eq!(orders.requests.borrow().len(), calls);
+    assert!(connections > backends.len(), "{connections} connections: none was evicted");
+    assert_eq!(control.requests.borrow().len(), calls);
 }
--- a/tests/bad_settings.rs
+++ b/tests/invalid_settings.rs
@@ -1,5 +1,5 @@
-//! Settings with missing, unknown, zero or absurd values: a start that fails at once, in one line that names the key,
-//! or a proxy that serves and stops.
+//! Settings with missing, unknown, zero or extreme values: startup either fails with one log line that names the key,
+//! or the proxy serves requests and shuts down.
 
 mod rig;
 mod waits;
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 use tokio::process::Command;
 
-/// Starts the program on a text; how it ended and what it said, which must be in time.
-async fn start(text: &str) -> (ExitStatus, String) {
+/// Runs the proxy with this configuration and returns its exit status and log; it must exit in time.
+async fn run_to_exit(text: &str) -> (ExitStatus, String) {
     let program = Command::new(env!("CARGO_BIN_EXE_proxy"))
         .env_remove("RELAY_LISTEN")
         .env_remove("RELAY_OPS")
@@ -20,17 +20,17 @@
         .stderr(Stdio::piped())
         .kill_on_drop(true)
         .output();
-    let program = within_deadline(program).await.expect("it starts");
-    (program.status, String::from_utf8(program.stderr).expect("text"))
+    let program = within_deadline(program).await.expect("program starts");
+    (program.status, String::from_utf8(program.stderr).expect("UTF-8 text"))
 }
 
-/// Sets the key at a path such as `settings.classes.0.aim`; takes it away if there is no value.
+/// Sets the key at a path such as `settings.classes.0.aim`, or removes it if `value` is `None`.
 fn set(config: &mut Value, path: &str, value: Option<Value>) {
-    let (within, key) = path.rsplit_once('.').expect("a path");
-    let holder = config.pointer_mut(&format!("/{}", within.replace('.', "/"))).expect("it is there");
+    let (parent, key) = path.rsplit_once('.').expect("a dotted path");
+    let object = config.pointer_mut(&format!("/{}", parent.replace('.', "/"))).expect("an existing path");
     match value {
-        Some(value) => holder[key] = value,
-        None => drop(holder.as_object_mut().expect("an object").remove(key)),
+        Some(value) => object[key] = value,
+        None => drop(object.as_object_mut().expect("an object").remove(key)),
     }
 }
 
@@ -39,16 +39,16 @@
            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}, "settings": settings()})
 }
 
-/// One line, which names the key and no other place; no panic, and not the status of one.
-async fn fails(config: &str, key: &str) {
-    let (status, said) = start(config).await;
-    assert_eq!(status.code(), Some(1), "{key}: {said}");
-    assert_eq!(said.lines().count(), 1, "{said}");
-    assert!(said.contains(key) && said.contains("mend"), "{key}: {said}");
+/// Checks that startup fails without a panic, with exit status 1 and one log line that names the key.
+async fn assert_startup_fails(config: &str, key: &str) {
+    let (status, log) = run_to_exit(config).await;
+    assert_eq!(status.code(), Some(1), "{key}: {log}");
+    assert_eq!(log.lines().count(), 1, "{log}");
+    assert!(log.contains(key) && log.contains("mend"), "{key}: {log}");
 }
 
 #[tokio::test]
-async fn a_key_that_is_needed_and_missing_ends_the_start() {
+async fn a_missing_required_key_fails_startup() {
     for key in [
         "slotNo",
         "peersTotal",
@@ -81,15 +81,15 @@
     ] {
         let mut config = config();
         set(&mut config, &format!("settings.{key}"), None);
-        fails(&config.to_string(), key.rsplit('.').next().expect("a key")).await;
+        assert_startup_fails(&config.to_string(), key.rsplit('.').next().expect("a key")).await;
     }
 }
 
 #[tokio::test]
-async fn a_value_that_cannot_be_used_ends_the_start() {
+async fn an_invalid_value_fails_startup() {
     let class = |at: usize| settings()["classes"][at].clone();
     let tenant = || json!({"name": "acme", "quotaPerS": 1.0});
-    for (path, value, names) in [
+    for (path, value, key) in [
         ("limits.sockets", json!(0), "limits.sockets"),
         ("limits.sockets", json!(1), "limits.sockets"),
         ("limits.sockets", json!(63), "limits.sockets"),
@@ -134,24 +134,24 @@
     ] {
         let mut config = config();
         set(&mut config, path, Some(value));
-        fails(&config.to_string(), names).await;
+        assert_startup_fails(&config.to_string(), key).await;
     }
 }
 
 #[tokio::test]
-async fn a_text_that_is_no_configuration_ends_the_start() {
-    let whole = config().to_string();
-    let [cut, nan] = [whole[..whole.len() / 2].to_string(), whole.replace("20000.0", "NaN")];
-    for text in ["", "[]", "{}", &"[".repeat(100_000), &cut, &nan] {
-        fails(text, "config: ").await;
+async fn an_invalid_configuration_text_fails_startup() {
+    let valid = config().to_string();
+    let [truncated, nan] = [valid[..valid.len() / 2].to_string(), valid.replace("20000.0", "NaN")];
+    for text in ["", "[]", "{}", &"[".repeat(100_000), &truncated, &nan] {
+        assert_startup_fails(text, "config: ").await;
     }
 }
 
-/// Keys that are not known or are not needed, and values that are odd but have a meaning.
+/// Unknown keys, absent optional keys, and extreme values that are valid.
 #[tokio::test]
-async fn settings_that_are_odd_but_usable_serve_every_class() {
-    let orders = Arc::new(BackendControl::default());
-    let backend = TestBackend::start("a", &orders).await;
+async fn extreme_but_valid_settings_serve_every_class() {
+    let control = Arc::new(BackendControl::default());
+    let backend = TestBackend::start("a", &control).await;
     let discovery = TestDiscovery::start(vec![backend.endpoint_entry("SERVING")]).await;
     let mut served = tokio::task::JoinSet::new();
     for (path, value) in [
@@ -207,8 +207,8 @@
 }
 
 #[tokio::test]
-async fn a_backoff_that_cannot_be_used_ends_the_start() {
-    for (backoff, names) in [
+async fn an_invalid_backoff_fails_startup() {
+    for (backoff, key) in [
         (json!({"max_ms": 0}), "discovery_backoff.max_ms"),
         (json!({"max_ms": 60_001}), "discovery_backoff.max_ms"),
         (json!({"max_ms": -1}), "discovery_backoff.max_ms"),
@@ -216,6 +216,6 @@
     ] {
         let mut config = config();
         config["discovery_backoff"] = backoff;
-        fails(&config.to_string(), names).await;
+        assert_startup_fails(&config.to_string(), key).await;
     }
 }
--- a/tests/leaks/leak_check.rs
+++ b/tests/leaks/leak_check.rs
@@ -34,8 +34,8 @@
         LeakCheck::start_with_discovery(async |_| None).await
     }
 
-    /// Starts a proxy as [`LeakCheck::start`] does; `discovery_for` gets the endpoint list and may return the address of
-    /// another discovery service.
+    /// Starts a proxy as [`LeakCheck::start`] does; `discovery_for` gets the endpoint list and may return the address
+    /// of another discovery service.
     pub async fn start_with_discovery(
         discovery_for: impl AsyncFnOnce(Vec<Value>) -> Option<SocketAddr>,
     ) -> Self {
