--- a/src/client/membership/swim/mod.rs
+++ b/src/client/membership/swim/mod.rs
@@ -33,8 +33,7 @@
 /// Number of known members, including dead ones, from which datagrams of new members are dropped.
 ///
 /// Without a limit, forged announcements would exhaust the memory. This many members with short names take 11 MB
-/// (measured as the resident memory of `limits::as_many_members_...` over that of another test in its file). Members
-/// learned from the gossip of known members are accepted beyond the limit.
+/// of resident memory. Members learned from the gossip of known members are accepted beyond the limit.
 pub const MAX_MEMBERS: usize = 16_384;
 
 /// Reason for dropping a datagram.
--- a/src/route_table/config.rs
+++ b/src/route_table/config.rs
@@ -71,9 +71,8 @@
     /// Number of starts and returns within [`Config::flap_window_ms`] that raises `flapping`.
     #[serde(rename = "flaps")]
     pub flap_threshold: usize,
-    /// Maximum number of proxies whose reports are kept. 16,384 proxies with 18 backends each take 41 MB
-    /// (measured as the resident memory of `limits::reports_of_as_many_proxies_...` above that of another
-    /// test of its file).
+    /// Maximum number of proxies whose reports are kept. 16,384 proxies with 18 backends each take 41 MB of
+    /// resident memory.
     #[serde(rename = "names")]
     pub max_proxies: usize,
     /// Maximum number of backend counts in all kept reports together.
